--- a/src/main/java/juniperusher/AdaptiveRateLimiter.java
+++ b/src/main/java/juniperusher/AdaptiveRateLimiter.java
@@ -1,34 +1,39 @@
 package juniperusher;
 
 /**
- * The pace of calls to one destination: without a bound until a call is refused, then cut at each refusal
- * (multiplicative decrease) and climbing with each success (additive increase).
+ * Limits the rate of calls to one destination by additive increase and multiplicative decrease. The rate is unlimited
+ * until a call is refused; from then on each refusal cuts it and each success raises it. Times are seconds of one
+ * monotonic clock, rates are calls per second. Not safe for use by several threads.
  */
 final class AdaptiveRateLimiter extends TokenBucket {
-    private static final double PACE_CUT = 0.8; // factor on the pace at a refusal as full
-    private static final double PACE_CLIMB = 0.05; // calls/s gained by each success, and
-    private static final double SPELL = 4.0; // s without refusals make a spell; then the gain is
-    private static final double SPELL_CLIMB = 4.0; // times as much, to exceed the pace again
+    private static final double CUT_FACTOR = 0.8; // at a refusal
+    private static final double GAIN_PER_SUCCESS = 0.05; // calls per second
+    // After this time without a refusal the gain is larger, so that the rate exceeds its former value soon.
+    private static final double REFUSAL_FREE_SECONDS = 4.0;
+    private static final double REFUSAL_FREE_GAIN_FACTOR = 4.0;
 
     double cutAt = Double.NEGATIVE_INFINITY;
 
-    void cut(double now, double successes, double least) {
+    /** Cuts the rate, starting from the measured success rate if that is lower, to no less than {@code minRate}. */
+    void cut(double now, double successRate, double minRate) {
         refill(now);
-        rate = Math.max(least, PACE_CUT * Math.min(rate, Math.max(successes, least)));
+        rate = Math.max(minRate, CUT_FACTOR * Math.min(rate, Math.max(successRate, minRate)));
         cutAt = now;
     }
 
-    void raise(double now, double share) {
-        if (rate < share) {
+    /** Raises a lower rate to the given one; a higher rate stays. */
+    void raiseTo(double now, double minRate) {
+        if (rate < minRate) {
             refill(now);
-            rate = share;
+            rate = minRate;
         }
     }
 
-    void succeeded(double now) {
+    /** Raises the rate after a success, unless it is unlimited. */
+    void recordSuccess(double now) {
         if (rate < Double.POSITIVE_INFINITY) {
             refill(now);
-            rate += PACE_CLIMB * (now - cutAt > SPELL ? SPELL_CLIMB : 1);
+            rate += GAIN_PER_SUCCESS * (now - cutAt > REFUSAL_FREE_SECONDS ? REFUSAL_FREE_GAIN_FACTOR : 1);
         }
     }
 }
--- a/src/main/java/juniperusher/Control.java
+++ b/src/main/java/juniperusher/Control.java
@@ -4,1006 +4,1065 @@
 import juniperusher.Protocol.*;
 
 /**
- * The decision module. Its interface is Protocol.java, beside this file.
+ * Decides when and where each accepted message is sent, and when it is answered undelivered. {@link Protocol} defines
+ * the settings, events and actions.
  *
- * <p>A failed delivery waits a jittered, doubling, capped pause; a told wait holds the whole destination and
- * is never cut short; a message whose pause would pass its deadline is given up. One instance, one thread.
+ * <p>A failed delivery is retried after an exponential backoff with jitter. The retry-after delay of a refusal applies
+ * to the whole destination, or to the route where routes are separate, and no call is made before it ends. A message
+ * whose next attempt would come too late for its deadline is answered at once.
+ *
+ * <p>Not safe for use by several threads: each instance belongs to one thread.
  */
 public final class Control {
-    private static final double FIRST_PAUSE = 0.5; // s, base of the first pause: a second try in time
-    private static final double PAUSE_CAP = 30.0; // s, the doubling stops: a longer pause helps nobody
-    private static final double TOLD_JITTER = 0.5; // share a message adds to its told wait, to spread returns
-    private static final double TOLD_MARGIN = 0.002; // s, clocks are rounded; a told wait is never cut short
-    private static final double TIMEOUT_DEVIATIONS = 10.0; // over the usual time, the aim at least
-    private static final double UNSAFE_PATIENCE = 3.0; // times that with slots free: its time-out is final
-    private static final double TRIAL_PATIENCE = 3.0; // times the time to silence: it must not keep a slot
-    private static final double FIRST_GUESS = 0.2; // s, usual time of a target not yet heard of
-    private static final double LEAST_SILENCE = 1.0; // s, no silence sooner, so that short stalls pass
-    private static final double SILENCE_DEVIATIONS = 6.0; // over the usual time: an overdue call
-    private static final double TRIP_SHARE = 0.5; // of outcomes that fail: most calls fail
-    private static final double FLAKY = 4.0; // calls that a share of failures of 1 counts for in choosing
-    private static final double FLAKY_BOUND = 30.0; // the same for messages that a failure binds or ends
-    private static final double UNSAFE_SHARE = 0.15; // of failures: unsafe ones wait, theirs would be final
-    private static final double UNSAFE_HURRY = 3.0; // s before its deadline an unsafe one waits no more
-    private static final double SHUT_AFTER = 3.0; // s of refusals only, or of a told wait: not a limit, shut
-    private static final double FIRST_COOLDOWN = 0.7; // s before the first trial; it doubles, jittered, to
-    private static final double COOLDOWN_CAP = 1.6; // s, as a trial is cheap, a return unnoticed is not
-    private static final double TRIAL_PART = 0.3; // of the n + 2 x root of n + 2 calls that a cold one bears
-    private static final double REFUSED_COOLDOWN_CAP = 6.0; // s after a told wait: see trip
-    private static final double LEAST_CAPACITY = 3.0; // calls/s, any destination bears as many once warm
-    private static final double CROWD = 50.0; // senders by the cube of what a return bears, see crowd
-    private static final double MOST_CROWD = 7.0; // a longer pause would only let messages expire
-    private static final double RAMP_CUT = 0.7; // factor on slow start at a refusal or failure meanwhile
-    private static final double RAMP_CLIMB = 1.05; // factor at each success, to win the cut back
-    private static final double LEAST_RAMP = 0.4; // slow start is never cut below this share
-    private static final double LEAST_PACE = 1.0; // calls/s, the pace is never cut below
-    private static final double REPORT_AGE = 0.8; // s, a report may be as old as refresh and delay together
-    private static final double LEAST_LEFT = 0.25; // share of a limit that is left where others use little
-    private static final double BULKHEAD = 0.6; // share of the slots that one destination may hold
-    private static final double SLOW_BULKHEAD = 0.25; // the same with an overdue call out
-    private static final double TRIAL_BULKHEAD = 0.12; // the same for all trials together
-    private static final double SCARCE = 0.6; // share of the slots taken at which they count as scarce
-    private static final double ROOM = 0.95; // share of the held room kept, so that sound ones find some
-    private static final double QUOTA_BURST = 2.0; // s of its quota a tenant may send at once within share
-    private static final double ANSWER_MARGIN = 0.01; // s, answers come so long before the deadline
-    private static final double SHARED_ROOM = 2; // usual times to answer that a message has left where it shares a call
-    private static final double IDLE_MEMORY = 30.0; // s after a failure in which idle connections are closed
-    private static final int FLEET = 50; // senders: too many for each to learn it from a refusal of its own
-    private static final double GONE_MEMORY = 5.0; // s, a target that is gone so long is forgotten
+    private static final double FIRST_BACKOFF_SECONDS = 0.5; // short, so that a second attempt can be in time
+    private static final double MAX_BACKOFF_SECONDS = 30.0; // a longer backoff has no benefit
+    private static final double RETRY_AFTER_JITTER = 0.5; // up to this share is added to the delay, to spread retries
+    private static final double RETRY_AFTER_MARGIN_SECONDS = 0.002; // keeps rounded clocks from ending a delay early
+    private static final double TIMEOUT_DEVIATIONS = 10.0; // mean deviations above the mean response time
+    private static final double UNSAFE_TIMEOUT_FACTOR = 3.0; // while slots are free: an unsafe timeout is final
+    private static final double TRIAL_TIMEOUT_FACTOR = 3.0; // times unresponsiveSeconds(); frees the slot of a trial
+    private static final double DEFAULT_RESPONSE_SECONDS = 0.2; // for a target that has not responded yet
+    private static final double MIN_UNRESPONSIVE_SECONDS = 1.0; // shorter stalls are ignored
+    private static final double UNRESPONSIVE_DEVIATIONS = 6.0; // above the mean response time, a call is overdue
+    private static final double TRIP_FAILURE_SHARE = 0.5; // the breaker opens when most calls fail
+    private static final double FAILURE_PENALTY = 4.0; // load factor added to a target where all calls fail
+    private static final double BINDING_PENALTY = 30.0; // the same where a failure ties a message to a zone or is final
+    private static final double UNSAFE_DELAY_SHARE = 0.15; // of failures; unsafe ones then wait, as theirs are final
+    private static final double UNSAFE_DELAY_END_SECONDS = 3.0; // before the deadline; then they wait no longer
+    // Refusals only for this long, or a longer retry-after delay, mean an outage instead of a rate limit.
+    private static final double OUTAGE_AFTER_SECONDS = 3.0;
+    private static final double FIRST_COOLDOWN_SECONDS = 0.7; // before the first trial; doubles at each failed one
+    private static final double MAX_COOLDOWN_SECONDS = 1.6; // trials are cheap, a recovery seen late is not
+    private static final double TRIAL_CAPACITY_SHARE = 0.3; // of a cold destination's capacity, for trials of all
+    private static final double MAX_REFUSED_COOLDOWN_SECONDS = 6.0; // the same during a retry-after delay
+    private static final double MIN_CAPACITY = 3.0; // calls per second that any warm destination handles
+    private static final double SPREAD_SENDERS = 50.0; // per cubed second of burstSeconds; see the constructor
+    private static final double MAX_SPREAD_FACTOR = 7.0; // longer waits would only let messages expire
+    private static final double SLOW_START_CUT_FACTOR = 0.7; // at a refusal or failure during slow start
+    private static final double SLOW_START_GAIN_FACTOR = 1.05; // at each success, until the cuts are undone
+    private static final double MIN_SLOW_START_SHARE = 0.4; // of the slow-start rate, left after all cuts
+    private static final double MIN_RATE = 1.0; // calls per second; a rate limit is not cut below it
+    private static final double MAX_REPORT_AGE_SECONDS = 0.8; // refresh interval plus transfer of a load report
+    private static final double LIMIT_LEFT_SHARE = 0.25; // of a limit; if more is left, others use little of it
+    private static final double BULKHEAD_SHARE = 0.6; // of the call slots, for one destination
+    private static final double SLOW_BULKHEAD_SHARE = 0.25; // the same while a call there is overdue
+    private static final double TRIAL_BULKHEAD_SHARE = 0.12; // of the call slots, for all trials together
+    private static final double SCARCE_SLOTS_SHARE = 0.6; // slots count as scarce once this share is in use
+    private static final double MAX_PENDING_SHARE = 0.95; // of the limit; the rest is for healthy destinations
+    private static final double QUOTA_BURST_SECONDS = 2.0; // of its quota that a tenant may use at once
+    private static final double ANSWER_MARGIN_SECONDS = 0.01; // between the answer and the deadline
+    private static final double MIN_RESPONSE_TIMES_LEFT = 2; // until the earliest deadline of a shared call
+    private static final double IDLE_CLOSE_SECONDS = 30.0; // idle connections are closed for so long after a failure
+    private static final int LARGE_FLEET_SENDERS = 50; // more cannot each wait for a refusal of their own
+    private static final double FORGET_GONE_SECONDS = 5.0; // a target removed from the list is then forgotten
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
     private Settings settings;
     private final SplittableRandom random;
-    private final double crowd; // factor on pauses, as senders that see little repeat unseen by each other
-    private final boolean tight; // a return bears less than a second of its capacity at once
-    private final Map<Integer, Item> items = new LinkedHashMap<>();
+    private final double spreadFactor; // at least 1; lengthens waits of many senders, which do not see each other
+    private final boolean fragileRecovery; // a recovering destination takes less than one second of calls at once
+    private final Map<Integer, PendingMessage> pendingMessages = new LinkedHashMap<>();
     final Map<Integer, TargetState> targets = new LinkedHashMap<>();
     private final Map<Integer, Destination> destinations = new LinkedHashMap<>();
-    private final Set<Destination> inStorm = new LinkedHashSet<>(); // with a bound on what is held
+    private final Set<Destination> advisedDestinations = new LinkedHashSet<>(); // may limit pending messages
     private final Map<Long, KeyQueue> keys = new LinkedHashMap<>();
-    private final Map<Integer, Double> tablesFull = new LinkedHashMap<>(); // by kind: no place was left
-    private final Set<Integer> reporting = new TreeSet<>(); // kinds whose answers bring reports
+    private final Map<Integer, Double> tableFullAt = new LinkedHashMap<>(); // by kind, in seconds
+    private final Set<Integer> reportingKinds = new TreeSet<>(); // kinds whose responses carry load reports
     private final List<TokenBucket> quotas = new ArrayList<>();
-    private final Map<TargetState, Call> forming = new LinkedHashMap<>();
-    private final List<Gate> trials = new ArrayList<>();
-    private final Set<TargetState> quiet = new LinkedHashSet<>(); // where a call or probe ended this round
+    private final Map<TargetState, Call> roundCalls = new LinkedHashMap<>(); // newest call of this round
+    private final List<CircuitBreaker> trialBreakers = new ArrayList<>(); // those due for a trial in this round
+    private final Set<TargetState> idleCandidates = new LinkedHashSet<>(); // a call or probe ended
     private List<Action> actions = new ArrayList<>();
-    private int callsOut, trialsOut, trialsWaiting, askFailures;
-    private double now = -NEVER, born, wake = NEVER, pendingWake = NEVER, askAt = NEVER;
-    private long wakeToken, passes;
-    private double reapedUntil, refutedAt, reapedAfter = NEVER; // idle connections dropped unseen, see idle
-    private TargetState reapedAt;
+    private int callsInFlight, trialsInFlight, reservedSlots, listFailures;
+    private double now = -NEVER, startedAt, nextWakeAt = NEVER, timerSetFor = NEVER, watchRetryAt = NEVER;
+    private long timerToken, sendPass;
+    // Whether idle connections seem to be dropped without notice; see prepareConnection.
+    private double closeIdleUntil, idleDropRefutedAt, idleDropAfterSeconds = NEVER;
+    private TargetState idleDropTarget;
     private boolean started;
 
-    /** A decision module that knows its settings and draws its random numbers from the seed. */
+    /** Creates a decision module; equal settings, seeds and events lead to equal decisions. */
     public Control(Settings settings, long seed) {
         this.settings = settings;
         random = new SplittableRandom(seed);
         Rules rules = settings.rules();
-        double bears = rules.tipMultiple() * rules.coldFrom() * rules.tipAfter();
-        tight = bears < 1;
-        crowd = Math.max(1, Math.min(MOST_CROWD, settings.senders() / (CROWD * Math.pow(bears, 3))));
+        // Calls that a recovering destination takes at once, in seconds of its full capacity.
+        double burstSeconds = rules.tipMultiple() * rules.coldFrom() * rules.tipAfter();
+        fragileRecovery = burstSeconds < 1;
+        spreadFactor = Math.max(
+                1, Math.min(MAX_SPREAD_FACTOR, settings.senders() / (SPREAD_SENDERS * Math.pow(burstSeconds, 3))));
         for (Tenant tenant : settings.tenants()) {
             TokenBucket quota = new TokenBucket();
-            quota.burst = QUOTA_BURST;
+            quota.burstSeconds = QUOTA_BURST_SECONDS;
             quota.start(0, tenant.quota() / settings.senders());
             quotas.add(quota);
         }
     }
 
-    /** Takes all events of a round, then sends what can be sent. */
+    /**
+     * Applies the events of a round in their order and returns the actions to carry out, also in their order.
+     *
+     * @param time seconds on a clock that never goes back
+     * @throws IllegalArgumentException if the time is before that of the previous round
+     */
     public List<Action> decide(double time, List<Event> events) {
         if (!(time >= now)) {
-            throw new IllegalArgumentException("now must not go back from " + now + " to " + time);
+            throw new IllegalArgumentException("time must not go back from " + now + " to " + time);
         }
         now = time;
-        born = started ? born : now;
+        startedAt = started ? startedAt : now;
         actions = new ArrayList<>();
-        wake = NEVER;
-        events.forEach(this::take);
-        followList();
+        nextWakeAt = NEVER;
+        events.forEach(this::handle);
+        watchTargetList();
         dispatch();
-        release();
+        closeIdleConnections();
         shed();
-        keys.values().removeIf(queue -> queue.unused(now));
+        keys.values().removeIf(queue -> queue.isUnused(now));
         setTimer();
         return actions;
     }
 
-    private void take(Event event) {
+    private void handle(Event event) {
         if (event instanceof Arrived e) {
-            arrive(e.message());
+            accept(e.message());
         } else if (event instanceof Ended e) {
-            end(e);
+            attemptEnded(e);
         } else if (event instanceof TargetList e) {
-            list(e);
+            updateTargets(e);
         } else if (event instanceof ListFailed) {
-            double most = Math.max(FIRST_PAUSE, settings.rules().askWithin() / 2);
-            askAt = now + pause(++askFailures, FIRST_PAUSE, most);
+            double maxBackoff = Math.max(FIRST_BACKOFF_SECONDS, settings.rules().askWithin() / 2);
+            watchRetryAt = now + backoff(++listFailures, FIRST_BACKOFF_SECONDS, maxBackoff);
         } else if (event instanceof Retuned e) {
-            settings = e.settings(); // a message taken before keeps its class: its item holds it
-        } else if (event instanceof Withdrawn e && items.containsKey(e.message())) {
-            finish(items.get(e.message()));
-        } else if (event instanceof Woken e && e.token() == wakeToken) {
-            pendingWake = NEVER;
+            settings = e.settings(); // messages accepted before keep their class
+        } else if (event instanceof Withdrawn e && pendingMessages.containsKey(e.message())) {
+            finish(pendingMessages.get(e.message()));
+        } else if (event instanceof Woken e && e.token() == timerToken) {
+            timerSetFor = NEVER;
         } else if (event instanceof Probed e && targets.containsKey(e.target())) {
-            probed(targets.get(e.target()), e.ok());
+            probeEnded(targets.get(e.target()), e.ok());
         } else if (event instanceof AnswerPending e) {
-            queue(e.key()).unacknowledged.add(e.message());
+            keyQueue(e.key()).unackedAnswers.add(e.message());
         } else if (event instanceof AnswerAcknowledged e
-                && queue(e.key()).unacknowledged.remove(e.message())) {
-            queue(e.key()).quietUntil = now + settings.rules().keyQuiet(); // an attempt may have ended just now
+                && keyQueue(e.key()).unackedAnswers.remove(e.message())) {
+            keyQueue(e.key()).quietUntil = now + settings.rules().keyQuiet(); // an attempt may have ended just now
         } else if (event instanceof Advised e) {
-            advise(destinations.computeIfAbsent(e.destination(), Destination::new), e);
+            applyAdvice(destinations.computeIfAbsent(e.destination(), Destination::new), e);
         }
     }
 
-    /** Heeds what was found of a destination beside single messages, a storm for example. */
-    private void advise(Destination destination, Advised e) {
-        destination.storm.refill(now);
-        // Guards against all senders calling at once, as their notes tell all of them of one return.
-        destination.storm.tokens = destination.storm.rate == NEVER
+    /** Applies limits that were set for a destination as a whole, for example in a retry storm. */
+    private void applyAdvice(Destination destination, Advised e) {
+        destination.stormLimiter.refill(now);
+        // A random token keeps all senders, which learn of a recovery together, from calling at once.
+        destination.stormLimiter.tokens = destination.stormLimiter.rate == NEVER
                 ? 0
-                : Math.min(destination.storm.tokens, e.back() ? random.nextDouble() : NEVER);
-        destination.storm.rate = e.rate();
-        destination.hold = e.hold();
-        inStorm.add(destination);
+                : Math.min(destination.stormLimiter.tokens, e.back() ? random.nextDouble() : NEVER);
+        destination.stormLimiter.rate = e.rate();
+        destination.maxPending = e.hold();
+        advisedDestinations.add(destination);
         destination.roomAt = e.returnIn() > 0 ? now + e.returnIn() : 0;
-        if (e.back() && destination.shared.open) {
-            startRamp(destination.shared); // no trial is needed; the rate and a told wait still hold
+        if (e.back() && destination.sharedBreaker.open) {
+            beginSlowStart(destination.sharedBreaker); // without a trial; rate limit and retry-after delay still apply
         }
     }
 
-    // ---- a message is taken ----
+    // ---- accepting messages ----
 
-    private void arrive(Message message) {
-        Item item = new Item(message, settings.classes().get(message.messageClass()), now);
-        item.destination = destinations.computeIfAbsent(message.destination(), Destination::new);
-        item.inShare = message.tenant() >= quotas.size()
+    private void accept(Message message) {
+        PendingMessage pending = new PendingMessage(message, settings.classes().get(message.messageClass()), now);
+        pending.destination = destinations.computeIfAbsent(message.destination(), Destination::new);
+        pending.inQuota = message.tenant() >= quotas.size()
                 || quotas.get(message.tenant()).tryTake(now);
-        items.put(message.id(), item);
-        item.destination.held++;
-        item.destination.taken++;
-        if (item.kind.ordered() && message.key() != 0) {
-            item.queue = queue(message.key());
-            item.queue.items.add(item);
-            item.queue.items.sort(Comparator.comparingLong(one -> one.message.takenAt())); // stable
+        pendingMessages.put(message.id(), pending);
+        pending.destination.pendingCount++;
+        pending.destination.acceptedCount++;
+        if (pending.messageClass.ordered() && message.key() != 0) {
+            pending.keyQueue = keyQueue(message.key());
+            pending.keyQueue.messages.add(pending);
+            pending.keyQueue.messages.sort(Comparator.comparingLong(other -> other.message.takenAt())); // stable
         }
     }
 
-    private KeyQueue queue(long key) {
+    private KeyQueue keyQueue(long key) {
         return keys.computeIfAbsent(key, unknown -> new KeyQueue());
     }
 
-    // ---- it is sent ----
+    // ---- sending ----
 
     private void dispatch() {
-        forming.clear();
-        trials.clear();
-        List<Item> ready = new ArrayList<>();
-        for (Item item : List.copyOf(items.values())) {
-            if (item.call != null && silent(item.call)) {
-                actions.add(new Cancel(item.message.id(), item.attempts - 1));
-            } else if (!item.over && item.call == null && !givenUp(item) && due(item)) {
-                // Worth that a send now would still win, by slot time; tenants within their share come first.
-                item.rank = (item.inShare ? 1000 : 0) + worth(item) / item.destination.usual();
-                ready.add(item);
+        roundCalls.clear();
+        trialBreakers.clear();
+        List<PendingMessage> ready = new ArrayList<>();
+        for (PendingMessage pending : List.copyOf(pendingMessages.values())) {
+            if (pending.call != null && isUnresponsive(pending.call)) {
+                actions.add(new Cancel(pending.message.id(), pending.attempts - 1));
+            } else if (!pending.finished && pending.call == null && !answerIfExpired(pending) && isDue(pending)) {
+                // Worth that a send now still earns per second of slot use; tenants within their quota come first.
+                pending.rank = (pending.inQuota ? 1000 : 0) + worth(pending) / pending.destination.responseSeconds();
+                ready.add(pending);
             }
         }
-        ready.sort(Comparator.comparingDouble((Item item) -> -item.rank));
+        ready.sort(Comparator.comparingDouble((PendingMessage pending) -> -pending.rank));
         sendReady(ready);
-        trialsWaiting = 0;
-        if (!trials.isEmpty()) {
-            trials.forEach(this::sendTrial);
-            sendReady(ready); // a trial call takes on what fits into it
-            trials.forEach(gate -> gate.trial = null);
+        reservedSlots = 0;
+        if (!trialBreakers.isEmpty()) {
+            trialBreakers.forEach(this::sendTrial);
+            sendReady(ready); // fills the trial calls with further messages
+            trialBreakers.forEach(breaker -> breaker.trialMessage = null);
         }
     }
 
-    private void sendReady(List<Item> ready) {
-        passes++;
-        for (Item item : ready) {
-            TargetState target = item.call == null ? choose(item) : null;
+    private void sendReady(List<PendingMessage> ready) {
+        sendPass++;
+        for (PendingMessage pending : ready) {
+            TargetState target = pending.call == null ? chooseTarget(pending) : null;
             if (target != null) {
-                send(item, target, false);
+                send(pending, target, false);
             }
         }
     }
 
-    /** Whether the item's pause is over and, in an ordered class, its turn has come. */
-    private boolean due(Item item) {
-        boolean fresh = item.queue != null && item.attempts == 0;
-        double from = fresh ? Math.max(item.due, item.queue.quietUntil) : item.due;
-        wakeBy(from > now ? from : NEVER);
-        return from <= now && (item.queue == null || item.queue.hasTurn(item));
+    /** Whether the backoff has passed and, in an ordered class, no earlier message of the key comes first. */
+    private boolean isDue(PendingMessage pending) {
+        boolean neverSent = pending.keyQueue != null && pending.attempts == 0;
+        double sendableAt = neverSent ? Math.max(pending.dueAt, pending.keyQueue.quietUntil) : pending.dueAt;
+        wakeBy(sendableAt > now ? sendableAt : NEVER);
+        return sendableAt <= now && (pending.keyQueue == null || pending.keyQueue.isNext(pending));
     }
 
-    /** A step at the aim: by the real curve one just late takes the slot of one in time; both end late. */
-    private double worth(Item item) {
-        double left = item.deadline - item.kind.deadline() + item.kind.aim() - now;
-        double share = left < item.destination.usual() ? item.kind.lateShare() : 1;
-        return item.kind.worth() * share * (item.inShare ? 1 : settings.overShareWorth());
+    /** Worth of a send now. A step at the aim keeps late messages from taking slots of those still in time. */
+    private double worth(PendingMessage pending) {
+        double secondsToAim = pending.deadline - pending.messageClass.deadline() + pending.messageClass.aim() - now;
+        double worthShare = secondsToAim < pending.destination.responseSeconds() ? pending.messageClass.lateShare() : 1;
+        return pending.messageClass.worth() * worthShare * (pending.inQuota ? 1 : settings.overShareWorth());
     }
 
-    /** The usable target with the least work out, or null; a gate that waits for a trial notes the item. */
-    private TargetState choose(Item item) {
+    /** The usable target with the least load, or null. Offers the message to open breakers that await a trial. */
+    private TargetState chooseTarget(PendingMessage pending) {
         TargetState best = null;
-        double least = NEVER;
-        boolean all = item.safe; // what keeps this one here keeps all others
-        if (item.destination.shut == passes) {
-            return null; // guards the core: with much held, nearly all would be asked in vain in each round
+        double leastLoad = NEVER;
+        boolean blocksAll = pending.safe; // only what stops a safe message stops all others too
+        if (pending.destination.blockedInPass == sendPass) {
+            return null; // saves time while many messages are pending for a blocked destination
         }
-        for (TargetState target : item.destination.targets) {
-            if (!target.info.ready() || !mayGo(item, target)) {
+        for (TargetState target : pending.destination.targets) {
+            if (!target.info.ready() || !maySendTo(pending, target)) {
                 continue;
             }
-            all &= !target.gate.open; // a trial may wait for a fitter one
-            Call call = forming.get(target);
-            // A trial call is filled, but at one that hangs its time-out would bind what joins it.
-            boolean joins = call != null && (!call.trial || item.safe || !target.gate.hung && !item.unsafe);
-            if (call != null && call.size < target.kind.batch() && !call.outlasts(item, now)) {
-                continue; // in the next round, by a call of its own
+            blocksAll &= !target.breaker.open; // another message may suit a trial better
+            Call call = roundCalls.get(target);
+            // Unsafe messages join no trial call, keyed ones none at a hanging target: its timeout would bind them.
+            boolean joins = call != null && (!call.trial || pending.safe || !target.breaker.hanging && !pending.unsafe);
+            if (call != null && call.messageCount < target.kind.batch() && !call.endsInTime(pending, now)) {
+                continue; // is sent in a later round, in another call
             }
-            if (joins && call.size < target.kind.batch()) {
+            if (joins && call.messageCount < target.kind.batch()) {
                 return target;
             }
-            // Guards against a flaky endpoint beside sound ones, more where a failure binds or is final.
-            double flaky = (item.kind.zoneOnly() || item.unsafe ? FLAKY_BOUND : FLAKY) * target.failures.share(now);
-            double load = (target.calls + 1) * target.usual() * (1 + flaky);
+            // Prefers reliable targets, more so where a failure ties the message to a zone or is final.
+            double penalty = (pending.messageClass.zoneOnly() || pending.unsafe ? BINDING_PENALTY : FAILURE_PENALTY)
+                    * target.failureShare.share(now);
+            double load = (target.callsInFlight + 1) * target.responseSeconds() * (1 + penalty);
             load *= settings.crossZoneFee() > 0 && target.info.zone() != settings.zone() ? 2 : 1;
-            // Guards an endpoint back from a drain against its full part: restarted meanwhile, it is cold.
-            double warm = (now - target.backAt) / Math.max(settings.rules().warmWithin(), ANSWER_MARGIN);
-            load = load / Math.max(settings.rules().coldFrom(), Math.min(1, warm)) + fee(item, target);
-            if (load < least && target.calls + 1 <= target.cap && admits(target, item)) {
+            // A target that was drained may have been restarted: it is cold and gets less at first.
+            double warm =
+                    (now - target.readyAgainAt) / Math.max(settings.rules().warmWithin(), ANSWER_MARGIN_SECONDS);
+            load = load / Math.max(settings.rules().coldFrom(), Math.min(1, warm)) + feeSeconds(pending, target);
+            if (load < leastLoad && target.callsInFlight + 1 <= target.maxCalls && admits(target, pending)) {
                 best = target;
-                least = load;
+                leastLoad = load;
             }
         }
-        item.destination.shut = best == null && all ? passes : item.destination.shut;
+        pending.destination.blockedInPass = best == null && blocksAll ? sendPass : pending.destination.blockedInPass;
         return best;
     }
 
-    /** A route's fee, in seconds of lateness that would cost the item as much worth. */
-    private double fee(Item item, TargetState target) {
-        MessageClass kind = item.kind;
+    /** The fee of a route as the seconds of lateness that would cost the same worth. */
+    private double feeSeconds(PendingMessage pending, TargetState target) {
+        MessageClass messageClass = pending.messageClass;
         boolean charged =
                 target.kind.apart() && target.info.zone() < settings.routeFees().size();
         double fee = charged ? settings.routeFees().get(target.info.zone()) : 0;
-        return fee * (kind.deadline() - kind.aim()) / (1 - kind.lateShare());
+        return fee * (messageClass.deadline() - messageClass.aim()) / (1 - messageClass.lateShare());
     }
 
-    /** Whether the target's gate lets a new call with the item pass now. */
-    private boolean admits(TargetState target, Item item) {
-        Gate gate = target.gate;
-        if (!gate.open && silent(gate)) {
-            trip(gate, "silence");
+    /** Whether breaker, limits and free slots allow a new call with the message to the target now. */
+    private boolean admits(TargetState target, PendingMessage pending) {
+        CircuitBreaker breaker = target.breaker;
+        if (!breaker.open && isUnresponsive(breaker)) {
+            trip(breaker, "silence");
         }
-        double stormAt = item.destination.storm.readyAt(now);
-        if (gate.open && gate.toldUntil <= now && stormAt <= now) {
-            offerTrial(gate, target, item);
+        double stormAt = pending.destination.stormLimiter.readyAt(now);
+        if (breaker.open && breaker.retryAt <= now && stormAt <= now) {
+            offerTrial(breaker, target, pending);
             return false;
         }
-        double at = Math.max(Math.max(gate.toldUntil, stormAt), Math.max(gate.pace.readyAt(now), rampReadyAt(gate)));
-        if (item.unsafe && gate.failures.share(now) > UNSAFE_SHARE && item.deadline - now > UNSAFE_HURRY) {
-            at = Math.max(at, now + FIRST_PAUSE / 4);
-        }
-        wakeBy(at > now ? at : NEVER);
-        return at <= now && callsOut + trialsWaiting < settings.allowed().calls() && !overBulkhead(item.destination);
+        double admittedAt = Math.max(
+                Math.max(breaker.retryAt, stormAt), Math.max(breaker.limiter.readyAt(now), slowStartReadyAt(breaker)));
+        if (pending.unsafe
+                && breaker.failureShare.share(now) > UNSAFE_DELAY_SHARE
+                && pending.deadline - now > UNSAFE_DELAY_END_SECONDS) {
+            admittedAt = Math.max(admittedAt, now + FIRST_BACKOFF_SECONDS / 4);
+        }
+        wakeBy(admittedAt > now ? admittedAt : NEVER);
+        return admittedAt <= now
+                && callsInFlight + reservedSlots < settings.allowed().calls()
+                && !exceedsBulkhead(pending.destination);
     }
 
-    /** No sick or slow destination may hold all slots. */
-    private boolean overBulkhead(Destination destination) {
+    /** Whether a destination uses so many slots that too few would be left for others. */
+    private boolean exceedsBulkhead(Destination destination) {
         boolean slow = false;
-        int out = 0;
+        int calls = 0;
         for (TargetState target : destination.targets) {
-            out += target.calls;
-            slow |= !target.gate.calls.isEmpty() && target.gate.calls.get(0).at < now - target.gate.silence();
-        }
-        return out >= Math.max(1, settings.allowed().calls() * (slow ? SLOW_BULKHEAD : BULKHEAD));
-    }
-
-    private void send(Item item, TargetState target, boolean trial) {
-        Gate gate = target.gate;
-        Call call = forming.get(target);
-        if (call == null || call.size >= target.kind.batch()) {
-            call = new Call(target, now, trial, idle(target));
-            forming.put(target, call);
-            gate.calls.add(call);
-            target.calls++;
-            callsOut++;
-            trialsOut += trial ? 1 : 0;
-            gate.pace.take(now);
-            gate.ramp.take(now);
-            item.destination.storm.take(now);
-        }
-        call.size++;
-        call.open++;
-        call.earliest = Math.min(call.earliest, item.deadline);
-        item.call = call;
-        item.attempts++;
-        boolean wait = item.unsafe && callsOut < settings.allowed().calls() * SCARCE;
-        double patience = Math.max(item.kind.aim(), target.longest()) * (wait ? UNSAFE_PATIENCE : 1);
-        double timeout = call.trial ? TRIAL_PATIENCE * gate.silence() : patience;
-        actions.add(new Send(item.message.id(), target.info.id(), Math.min(timeout, item.deadline - now)));
-    }
-
-    /** Seconds a new call's connection was idle, 0 for a new one; closes those likely dropped unseen. */
-    private double idle(TargetState target) {
-        double idle = now - target.lastUse;
-        boolean kept = idle <= settings.allowed().keepAlive();
-        boolean dropped = now < reapedUntil && (target.calls > 0 || idle > reapedAfter);
-        if (kept && dropped) {
+            calls += target.callsInFlight;
+            slow |= !target.breaker.calls.isEmpty()
+                    && target.breaker.calls.get(0).sentAt < now - target.breaker.unresponsiveSeconds();
+        }
+        return calls >= Math.max(1, settings.allowed().calls() * (slow ? SLOW_BULKHEAD_SHARE : BULKHEAD_SHARE));
+    }
+
+    /** Sends the message in the open call of this round to the target, or in a new one. */
+    private void send(PendingMessage pending, TargetState target, boolean trial) {
+        CircuitBreaker breaker = target.breaker;
+        Call call = roundCalls.get(target);
+        if (call == null || call.messageCount >= target.kind.batch()) {
+            call = new Call(target, now, trial, prepareConnection(target));
+            roundCalls.put(target, call);
+            breaker.calls.add(call);
+            target.callsInFlight++;
+            callsInFlight++;
+            trialsInFlight += trial ? 1 : 0;
+            breaker.limiter.take(now);
+            breaker.slowStart.take(now);
+            pending.destination.stormLimiter.take(now);
+        }
+        call.messageCount++;
+        call.unfinishedCount++;
+        call.earliestDeadline = Math.min(call.earliestDeadline, pending.deadline);
+        pending.call = call;
+        pending.attempts++;
+        boolean waitsLonger =
+                pending.unsafe && callsInFlight < settings.allowed().calls() * SCARCE_SLOTS_SHARE;
+        double usualTimeout = Math.max(pending.messageClass.aim(), target.maxResponseSeconds())
+                * (waitsLonger ? UNSAFE_TIMEOUT_FACTOR : 1);
+        double timeout = call.trial ? TRIAL_TIMEOUT_FACTOR * breaker.unresponsiveSeconds() : usualTimeout;
+        actions.add(new Send(pending.message.id(), target.info.id(), Math.min(timeout, pending.deadline - now)));
+    }
+
+    /** Closes idle connections that were probably dropped; returns how long the one to use was idle, 0 if new. */
+    private double prepareConnection(TargetState target) {
+        double idleSeconds = now - target.idleSince;
+        boolean keptAlive = idleSeconds <= settings.allowed().keepAlive();
+        boolean maybeDropped = now < closeIdleUntil && (target.callsInFlight > 0 || idleSeconds > idleDropAfterSeconds);
+        if (keptAlive && maybeDropped) {
             actions.add(new CloseIdle(target.info.id()));
         }
-        return !kept || dropped || target.calls > 0 ? 0 : idle;
+        return !keptAlive || maybeDropped || target.callsInFlight > 0 ? 0 : idleSeconds;
     }
 
-    /** Closes what is idle where a connection found no place lately, at its kind at least, and in a fleet. */
-    private void release() {
-        for (TargetState target : quiet) {
-            boolean full = now - tablesFull.getOrDefault(target.info.kind(), -NEVER) < IDLE_MEMORY;
-            if (target.calls == 0 && (full || settings.senders() > FLEET)) {
+    /**
+     * Closes idle connections where a connection table was full recently. A large fleet always does, as its senders
+     * would fill a table and each would have to be refused first.
+     */
+    private void closeIdleConnections() {
+        for (TargetState target : idleCandidates) {
+            boolean tableFull = now - tableFullAt.getOrDefault(target.info.kind(), -NEVER) < IDLE_CLOSE_SECONDS;
+            if (target.callsInFlight == 0 && (tableFull || settings.senders() > LARGE_FLEET_SENDERS)) {
                 actions.add(new CloseIdle(target.info.id()));
-                target.lastUse = -NEVER;
+                target.idleSince = -NEVER;
             }
         }
-        quiet.clear();
+        idleCandidates.clear();
     }
 
-    // ---- its attempt ends ----
+    // ---- ends of attempts ----
 
-    private void end(Ended e) {
-        TargetState from = targets.get(e.target());
-        if (from != null && e.told() > 0) { // every answer counts, late or not, each message's of a call
-            from.gate.toldUntil = Math.max(from.gate.toldUntil, now + e.told() + TOLD_MARGIN);
+    private void attemptEnded(Ended e) {
+        TargetState target = targets.get(e.target());
+        if (target != null && e.told() > 0) { // also in late responses and for each message of a call
+            target.breaker.retryAt = Math.max(target.breaker.retryAt, now + e.told() + RETRY_AFTER_MARGIN_SECONDS);
         }
-        Item item = items.get(e.message());
-        if (item == null || item.call == null || e.attempt() != item.attempts - 1) {
+        PendingMessage pending = pendingMessages.get(e.message());
+        if (pending == null || pending.call == null || e.attempt() != pending.attempts - 1) {
             return;
         }
-        Call call = item.call;
-        item.call = null;
-        if (!call.judged) {
-            call.judged = true;
-            judge(call, e);
-        }
-        boolean kept = e.outcome() == Outcome.DELIVERED || e.outcome() == Outcome.FULL;
-        call.target.lastUse = kept ? now : -NEVER; // the connection is idle now, or was lost
-        quiet.add(call.target);
-        if (--call.open == 0) {
-            call.target.gate.calls.remove(call);
-            call.target.calls--;
-            callsOut--;
-            trialsOut -= call.trial ? 1 : 0;
-        }
-        if (item.queue != null && e.outcome().mayStillRun()) {
-            item.queue.quietUntil = now + settings.rules().keyQuiet();
-        }
-        if (!e.outcome().neverRan() && !item.mayHaveRun) {
-            item.mayHaveRun = true;
-            item.mayHaveRunSince = call.at;
-            item.mayHaveRunZone = call.target.info.zone();
-        }
-        if (e.over() || item.over) {
-            finish(item);
+        Call call = pending.call;
+        pending.call = null;
+        if (!call.outcomeRecorded) {
+            call.outcomeRecorded = true;
+            recordOutcome(call, e);
+        }
+        boolean reusable = e.outcome() == Outcome.DELIVERED || e.outcome() == Outcome.FULL;
+        call.target.idleSince = reusable ? now : -NEVER; // idle now, or lost
+        idleCandidates.add(call.target);
+        if (--call.unfinishedCount == 0) {
+            call.target.breaker.calls.remove(call);
+            call.target.callsInFlight--;
+            callsInFlight--;
+            trialsInFlight -= call.trial ? 1 : 0;
+        }
+        if (pending.keyQueue != null && e.outcome().mayStillRun()) {
+            pending.keyQueue.quietUntil = now + settings.rules().keyQuiet();
+        }
+        if (!e.outcome().neverRan() && !pending.mayHaveRun) {
+            pending.mayHaveRun = true;
+            pending.mayHaveRunSince = call.sentAt;
+            pending.mayHaveRunZone = call.target.info.zone();
+        }
+        if (e.over() || pending.finished) {
+            finish(pending);
             return;
         }
-        double spread = TOLD_JITTER * crowd * Math.pow(Math.min(2, crowd), item.attempts - 1);
-        boolean limit = e.outcome() == Outcome.FULL && !connectionFault(call, e); // which others spend unseen
-        double first = FIRST_PAUSE * (limit ? crowd : 1);
-        double told = e.told() * (1 + spread * (e.told() > 0 ? random.nextDouble() : 0));
-        item.due = now + (told > 0 ? told : pause(item.attempts, first, PAUSE_CAP));
-        givenUp(item);
+        double jitter = RETRY_AFTER_JITTER * spreadFactor * Math.pow(Math.min(2, spreadFactor), pending.attempts - 1);
+        boolean limitRefusal = e.outcome() == Outcome.FULL && !isConnectionFault(call, e); // others use it too
+        double firstBackoff = FIRST_BACKOFF_SECONDS * (limitRefusal ? spreadFactor : 1);
+        double wait = e.told() * (1 + jitter * (e.told() > 0 ? random.nextDouble() : 0));
+        pending.dueAt = now + (wait > 0 ? wait : backoff(pending.attempts, firstBackoff, MAX_BACKOFF_SECONDS));
+        answerIfExpired(pending);
     }
 
-    /** Half of a doubling, capped base and a random share of the other half. */
-    private double pause(int failures, double first, double cap) {
-        double base = Math.min(first * Math.pow(2, Math.max(0, failures - 1)), cap);
+    /** A random part, from half to all, of a base that doubles with each failure up to the maximum. */
+    private double backoff(int failures, double firstBackoff, double maxBackoff) {
+        double base = Math.min(firstBackoff * Math.pow(2, Math.max(0, failures - 1)), maxBackoff);
         return base / 2 + random.nextDouble() * base / 2;
     }
 
-    // ---- what may have run: the one place that knows what it forbids ----
+    // ---- rules for messages that may have run: decided only here ----
 
-    private boolean mayGo(Item item, TargetState target) {
-        return !item.mayHaveRun || !item.kind.zoneOnly() || target.info.zone() == item.mayHaveRunZone;
+    private boolean maySendTo(PendingMessage pending, TargetState target) {
+        return !pending.mayHaveRun || !pending.messageClass.zoneOnly() || target.info.zone() == pending.mayHaveRunZone;
     }
 
-    private boolean mayRefuse(Item item) {
-        return !item.mayHaveRun || item.safe || !item.unsafe && !item.kind.zoneOnly();
+    private boolean mayRefuse(PendingMessage pending) {
+        return !pending.mayHaveRun || pending.safe || !pending.unsafe && !pending.messageClass.zoneOnly();
     }
 
-    /** The last moment at which the item may be sent. */
-    private double lastSend(Item item) {
-        boolean spent = item.attempts >= settings.allowed().attempts() || item.mayHaveRun && item.unsafe;
-        double last = spent ? -NEVER : item.deadline - ANSWER_MARGIN - item.destination.usual() / 2;
-        double window = item.mayHaveRunSince + item.kind.keyWindow() - ANSWER_MARGIN;
-        return !item.mayHaveRun || item.safe ? last : Math.min(last, window);
+    /** The latest time at which the message may be sent. */
+    private double lastSendAt(PendingMessage pending) {
+        boolean exhausted = pending.attempts >= settings.allowed().attempts() || pending.mayHaveRun && pending.unsafe;
+        double last = exhausted
+                ? -NEVER
+                : pending.deadline - ANSWER_MARGIN_SECONDS - pending.destination.responseSeconds() / 2;
+        double windowEnd = pending.mayHaveRunSince + pending.messageClass.keyWindow() - ANSWER_MARGIN_SECONDS;
+        return !pending.mayHaveRun || pending.safe ? last : Math.min(last, windowEnd);
     }
 
-    // ---- it is given up ----
+    // ---- undelivered messages ----
 
-    /** Answers at once an item that cannot be sent any more before its time; true if so. */
-    private boolean givenUp(Item item) {
-        double last = lastSend(item);
-        if (Math.max(now, Math.max(item.due, item.destination.toldUntil())) <= last) {
-            wakeBy(last + ANSWER_MARGIN / 2);
+    /** Answers the message and returns true if no further attempt can be made in time. */
+    private boolean answerIfExpired(PendingMessage pending) {
+        double last = lastSendAt(pending);
+        if (Math.max(now, Math.max(pending.dueAt, pending.destination.retryAt())) <= last) {
+            wakeBy(last + ANSWER_MARGIN_SECONDS / 2);
             return false;
         }
-        answer(item);
+        answerUndelivered(pending);
         return true;
     }
 
-    private void answer(Item item) {
-        if (mayRefuse(item)) {
-            double after = Math.max(Math.max(FIRST_PAUSE, room(item)), item.destination.toldUntil() - now);
-            actions.add(new Refuse(item.message.id(), settings.allowed().retryAfter(after)));
+    private void answerUndelivered(PendingMessage pending) {
+        if (mayRefuse(pending)) {
+            double retryAfter = Math.max(
+                    Math.max(FIRST_BACKOFF_SECONDS, secondsUntilRoom(pending)), pending.destination.retryAt() - now);
+            actions.add(new Refuse(pending.message.id(), settings.allowed().retryAfter(retryAfter)));
         } else {
-            actions.add(new Fail(item.message.id()));
+            actions.add(new Fail(pending.message.id()));
         }
-        finish(item);
-        if (item.queue != null && item.message.acknowledged()) {
-            item.queue.unacknowledged.add(item.message.id());
+        finish(pending);
+        if (pending.keyQueue != null && pending.message.acknowledged()) {
+            pending.keyQueue.unackedAnswers.add(pending.message.id());
         }
     }
 
-    private void finish(Item item) {
-        item.over = true;
-        if (item.call != null) {
+    private void finish(PendingMessage pending) {
+        pending.finished = true;
+        if (pending.call != null) {
             return;
         }
-        item.destination.held -= items.remove(item.message.id()) == null ? 0 : 1;
-        if (item.queue != null) {
-            item.queue.items.remove(item);
+        pending.destination.pendingCount -= pendingMessages.remove(pending.message.id()) == null ? 0 : 1;
+        if (pending.keyQueue != null) {
+            pending.keyQueue.messages.remove(pending);
         }
     }
 
-    /** Sheds the least worth by room and time, where the most is held, before the held room runs out. */
+    /** Refuses messages of the least worth per pending message of their destination, while too many are pending. */
     private void shed() {
-        for (Destination destination : inStorm) {
-            while (destination.held > destination.hold && shedOne(destination)) {
-                continue; // Guards sound destinations: no storm may fill the held room
+        for (Destination destination : advisedDestinations) {
+            while (destination.pendingCount > destination.maxPending && shedOne(destination)) {
+                continue; // keeps a storm from using up the pending messages of all destinations
             }
         }
-        while (items.size() > settings.allowed().held() * ROOM && shedOne(null)) {
+        while (pendingMessages.size() > settings.allowed().held() * MAX_PENDING_SHARE && shedOne(null)) {
             continue;
         }
     }
 
-    /** Answers the item of least worth, of one destination or of all; false if none may be refused. */
-    private boolean shedOne(Destination only) {
-        Item least = items.values().stream()
-                .filter(item -> item.call == null
-                        && !item.over
-                        && mayRefuse(item)
-                        && (only == null || item.destination == only))
-                .min(Comparator.comparingDouble(item -> worth(item) / item.destination.held))
+    /** Refuses the message of least worth, of one destination or (null) of all; false if none may be refused. */
+    private boolean shedOne(Destination onlyDestination) {
+        PendingMessage leastWorth = pendingMessages.values().stream()
+                .filter(pending -> pending.call == null
+                        && !pending.finished
+                        && mayRefuse(pending)
+                        && (onlyDestination == null || pending.destination == onlyDestination))
+                .min(Comparator.comparingDouble(pending -> worth(pending) / pending.destination.pendingCount))
                 .orElse(null);
-        if (least != null) {
-            answer(least);
+        if (leastWorth != null) {
+            answerUndelivered(leastWorth);
         }
-        return least != null;
+        return leastWorth != null;
     }
 
-    /** Seconds until there will be room for the item; each refused in a storm has a place of its own. */
-    private double room(Item item) {
-        Destination destination = item.destination;
+    /** Seconds until the client may resubmit; messages refused in a storm get different times. */
+    private double secondsUntilRoom(PendingMessage pending) {
+        Destination destination = pending.destination;
         if (destination.roomAt == 0) {
             return 0;
         }
-        destination.roomAt = Math.max(destination.roomAt, now) + (0.5 + random.nextDouble()) / destination.storm.rate;
-        double most = settings.allowed().maxRetryAfter(); // beyond it all would return together
-        double in = Math.min(destination.roomAt - now, most * (0.5 + random.nextDouble() / 2));
-        return Math.min(in, Math.max(0, item.deadline - now));
+        destination.roomAt =
+                Math.max(destination.roomAt, now) + (0.5 + random.nextDouble()) / destination.stormLimiter.rate;
+        double maxRetryAfter = settings.allowed().maxRetryAfter(); // cut off there, many would return at once
+        double seconds = Math.min(destination.roomAt - now, maxRetryAfter * (0.5 + random.nextDouble() / 2));
+        return Math.min(seconds, Math.max(0, pending.deadline - now));
     }
 
-    // ---- the destination is judged ----
+    // ---- health of targets and destinations ----
 
-    private void judge(Call call, Ended e) {
+    /** Updates the state of target and breaker after a call. */
+    private void recordOutcome(Call call, Ended e) {
         TargetState target = call.target;
-        Gate gate = target.gate;
-        boolean lost = e.outcome() == Outcome.RESET || e.outcome() == Outcome.TIMED_OUT;
-        if (call.idle > 0 && lost && call.at > refutedAt) {
-            reapedUntil = now + IDLE_MEMORY;
-            reapedAfter = Math.min(reapedAfter, call.idle / 2);
-            reapedAt = target;
-        } else if (call.idle == 0 && target == reapedAt && e.outcome() != Outcome.DELIVERED) {
-            reapedUntil = now; // a new connection failed there as well: the destination's trouble
-            reapedAfter = NEVER;
-            refutedAt = now;
-        }
-        if (noPlace(call, e)) {
-            tablesFull.put(target.info.kind(), now);
-        }
-        if (connectionFault(call, e)) {
-            target.failures.note(now, e.outcome() == Outcome.FULL ? 1 : target.failures.share(now));
-            gate.trialOut &= !call.trial;
+        CircuitBreaker breaker = target.breaker;
+        boolean connectionLost = e.outcome() == Outcome.RESET || e.outcome() == Outcome.TIMED_OUT;
+        if (call.idleSeconds > 0 && connectionLost && call.sentAt > idleDropRefutedAt) {
+            closeIdleUntil = now + IDLE_CLOSE_SECONDS;
+            idleDropAfterSeconds = Math.min(idleDropAfterSeconds, call.idleSeconds / 2);
+            idleDropTarget = target;
+        } else if (call.idleSeconds == 0 && target == idleDropTarget && e.outcome() != Outcome.DELIVERED) {
+            closeIdleUntil = now; // a new connection failed too, so the destination is at fault
+            idleDropAfterSeconds = NEVER;
+            idleDropRefutedAt = now;
+        }
+        if (refusedByFullTable(call, e)) {
+            tableFullAt.put(target.info.kind(), now);
+        }
+        if (isConnectionFault(call, e)) {
+            target.failureShare.record(now, e.outcome() == Outcome.FULL ? 1 : target.failureShare.share(now));
+            breaker.trialInFlight &= !call.trial;
             return;
         }
-        target.failures.note(now, e.outcome() == Outcome.DELIVERED || e.outcome() == Outcome.FULL ? 0 : 1);
+        target.failureShare.record(now, e.outcome() == Outcome.DELIVERED || e.outcome() == Outcome.FULL ? 0 : 1);
         if (e.outcome() == Outcome.DELIVERED) {
-            gate.rampCut = Math.min(1, gate.rampCut * RAMP_CLIMB);
-        } else if (call.at > gate.rampCutAt && e.outcome() != Outcome.CANCELLED) {
-            // Guards against overrunning a cold destination: by calls of this return, once a round trip.
-            gate.rampCut = Math.max(LEAST_RAMP, gate.rampCut * RAMP_CUT);
-            gate.rampCutAt = now;
+            breaker.slowStartShare = Math.min(1, breaker.slowStartShare * SLOW_START_GAIN_FACTOR);
+        } else if (call.sentAt > breaker.slowStartCutAt && e.outcome() != Outcome.CANCELLED) {
+            // Protects a cold destination; only calls since the last cut count, so that one round trip cuts once.
+            breaker.slowStartShare = Math.max(MIN_SLOW_START_SHARE, breaker.slowStartShare * SLOW_START_CUT_FACTOR);
+            breaker.slowStartCutAt = now;
         }
         if (e.report() != null) {
-            gate.reported = true;
-            reporting.add(target.info.kind());
-            gate.known = e.report().limit();
-            // Guards against a pace that lags behind a limit that is back: others leave room for this share.
-            if (call.at > gate.pace.cutAt + REPORT_AGE && e.report().left() > LEAST_LEFT) {
-                gate.pace.raise(now, gate.known / settings.senders());
+            breaker.limitReported = true;
+            reportingKinds.add(target.info.kind());
+            breaker.knownLimit = e.report().limit();
+            // If others leave much of a restored limit unused, this sender takes its whole share at once.
+            if (call.sentAt > breaker.limiter.cutAt + MAX_REPORT_AGE_SECONDS
+                    && e.report().left() > LIMIT_LEFT_SHARE) {
+                breaker.limiter.raiseTo(now, breaker.knownLimit / settings.senders());
             }
         }
         switch (e.outcome()) {
             case DELIVERED -> {
-                target.answered(e.elapsed());
-                target.lastOk = now;
-                gate.lastOk = now;
-                target.lastOkSent = Math.max(target.lastOkSent, call.at);
-                target.cap += target.calls >= target.cap - 1 ? 0.1 : 0;
-                succeeded(gate, call.trial);
+                target.recordResponseTime(e.elapsed());
+                target.lastSuccessAt = now;
+                breaker.lastSuccessAt = now;
+                target.lastSuccessSentAt = Math.max(target.lastSuccessSentAt, call.sentAt);
+                target.maxCalls += target.callsInFlight >= target.maxCalls - 1 ? 0.1 : 0;
+                recordSuccess(breaker, call.trial);
             }
-            case FULL -> full(gate, call, e.told());
+            case FULL -> recordRefusal(breaker, call, e.told());
             case NOT_CONNECTED -> {
-                // Guards against taking a full connection table for an outage: other calls still succeed.
-                boolean succeeds = target.lastOk > now - settings.allowed().connectTimeout();
-                if (!gate.open && target.calls > 1 && succeeds) {
-                    tablesFull.put(target.info.kind(), now);
-                    target.cap = Math.max(1, target.calls - 1);
+                // While other calls succeed, a failed connect means a full connection table and no outage.
+                boolean recentlySucceeded =
+                        target.lastSuccessAt > now - settings.allowed().connectTimeout();
+                if (!breaker.open && target.callsInFlight > 1 && recentlySucceeded) {
+                    tableFullAt.put(target.info.kind(), now);
+                    target.maxCalls = Math.max(1, target.callsInFlight - 1);
                 } else {
-                    failed(gate, call.trial, "failed connects");
+                    recordFailure(breaker, call.trial, "failed connects");
                 }
             }
-            case ERROR, RESET -> failed(gate, call.trial, "errors");
-            case TIMED_OUT -> failed(gate, call.trial, "time-outs");
-            default -> gate.trialOut &= !call.trial;
+            case ERROR, RESET -> recordFailure(breaker, call.trial, "errors");
+            case TIMED_OUT -> recordFailure(breaker, call.trial, "time-outs");
+            default -> breaker.trialInFlight &= !call.trial;
         }
     }
 
-    /** The connection's fault, or a full table's while calls succeed: the next tells of the destination. */
-    private boolean connectionFault(Call call, Ended e) {
-        return call.idle > 0 && e.outcome() == Outcome.RESET
-                || noPlace(call, e) && call.target.gate.lastOk > now - SHUT_AFTER;
+    /** Whether a connection dropped while idle, or a full connection table, explains the failure. */
+    private boolean isConnectionFault(Call call, Ended e) {
+        return call.idleSeconds > 0 && e.outcome() == Outcome.RESET
+                || refusedByFullTable(call, e) && call.target.breaker.lastSuccessAt > now - OUTAGE_AFTER_SECONDS;
     }
 
-    /** Whether no connection had room: all other answers of the kind, refusals too, bring reports. */
-    private boolean noPlace(Call call, Ended e) {
-        return e.barelyRefused() && reporting.contains(call.target.info.kind());
+    /** Whether the connection table was full: all other responses of such a kind, refusals too, carry a report. */
+    private boolean refusedByFullTable(Call call, Ended e) {
+        return e.barelyRefused() && reportingKinds.contains(call.target.info.kind());
     }
 
-    private void probed(TargetState target, boolean ok) {
-        Gate gate = target.gate;
-        quiet.add(target);
-        if (gate.trialOut && ok) {
-            succeeded(gate, true);
-        } else if (gate.trialOut) {
-            failed(gate, true, "probe");
+    private void probeEnded(TargetState target, boolean ok) {
+        CircuitBreaker breaker = target.breaker;
+        idleCandidates.add(target);
+        if (breaker.trialInFlight && ok) {
+            recordSuccess(breaker, true);
+        } else if (breaker.trialInFlight) {
+            recordFailure(breaker, true, "probe");
         }
     }
 
-    private void succeeded(Gate gate, boolean trial) {
-        gate.failures.note(now, 0);
-        gate.successes.add(now);
-        gate.best = Math.max(gate.best, gate.successes.get(now));
-        // An outage may be too short to open it; where a return bears much that is as likely a full table.
-        if (gate.open ? trial || gate.hung : row(gate)) {
-            startRamp(gate);
-        }
-        gate.badSince = NEVER;
-        gate.bad = 0;
-        gate.pace.succeeded(now);
+    private void recordSuccess(CircuitBreaker breaker, boolean trial) {
+        breaker.failureShare.record(now, 0);
+        breaker.successRate.add(now);
+        breaker.bestSuccessRate = Math.max(breaker.bestSuccessRate, breaker.successRate.perSecond(now));
+        // A short outage may not open the breaker. Unless recovery is fragile, it may as well be a full table.
+        if (breaker.open ? trial || breaker.hanging : failedRepeatedly(breaker)) {
+            beginSlowStart(breaker);
+        }
+        breaker.failingSince = NEVER;
+        breaker.failureCount = 0;
+        breaker.limiter.recordSuccess(now);
     }
 
-    private void failed(Gate gate, boolean trial, String reason) {
-        noteBad(gate);
-        gate.failures.note(now, 1);
-        // Guards a dead route beside sound ones, which many senders would each find anew: one opens it.
-        if (gate.open ? trial : gate.failures.share(now) > TRIP_SHARE || crowd > 1 && row(gate) || spare(gate)) {
-            trip(gate, reason);
+    private void recordFailure(CircuitBreaker breaker, boolean trial, String reason) {
+        countFailure(breaker);
+        breaker.failureShare.record(now, 1);
+        // With another route usable, one failure opens the breaker: many senders would each find it dead anew.
+        if (breaker.open
+                ? trial
+                : breaker.failureShare.share(now) > TRIP_FAILURE_SHARE
+                        || spreadFactor > 1 && failedRepeatedly(breaker)
+                        || hasOtherRoute(breaker)) {
+            trip(breaker, reason);
         }
     }
 
-    /** Guards fail-back where senders see too few calls for a share: some in a row count, over a while. */
-    private boolean row(Gate gate) {
-        return tight && gate.bad > 1 && gate.badSince < now - SHUT_AFTER / 2;
+    /** Whether several calls failed in a row over some time, for senders with too few calls for a failure share. */
+    private boolean failedRepeatedly(CircuitBreaker breaker) {
+        return fragileRecovery && breaker.failureCount > 1 && breaker.failingSince < now - OUTAGE_AFTER_SECONDS / 2;
     }
 
-    /** Whether a sender that sees too little of a route to judge it by a share has another way. */
-    private boolean spare(Gate gate) {
-        return demand(gate) * SHUT_AFTER < 1
-                && gate.destination.targets.stream()
-                        .anyMatch(other -> other.info.ready() && other.gate != gate && !other.gate.open);
+    /** Whether this sender has too few calls for a failure share, and another route to the destination. */
+    private boolean hasOtherRoute(CircuitBreaker breaker) {
+        return demand(breaker) * OUTAGE_AFTER_SECONDS < 1
+                && breaker.destination.targets.stream()
+                        .anyMatch(other -> other.info.ready() && other.breaker != breaker && !other.breaker.open);
     }
 
-    private void full(Gate gate, Call call, double wait) {
-        noteBad(gate);
-        // A cold destination refuses for want of capacity: slow start answers that, not the pace.
-        if (call.at >= gate.pace.cutAt && gate.rampFrom == NEVER && !gate.open && wait <= SHUT_AFTER) {
-            // Guards against jams: a told wait proves a limit, which rare senders would spend on refusals.
-            // Guards restarts: where none is reported, the few successes so far measure nothing.
-            double share = (gate.known > 0 ? gate.known : gate.listed) / settings.senders();
-            double part = Math.max(demand(gate.destination), Math.max(gate.known, LEAST_CAPACITY) / settings.senders());
-            double least = wait > 0 && crowd > 1 ? Math.min(LEAST_PACE, part) : LEAST_PACE;
-            gate.pace.cut(now, Math.max(gate.successes.get(now), share), least);
-            gate.pace.tokens = gate.pace.rate < LEAST_PACE ? random.nextDouble() : gate.pace.tokens;
-        }
-        if (gate.open ? call.trial : wait > SHUT_AFTER || call.at > gate.badSince && now - gate.badSince > SHUT_AFTER) {
-            trip(gate, "shut");
+    private void recordRefusal(CircuitBreaker breaker, Call call, double retryAfter) {
+        countFailure(breaker);
+        // Refusals during slow start come from a cold destination and reveal no limit.
+        if (call.sentAt >= breaker.limiter.cutAt
+                && breaker.slowStartFrom == NEVER
+                && !breaker.open
+                && retryAfter <= OUTAGE_AFTER_SECONDS) {
+            // A retry-after delay proves a limit; many senders at MIN_RATE would use it up with refused calls.
+            // Without a reported limit, the listed rate counts: successes are too few to go by after a start.
+            double limitShare = (breaker.knownLimit > 0 ? breaker.knownLimit : breaker.listedRate) / settings.senders();
+            double ownRate = Math.max(
+                    demand(breaker.destination), Math.max(breaker.knownLimit, MIN_CAPACITY) / settings.senders());
+            double minRate = retryAfter > 0 && spreadFactor > 1 ? Math.min(MIN_RATE, ownRate) : MIN_RATE;
+            breaker.limiter.cut(now, Math.max(breaker.successRate.perSecond(now), limitShare), minRate);
+            breaker.limiter.tokens = breaker.limiter.rate < MIN_RATE ? random.nextDouble() : breaker.limiter.tokens;
+        }
+        if (breaker.open
+                ? call.trial
+                : retryAfter > OUTAGE_AFTER_SECONDS
+                        || call.sentAt > breaker.failingSince && now - breaker.failingSince > OUTAGE_AFTER_SECONDS) {
+            trip(breaker, "shut");
         }
     }
 
-    /** Messages a second that this sender has taken for the destination. */
+    /** Messages per second that this sender has accepted for the destination. */
     private double demand(Destination destination) {
-        return destination.taken / (now - born + EventRate.SPAN);
+        return destination.acceptedCount / (now - startedAt + EventRate.WINDOW_SECONDS);
     }
 
-    /** This gate's part of them. */
-    private double demand(Gate gate) {
-        return demand(gate.destination) * gate.targets.size() / gate.destination.targets.size();
+    /** The part of that demand which falls to the targets of this breaker. */
+    private double demand(CircuitBreaker breaker) {
+        return demand(breaker.destination) * breaker.targets.size() / breaker.destination.targets.size();
     }
 
-    private void noteBad(Gate gate) {
-        gate.badSince = gate.bad++ == 0 ? now : gate.badSince;
+    private void countFailure(CircuitBreaker breaker) {
+        breaker.failingSince = breaker.failureCount++ == 0 ? now : breaker.failingSince;
     }
 
-    /** Guards slots, when all are out, against connections gone silent: later calls there are answered. */
-    private boolean silent(Call call) {
-        boolean passed = call.target.lastOkSent - call.at > LEAST_SILENCE / 2;
-        boolean overdue = now - call.at > Math.max(LEAST_SILENCE, call.target.longest());
-        return passed
+    /** Whether an overdue call, with all slots in use, is on a dead connection: later calls to the target succeeded. */
+    private boolean isUnresponsive(Call call) {
+        boolean laterAnswered = call.target.lastSuccessSentAt - call.sentAt > MIN_UNRESPONSIVE_SECONDS / 2;
+        boolean overdue = now - call.sentAt > Math.max(MIN_UNRESPONSIVE_SECONDS, call.target.maxResponseSeconds());
+        return laterAnswered
                 && overdue
                 && settings.allowed().cancel()
-                && callsOut >= settings.allowed().calls();
+                && callsInFlight >= settings.allowed().calls();
     }
 
-    private boolean silent(Gate gate) {
+    /** Whether calls sent after the last success are overdue: two, or one if calls failed before. */
+    private boolean isUnresponsive(CircuitBreaker breaker) {
         int overdue = 0;
-        for (Call call : gate.calls) {
-            overdue += call.at > gate.lastOk && call.at < now - gate.silence() ? 1 : 0;
-        }
-        return overdue > 1 || overdue == 1 && gate.bad > 0;
-    }
-
-    // ---- the breaker opens, tries and closes ----
-
-    private void trip(Gate gate, String reason) {
-        if (!gate.open) {
-            gate.trips = 0;
-            gate.badSince = Math.min(gate.badSince, now);
-            gate.bad = Math.max(1, gate.bad);
-            actions.add(new Log("open " + gate.name + " reason=" + reason));
-        }
-        gate.open = true;
-        freeSlots(gate, reason.equals("silence"));
-        gate.hung = reason.equals("silence") || reason.equals("time-outs");
-        gate.trialOut = false;
-        gate.trips++;
-        gate.rampFrom = NEVER;
-        // Guards limits and cold servers against trials in turn; where none gets through, against none.
-        double turns = reason.equals("failed connects") && gate.toldUntil <= now ? 1 : crowd;
-        double cap = gate.toldUntil > now ? REFUSED_COOLDOWN_CAP : COOLDOWN_CAP;
-        double cooldown = turns * Math.min(FIRST_COOLDOWN * Math.pow(2, gate.trips - 1), cap);
-        gate.openUntil = Math.max(now, gate.toldUntil) + pause(1, Math.max(bearable(gate), cooldown), NEVER);
-    }
-
-    /** Seconds between one sender's trials: those of all that know are no more than a cold one bears. */
-    private double bearable(Gate gate) {
-        double part = Math.max(demand(gate), gate.listed / settings.senders());
-        double known = Math.min(Math.max(now - gate.badSince, spare(gate) ? SHUT_AFTER : 0), 1 / part);
+        for (Call call : breaker.calls) {
+            overdue += call.sentAt > breaker.lastSuccessAt && call.sentAt < now - breaker.unresponsiveSeconds() ? 1 : 0;
+        }
+        return overdue > 1 || overdue == 1 && breaker.failureCount > 0;
+    }
+
+    // ---- circuit breaker: opening, trial calls, slow start ----
+
+    /** Opens the breaker, or keeps it open after a failed trial, and sets the time of the next trial. */
+    private void trip(CircuitBreaker breaker, String reason) {
+        if (!breaker.open) {
+            breaker.tripCount = 0;
+            breaker.failingSince = Math.min(breaker.failingSince, now);
+            breaker.failureCount = Math.max(1, breaker.failureCount);
+            actions.add(new Log("open " + breaker.name + " reason=" + reason));
+        }
+        breaker.open = true;
+        freeSlots(breaker, reason.equals("silence"));
+        breaker.hanging = reason.equals("silence") || reason.equals("time-outs");
+        breaker.trialInFlight = false;
+        breaker.tripCount++;
+        breaker.slowStartFrom = NEVER;
+        // Trials of many senders could use up a limit or overload a cold server; failed connects cannot.
+        double spread = reason.equals("failed connects") && breaker.retryAt <= now ? 1 : spreadFactor;
+        double maxCooldown = breaker.retryAt > now ? MAX_REFUSED_COOLDOWN_SECONDS : MAX_COOLDOWN_SECONDS;
+        double cooldown = spread * Math.min(FIRST_COOLDOWN_SECONDS * Math.pow(2, breaker.tripCount - 1), maxCooldown);
+        breaker.openUntil =
+                Math.max(now, breaker.retryAt) + backoff(1, Math.max(trialIntervalSeconds(breaker), cooldown), NEVER);
+    }
+
+    /** Interval at which trials of all senders that know of the outage do not overload a cold destination. */
+    private double trialIntervalSeconds(CircuitBreaker breaker) {
+        double ownDemand = Math.max(demand(breaker), breaker.listedRate / settings.senders());
+        // A sender takes up to 1 / ownDemand seconds to notice an outage, so few know of a new one.
+        double awareSeconds = Math.min(
+                Math.max(now - breaker.failingSince, hasOtherRoute(breaker) ? OUTAGE_AFTER_SECONDS : 0), 1 / ownDemand);
         Rules rules = settings.rules();
-        double bears = rules.tipMultiple() * rules.coldFrom();
-        double n = bears * Math.max(part * settings.senders(), LEAST_CAPACITY) * rules.tipAfter();
-        bears *= crowd > 1 ? TRIAL_PART * (1 + 2 / Math.sqrt(n) + 2 / n) : 1;
-        return known / bears * (spare(gate) ? 2 : 1);
+        double coldCapacity = rules.tipMultiple() * rules.coldFrom();
+        double burstCalls = coldCapacity * Math.max(ownDemand * settings.senders(), MIN_CAPACITY) * rules.tipAfter();
+        // Allowing for chance, a cold destination handles n + 2 sqrt(n) + 2 calls; trials get a share of these.
+        coldCapacity *= spreadFactor > 1 ? TRIAL_CAPACITY_SHARE * (1 + 2 / Math.sqrt(burstCalls) + 2 / burstCalls) : 1;
+        return awareSeconds / coldCapacity * (hasOtherRoute(breaker) ? 2 : 1);
     }
 
-    /** Guards slots against many destinations hanging at once: calls off what may be repeated at one. */
-    private void freeSlots(Gate gate, boolean silence) {
-        boolean scarce = callsOut >= settings.allowed().calls() * SCARCE;
-        if (silence && settings.allowed().cancel() && scarce) {
-            items.values().stream()
-                    .filter(item -> item.call != null && item.call.target.gate == gate && !item.unsafe)
-                    .forEach(item -> actions.add(new Cancel(item.message.id(), item.attempts - 1)));
+    /** Cancels repeatable calls to an unresponsive destination while slots are scarce. */
+    private void freeSlots(CircuitBreaker breaker, boolean unresponsive) {
+        boolean scarce = callsInFlight >= settings.allowed().calls() * SCARCE_SLOTS_SHARE;
+        if (unresponsive && settings.allowed().cancel() && scarce) {
+            pendingMessages.values().stream()
+                    .filter(pending ->
+                            pending.call != null && pending.call.target.breaker == breaker && !pending.unsafe)
+                    .forEach(pending -> actions.add(new Cancel(pending.message.id(), pending.attempts - 1)));
         }
     }
 
-    /** Notes the item best fit for a trial. */
-    private void offerTrial(Gate gate, TargetState target, Item item) {
-        wakeBy(gate.openUntil > now ? gate.openUntil : NEVER);
-        if (gate.openUntil > now || gate.trialOut) {
+    /** Remembers the message that suits the next trial best. */
+    private void offerTrial(CircuitBreaker breaker, TargetState target, PendingMessage pending) {
+        wakeBy(breaker.openUntil > now ? breaker.openUntil : NEVER);
+        if (breaker.openUntil > now || breaker.trialInFlight) {
             return;
         }
-        if (gate.trial == null && trials.add(gate) || trialOrder(item) < trialOrder(gate.trial)) {
-            gate.trial = item;
-            gate.trialTarget = target;
+        if (breaker.trialMessage == null && trialBreakers.add(breaker)
+                || trialOrder(pending) < trialOrder(breaker.trialMessage)) {
+            breaker.trialMessage = pending;
+            breaker.trialTarget = target;
         }
     }
 
-    /** Freely repeated ones first, then what is bound anyway, never repeated ones last. */
-    private static int trialOrder(Item item) {
-        return 2 * item.kind.effect().ordinal() - (item.mayHaveRun ? 1 : 0);
+    /** Order of preference for trials: safe, keyed, then unsafe; in each, messages that may have run come first. */
+    private static int trialOrder(PendingMessage pending) {
+        return 2 * pending.messageClass.effect().ordinal() - (pending.mayHaveRun ? 1 : 0);
     }
 
-    private void sendTrial(Gate gate) {
-        Item item = gate.trial;
-        TargetState target = gate.trialTarget;
-        if (item.call != null) {
+    private void sendTrial(CircuitBreaker breaker) {
+        PendingMessage pending = breaker.trialMessage;
+        TargetState target = breaker.trialTarget;
+        if (pending.call != null) {
             return;
         }
-        if (item.unsafe && settings.allowed().probes()) {
-            gate.trialOut = true;
+        if (pending.unsafe && settings.allowed().probes()) {
+            breaker.trialInFlight = true;
             actions.add(new Probe(target.info.id()));
-        } else if (trialsOut < Math.max(1, settings.allowed().calls() * TRIAL_BULKHEAD)) {
-            // Guards trials against starving while freed slots go to sound ones, and slots against trials.
-            trialsWaiting = now < gate.openUntil + COOLDOWN_CAP ? trialsWaiting : 1;
-            if (callsOut < settings.allowed().calls()) {
-                gate.trialOut = true;
-                send(item, target, true);
+        } else if (trialsInFlight < Math.max(1, settings.allowed().calls() * TRIAL_BULKHEAD_SHARE)) {
+            // A trial that waited too long keeps the next free slot from other calls; no more than one is kept.
+            reservedSlots = now < breaker.openUntil + MAX_COOLDOWN_SECONDS ? reservedSlots : 1;
+            if (callsInFlight < settings.allowed().calls()) {
+                breaker.trialInFlight = true;
+                send(pending, target, true);
             }
         }
     }
 
-    private void startRamp(Gate gate) {
-        gate.open = false;
-        gate.trialOut = false;
-        gate.trips = 0;
-        gate.failures.share = 0;
-        gate.rampFrom = now;
-        gate.rampCut = 1;
-        gate.rampCutAt = now;
-        gate.pace.raise(now, gate.best); // refusals of the outage measured no limit
-        gate.ramp.start(now, rampRate(gate));
-        gate.ramp.tokens = crowd > 1 && tight ? random.nextDouble() : 0;
-        actions.add(new Log("slow start " + gate.name + " rate=" + gate.ramp.rate));
+    private void beginSlowStart(CircuitBreaker breaker) {
+        breaker.open = false;
+        breaker.trialInFlight = false;
+        breaker.tripCount = 0;
+        breaker.failureShare.share = 0;
+        breaker.slowStartFrom = now;
+        breaker.slowStartShare = 1;
+        breaker.slowStartCutAt = now;
+        breaker.limiter.raiseTo(now, breaker.bestSuccessRate); // refusals in an outage reveal no limit
+        breaker.slowStart.start(now, slowStartRate(breaker));
+        breaker.slowStart.tokens = spreadFactor > 1 && fragileRecovery ? random.nextDouble() : 0;
+        actions.add(new Log("slow start " + breaker.name + " rate=" + breaker.slowStart.rate));
     }
 
-    /** Calls a second that this sender may send a destination on its way back from an outage. */
-    private double rampRate(Gate gate) {
-        double part =
-                Math.min(1, (now - gate.rampFrom) / Math.max(settings.rules().warmWithin(), ANSWER_MARGIN));
-        double present = settings.rules().coldFrom() + (1 - settings.rules().coldFrom()) * part;
-        double own = crowd > 1 && tight ? demand(gate) : gate.best;
-        double capacity = Math.max(own, Math.max(gate.listed, LEAST_CAPACITY) / settings.senders());
-        double trying = crowd > 1 && tight ? 1 - TRIAL_PART / 2 : 1; // guards the sum: others still try
-        return settings.rules().tipMultiple() * present * capacity * gate.rampCut * trying;
+    /** Calls per second that this sender may make while a destination recovers from an outage. */
+    private double slowStartRate(CircuitBreaker breaker) {
+        double warmShare = Math.min(
+                1, (now - breaker.slowStartFrom) / Math.max(settings.rules().warmWithin(), ANSWER_MARGIN_SECONDS));
+        double capacityShare =
+                settings.rules().coldFrom() + (1 - settings.rules().coldFrom()) * warmShare;
+        double ownRate = spreadFactor > 1 && fragileRecovery ? demand(breaker) : breaker.bestSuccessRate;
+        double capacity = Math.max(ownRate, Math.max(breaker.listedRate, MIN_CAPACITY) / settings.senders());
+        // Leaves room for the trials of senders that have not seen the recovery yet.
+        double besideTrials = spreadFactor > 1 && fragileRecovery ? 1 - TRIAL_CAPACITY_SHARE / 2 : 1;
+        return settings.rules().tipMultiple() * capacityShare * capacity * breaker.slowStartShare * besideTrials;
     }
 
-    private double rampReadyAt(Gate gate) {
-        if (now - gate.rampFrom > settings.rules().warmWithin()) {
-            gate.rampFrom = NEVER;
-            gate.ramp.rate = NEVER;
+    private double slowStartReadyAt(CircuitBreaker breaker) {
+        if (now - breaker.slowStartFrom > settings.rules().warmWithin()) {
+            breaker.slowStartFrom = NEVER;
+            breaker.slowStart.rate = NEVER;
         }
-        if (gate.rampFrom == NEVER) {
+        if (breaker.slowStartFrom == NEVER) {
             return now;
         }
-        gate.ramp.refill(now);
-        gate.ramp.rate = rampRate(gate);
-        return gate.ramp.readyAt(now);
+        breaker.slowStart.refill(now);
+        breaker.slowStart.rate = slowStartRate(breaker);
+        return breaker.slowStart.readyAt(now);
     }
 
     // ---- the list of targets ----
 
-    private void list(TargetList event) {
-        askFailures = 0;
-        askAt = NEVER;
+    private void updateTargets(TargetList event) {
+        listFailures = 0;
+        watchRetryAt = NEVER;
         if (event.whole()) {
             targets.values().forEach(target -> target.info = target.info.gone());
         }
-        forget();
+        forgetGoneTargets();
         for (Target info : event.targets()) {
-            TargetState known = targets.get(info.id());
-            if (known != null) {
-                boolean back = known.info.phase() == Phase.DRAINING && info.phase() == Phase.READY;
-                known.backAt = back ? now : known.backAt;
-                known.info = info;
+            TargetState target = targets.get(info.id());
+            if (target != null) {
+                boolean returned = target.info.phase() == Phase.DRAINING && info.phase() == Phase.READY;
+                target.readyAgainAt = returned ? now : target.readyAgainAt;
+                target.info = info;
             } else if (info.phase() != Phase.GONE) {
-                known = new TargetState(info, settings.kinds().get(info.kind()));
+                target = new TargetState(info, settings.kinds().get(info.kind()));
                 Destination destination = destinations.computeIfAbsent(info.destination(), Destination::new);
-                String route = destination.shared.name + " route=" + info.id();
-                known.gate = known.kind.apart() ? new Gate(destination, route) : destination.shared;
-                known.gate.targets.add(known);
-                destination.targets.add(known);
-                targets.put(info.id(), known);
+                String route = destination.sharedBreaker.name + " route=" + info.id();
+                target.breaker =
+                        target.kind.apart() ? new CircuitBreaker(destination, route) : destination.sharedBreaker;
+                target.breaker.targets.add(target);
+                destination.targets.add(target);
+                targets.put(info.id(), target);
             }
-            if (known != null && settings.weight() != Weight.NONE && info.phase() != Phase.GONE) {
-                known.gate.listed = info.weight();
-                known.gate.known = known.gate.reported ? known.gate.known : info.weight();
+            if (target != null && settings.weight() != Weight.NONE && info.phase() != Phase.GONE) {
+                target.breaker.listedRate = info.weight();
+                target.breaker.knownLimit = target.breaker.limitReported ? target.breaker.knownLimit : info.weight();
             }
         }
     }
 
-    /** Guards against lists that only grow: drops what is long gone; a probe out has ended by then. */
-    private void forget() {
+    /** Drops targets that left the list long enough ago that no call or probe is in flight, to bound memory. */
+    private void forgetGoneTargets() {
         for (TargetState target : List.copyOf(targets.values())) {
-            target.readyAt = target.info.ready() || target.calls > 0 ? now : target.readyAt;
-            if (target.info.phase() == Phase.GONE && target.readyAt < now - GONE_MEMORY) {
-                target.gate.targets.remove(target);
-                target.gate.destination.targets.remove(target);
+            target.lastInUseAt = target.info.ready() || target.callsInFlight > 0 ? now : target.lastInUseAt;
+            if (target.info.phase() == Phase.GONE && target.lastInUseAt < now - FORGET_GONE_SECONDS) {
+                target.breaker.targets.remove(target);
+                target.breaker.destination.targets.remove(target);
                 targets.remove(target.info.id());
             }
         }
     }
 
-    /** Opens the watch on the list at the start and again, after a pause, when it failed. */
-    private void followList() {
-        if (settings.askForList() && (!started || askAt <= now)) {
+    /** Opens the watch on the target list at the start, and again some time after it failed. */
+    private void watchTargetList() {
+        if (settings.askForList() && (!started || watchRetryAt <= now)) {
             actions.add(new Watch(true));
-            askAt = NEVER;
+            watchRetryAt = NEVER;
         }
         started = true;
-        wakeBy(askAt);
+        wakeBy(watchRetryAt);
     }
 
+    /** Makes sure that a round is run at the given time or earlier. */
     private void wakeBy(double time) {
-        wake = Math.min(wake, time);
+        nextWakeAt = Math.min(nextWakeAt, time);
     }
 
     private void setTimer() {
-        wake = Math.max(wake, now + 0.001);
-        if (wake < pendingWake) {
-            pendingWake = wake;
-            actions.add(new WakeAt(wake, ++wakeToken));
+        nextWakeAt = Math.max(nextWakeAt, now + 0.001);
+        if (nextWakeAt < timerSetFor) {
+            timerSetFor = nextWakeAt;
+            actions.add(new WakeAt(nextWakeAt, ++timerToken));
         }
     }
 
-    // ---- what is known ----
+    // ---- state ----
 
-    /** A message in hand. */
-    private static final class Item {
+    /** An accepted message without an answer yet, or with an attempt still in flight. */
+    private static final class PendingMessage {
         final Message message;
-        final MessageClass kind;
+        final MessageClass messageClass;
         final double deadline;
         Destination destination;
-        KeyQueue queue;
-        final boolean safe, unsafe; // to repeat
-        boolean inShare, over, mayHaveRun;
+        KeyQueue keyQueue;
+        final boolean safe, unsafe; // whether repeats are harmless, or forbidden
+        boolean inQuota, finished, mayHaveRun;
         int attempts, mayHaveRunZone;
         Call call;
-        double due, rank, mayHaveRunSince;
+        double dueAt, rank, mayHaveRunSince;
 
-        Item(Message message, MessageClass kind, double now) {
+        PendingMessage(Message message, MessageClass messageClass, double now) {
             this.message = message;
-            this.kind = kind;
-            safe = kind.effect() == Effect.SAFE;
-            unsafe = kind.effect() == Effect.UNSAFE;
+            this.messageClass = messageClass;
+            safe = messageClass.effect() == Effect.SAFE;
+            unsafe = messageClass.effect() == Effect.UNSAFE;
             deadline = now + message.timeLeft();
-            attempts = message.attempts(); // after a restart of the sender, see the forwarder's journal
-            mayHaveRun = message.ran() != null; // Guards the window: it runs on over the sender's restart
+            attempts = message.attempts(); // above 0 for a message resumed after a restart
+            mayHaveRun = message.ran() != null; // the key window goes on over a restart
             mayHaveRunSince = mayHaveRun ? now - message.ran().ago() : 0;
             mayHaveRunZone = mayHaveRun ? message.ran().zone() : 0;
         }
     }
 
-    /** Messages of one key, in the order taken; the first has the turn. */
+    /** Messages of one key in the order of acceptance; only the first may be sent. */
     private static final class KeyQueue {
-        final List<Item> items = new ArrayList<>();
-        final Set<Integer> unacknowledged = new TreeSet<>(); // messages whose answers hold the others
+        final List<PendingMessage> messages = new ArrayList<>();
+        final Set<Integer> unackedAnswers = new TreeSet<>(); // ids of messages whose answers others wait for
         double quietUntil;
 
-        boolean hasTurn(Item item) {
-            return items.get(0) == item && (item.attempts > 0 || unacknowledged.isEmpty());
+        boolean isNext(PendingMessage pending) {
+            return messages.get(0) == pending && (pending.attempts > 0 || unackedAnswers.isEmpty());
         }
 
-        boolean unused(double now) {
-            return items.isEmpty() && unacknowledged.isEmpty() && quietUntil <= now;
+        boolean isUnused(double now) {
+            return messages.isEmpty() && unackedAnswers.isEmpty() && quietUntil <= now;
         }
     }
 
-    /** A call out: one or more messages, one fate. */
+    /** A call in flight, with one or more messages that share its timeout and outcome. */
     private static final class Call {
         final TargetState target;
         final boolean trial;
-        final double at, idle; // when it was sent; s the connection was unused before
-        int size, open;
-        boolean judged;
-        double earliest = NEVER; // deadline of those that share it, at which it ends for all of them
+        final double sentAt, idleSeconds; // idle time of the connection before, 0 for a new one
+        int messageCount, unfinishedCount;
+        boolean outcomeRecorded;
+        double earliestDeadline = NEVER; // of its messages; the call ends then for all
 
-        Call(TargetState target, double at, boolean trial, double idle) {
-            this.idle = idle;
+        Call(TargetState target, double sentAt, boolean trial, double idleSeconds) {
+            this.idleSeconds = idleSeconds;
             this.target = target;
-            this.at = at;
+            this.sentAt = sentAt;
             this.trial = trial;
         }
 
-        /** Whether it will be answered before the deadlines of the item and of those that share it already. */
-        boolean outlasts(Item item, double now) {
-            return Math.min(earliest, item.deadline) - now >= SHARED_ROOM * target.usual();
+        /** Whether a response is likely before the deadlines of the given message and of those in the call. */
+        boolean endsInTime(PendingMessage pending, double now) {
+            return Math.min(earliestDeadline, pending.deadline) - now
+                    >= MIN_RESPONSE_TIMES_LEFT * target.responseSeconds();
         }
     }
 
-    /** A destination: its targets, behind one gate or, where routes are apart, one gate each. */
+    /** A destination. Its targets share a circuit breaker or, where routes are separate, have one each. */
     private static final class Destination {
         final List<TargetState> targets = new ArrayList<>();
-        final Gate shared; // where routes are not apart; outlives its targets, as waits and paces do
-        final TokenBucket storm = new TokenBucket(); // what this sender may call there in a storm
-        int held, taken, hold = Integer.MAX_VALUE;
-        double roomAt; // when there will be room in a storm for the next one refused
-        long shut; // the pass over the items in which none of its own can be sent any more
+        final CircuitBreaker sharedBreaker; // outlives targets: delays and limits go on
+        final TokenBucket stormLimiter = new TokenBucket(); // this sender's calls in a storm
+        int pendingCount, acceptedCount, maxPending = Integer.MAX_VALUE;
+        double roomAt; // when the next message refused in a storm may come back
+        long blockedInPass; // send pass in which no message for it can be sent any more
 
         Destination(int id) {
-            shared = new Gate(this, "destination=" + id);
+            sharedBreaker = new CircuitBreaker(this, "destination=" + id);
         }
 
-        double usual() {
-            double sum = 0; // asked for each message in each round: no streams here and below
+        double responseSeconds() {
+            double sum = 0; // runs for each message in each round: no streams here and below
             for (TargetState target : targets) {
-                sum += target.usual();
+                sum += target.responseSeconds();
             }
-            return targets.isEmpty() ? FIRST_GUESS : sum / targets.size();
+            return targets.isEmpty() ? DEFAULT_RESPONSE_SECONDS : sum / targets.size();
         }
 
-        /** The end of the told wait that holds all usable targets. */
-        double toldUntil() {
+        /** When the first usable target is out of its retry-after delay. */
+        double retryAt() {
             double until = NEVER;
             for (TargetState target : targets) {
-                until = target.info.ready() ? Math.min(until, target.gate.toldUntil) : until;
+                until = target.info.ready() ? Math.min(until, target.breaker.retryAt) : until;
             }
             return until == NEVER ? 0 : until;
         }
     }
 
-    /** A target: phase, calls out, usual response time, cap on connections. */
+    /** A target: its list entry, calls in flight, response times and limit on connections. */
     private static final class TargetState {
         final Kind kind;
-        final FailureShare failures = new FailureShare();
-        double cap = NEVER, lastOk = -NEVER, lastOkSent = -NEVER, lastUse = -NEVER, backAt = -NEVER;
-        Gate gate;
+        final FailureShare failureShare = new FailureShare();
+        double maxCalls = NEVER, lastSuccessAt = -NEVER, lastSuccessSentAt = -NEVER;
+        double idleSince = -NEVER, readyAgainAt = -NEVER; // readyAgainAt: end of its last drain
+        CircuitBreaker breaker;
         Target info;
-        int calls;
-        double srtt, deviation, readyAt = -NEVER; // and when last seen listed or with a call out
+        int callsInFlight;
+        double meanSeconds, deviationSeconds, lastInUseAt = -NEVER; // lastInUseAt: ready or with a call
 
         TargetState(Target info, Kind kind) {
             this.info = info;
             this.kind = kind;
         }
 
-        void answered(double elapsed) {
-            if (srtt == 0) {
-                srtt = elapsed;
-                deviation = elapsed / 2;
+        void recordResponseTime(double elapsed) {
+            if (meanSeconds == 0) {
+                meanSeconds = elapsed;
+                deviationSeconds = elapsed / 2;
             } else {
-                deviation += (Math.abs(elapsed - srtt) - deviation) / 4;
-                srtt += (elapsed - srtt) / 8;
+                deviationSeconds += (Math.abs(elapsed - meanSeconds) - deviationSeconds) / 4;
+                meanSeconds += (elapsed - meanSeconds) / 8;
             }
         }
 
-        double usual() {
-            return srtt == 0 ? FIRST_GUESS : Math.max(srtt, 0.001);
+        double responseSeconds() {
+            return meanSeconds == 0 ? DEFAULT_RESPONSE_SECONDS : Math.max(meanSeconds, 0.001);
         }
 
-        double longest() {
-            return srtt + TIMEOUT_DEVIATIONS * deviation;
+        double maxResponseSeconds() {
+            return meanSeconds + TIMEOUT_DEVIATIONS * deviationSeconds;
         }
     }
 
-    /** What is known of a destination or, where routes are apart, of a route. */
-    private static final class Gate {
+    /** Circuit breaker, rate limit and slow start of a destination or, where routes are separate, of a route. */
+    private static final class CircuitBreaker {
         final String name;
         final Destination destination;
         final List<TargetState> targets = new ArrayList<>();
         final List<Call> calls = new ArrayList<>();
-        final AdaptiveRateLimiter pace = new AdaptiveRateLimiter();
-        final TokenBucket ramp = new TokenBucket();
-        final EventRate successes = new EventRate();
-        final FailureShare failures = new FailureShare();
-        double badSince = NEVER, rampFrom = NEVER, rampCut = 1, lastOk = -NEVER;
-        double toldUntil, known, best, listed, rampCutAt, openUntil;
-        boolean reported, open, hung, trialOut;
-        int bad, trips;
-        Item trial;
+        final AdaptiveRateLimiter limiter = new AdaptiveRateLimiter();
+        final TokenBucket slowStart = new TokenBucket();
+        final EventRate successRate = new EventRate();
+        final FailureShare failureShare = new FailureShare();
+        double failingSince = NEVER, slowStartFrom = NEVER, slowStartShare = 1, lastSuccessAt = -NEVER;
+        double retryAt, knownLimit, bestSuccessRate, listedRate, slowStartCutAt, openUntil;
+        boolean limitReported, open, hanging, trialInFlight;
+        int failureCount, tripCount;
+        PendingMessage trialMessage;
         TargetState trialTarget;
 
-        Gate(Destination destination, String name) {
+        CircuitBreaker(Destination destination, String name) {
             this.destination = destination;
             this.name = name;
         }
 
-        double silence() {
-            double longest = LEAST_SILENCE;
+        double unresponsiveSeconds() {
+            double longest = MIN_UNRESPONSIVE_SECONDS;
             for (TargetState target : targets) {
-                longest = Math.max(longest, target.srtt + SILENCE_DEVIATIONS * target.deviation);
+                longest = Math.max(longest, target.meanSeconds + UNRESPONSIVE_DEVIATIONS * target.deviationSeconds);
             }
             return longest;
         }
--- a/src/main/java/juniperusher/EventRate.java
+++ b/src/main/java/juniperusher/EventRate.java
@@ -1,21 +1,26 @@
 package juniperusher;
 
 /**
- * Events a second, as an exponentially decayed count. Times are seconds of one monotonic clock.
+ * Measures events per second as an exponentially decayed count. Times are seconds of one monotonic clock. Not safe for
+ * use by several threads.
  */
 final class EventRate {
-    static final double SPAN = 10.0; // s over which success rates are taken
+    static final double WINDOW_SECONDS = 10.0; // time constant of the decay
 
-    double from = Double.POSITIVE_INFINITY, value, at;
+    double firstEventAt = Double.POSITIVE_INFINITY, decayedRate, updatedAt;
 
     void add(double now) {
-        from = Math.min(from, now);
-        value = value * Math.exp((at - now) / SPAN) + 1 / SPAN;
-        at = now;
+        firstEventAt = Math.min(firstEventAt, now);
+        decayedRate = decayedRate * Math.exp((updatedAt - now) / WINDOW_SECONDS) + 1 / WINDOW_SECONDS;
+        updatedAt = now;
     }
 
-    double get(double now) {
-        double seen = 1 - Math.exp((Math.min(from, now) - now - 1) / SPAN);
-        return value * Math.exp((at - now) / SPAN) / seen;
+    /**
+     * The rate, corrected for the time before the first event. One second is added to the age of that event, to
+     * bound the rate at the start.
+     */
+    double perSecond(double now) {
+        double windowShareSeen = 1 - Math.exp((Math.min(firstEventAt, now) - now - 1) / WINDOW_SECONDS);
+        return decayedRate * Math.exp((updatedAt - now) / WINDOW_SECONDS) / windowShareSeen;
     }
 }
--- a/src/main/java/juniperusher/Protocol.java
+++ b/src/main/java/juniperusher/Protocol.java
@@ -3,27 +3,31 @@
 import java.util.List;
 
 /**
- * The interface of {@link Control}: what it is told (settings, events) and what it asks for (actions).
+ * The interface of {@link Control}: its settings, the events that it receives and the actions that it returns.
  *
- * <p>All times are seconds of one clock that never goes back; rates are per second. The forwarder owns calls,
- * connections and timers; {@code Control} owns the decision for each message it has been given. One instance
- * belongs to one thread. For each {@link Arrived} there is exactly one end: an {@link Ended} with
- * {@code over}, a {@link Refuse} or a {@link Fail}, no later than the message's time. Ids are the forwarder's
- * and never reused.
+ * <p>The forwarder, called the sender in this interface, owns calls, connections and timers; {@code Control} decides
+ * what happens to each message. Each {@link Arrived} message that is not withdrawn ends exactly once, no later than its
+ * deadline: by an {@link Ended} with {@code over}, a {@link Refuse} or a {@link Fail}.
+ *
+ * <p>All times are in seconds of one clock that never goes back; rates are per second. The forwarder assigns ids and
+ * never reuses them.
  */
 public final class Protocol {
     private Protocol() {}
 
     // ---- settings ----
 
-    /** Whether a message may be repeated: freely, within a window where repeats are dropped, or never. */
+    /**
+     * Whether a message may be sent again after an attempt that may have run: always, only within the time in which
+     * targets drop repeats of its key, or never.
+     */
     public enum Effect {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** What the weight of a listed target holds: nothing, its rate, or its rate up to half off. */
+    /** Meaning of the weight of a listed target: none, its rate, or its rate with an error of up to one half. */
     public enum Weight {
         NONE,
         NOMINAL,
@@ -31,16 +35,16 @@
     }
 
     /**
-     * A class of message.
+     * A class of messages.
      *
-     * @param name       what tells it from the others; may be empty where nobody names it
-     * @param effect     whether it may be repeated
-     * @param zoneOnly   for keyed: repeats are dropped only by targets of the same zone
-     * @param keyWindow  for keyed: how long repeats are dropped, from the first send that may have run
-     * @param ordered    messages of one key go one at a time, in the order taken
-     * @param aim        delivered within this time a message earns its full worth
-     * @param deadline   how long a message may be delivered
-     * @param worth      worth of a message
+     * @param name       name of the class; may be empty if it is not referred to by name
+     * @param effect     whether its messages may be sent again
+     * @param zoneOnly   for keyed: whether a repeat is dropped only by targets in the same zone as the first send
+     * @param keyWindow  for keyed: time in which targets drop repeats, from the first send that may have run
+     * @param ordered    whether messages of one key are sent one at a time, in the order of acceptance
+     * @param aim        time after acceptance within which a delivery earns the full worth
+     * @param deadline   time after acceptance within which a message has to be delivered
+     * @param worth      worth of a delivered message
      * @param lateShare  share of the worth that is left at the deadline
      */
     public record MessageClass(
@@ -59,7 +63,7 @@
             notNegative("keyWindow", keyWindow);
         }
 
-        /** A class without a name. */
+        /** Creates a class without a name. */
         public MessageClass(
                 Effect effect,
                 boolean zoneOnly,
@@ -76,17 +80,22 @@
     /**
      * A tenant.
      *
-     * @param name  what tells it from the others; may be empty where nobody names it
-     * @param quota messages a second, over all senders, that are within its share
+     * @param name  name of the tenant; may be empty if it is not referred to by name
+     * @param quota messages per second, over all senders, that keep their full worth
      */
     public record Tenant(String name, double quota) {
-        /** A tenant without a name. */
+        /** Creates a tenant without a name. */
         public Tenant(double quota) {
             this("", quota);
         }
     }
 
-    /** A kind of destination: messages a call carries at most; whether its targets are routes apart. */
+    /**
+     * A kind of destination.
+     *
+     * @param batch maximum number of messages in a call
+     * @param apart whether each target is a separate route, with limits and failures of its own
+     */
     public record Kind(int batch, boolean apart) {
         public Kind {
             positive("batch", batch);
@@ -94,15 +103,16 @@
     }
 
     /**
-     * The figures of the rules.
+     * How destinations and the list of targets behave, as far as decisions depend on it.
      *
-     * @param drainGrace  sends to a draining or gone target cease within this time
-     * @param coldFrom    share of its capacity that a destination has after an outage
-     * @param warmWithin  time in which it regains all of it
-     * @param tipMultiple sent more than this multiple of its present capacity ...
-     * @param tipAfter    ... for this long, it falls over
-     * @param keyQuiet    rest of a key after an attempt that may still run
-     * @param askWithin   where the list is asked for: a sender that has not asked for so long counts as told
+     * @param drainGrace  time within which sends to a draining or removed target have to stop
+     * @param coldFrom    share of its capacity that a destination has right after an outage
+     * @param warmWithin  time in which it regains its full capacity
+     * @param tipMultiple multiple of its present capacity above which a destination is overloaded
+     * @param tipAfter    time of overload after which the destination collapses
+     * @param keyQuiet    time for which the next message of a key waits after an attempt that may still run
+     * @param askWithin   if the list has to be requested: time after which a sender that did not request it is
+     *                    presumed to know it
      */
     public record Rules(
             double drainGrace,
@@ -123,19 +133,19 @@
     }
 
     /**
-     * What is allowed.
+     * Limits and permissions of a sender.
      *
-     * @param attempts       attempts for a message at most
-     * @param held           messages held at most
-     * @param calls          calls out at once at most
-     * @param cancel         whether attempts may be called off
-     * @param secondCopies   whether a message may have two attempts out
+     * @param attempts       maximum number of attempts for a message
+     * @param held           maximum number of pending messages
+     * @param calls          maximum number of calls in flight
+     * @param cancel         whether attempts may be cancelled
+     * @param secondCopies   whether a message may have two attempts in flight
      * @param probes         whether targets may be probed
-     * @param notes          whether senders may write to each other
-     * @param retryAfter     whether a refusal may say when to return
-     * @param maxRetryAfter  longest such time that clients observe
-     * @param connectTimeout a connection not made by then has failed
-     * @param keepAlive      a connection unused for so long closes by itself
+     * @param notes          whether senders may send notes to each other
+     * @param retryAfter     whether a refusal may carry a retry-after delay
+     * @param maxRetryAfter  longest retry-after delay that clients observe
+     * @param connectTimeout time after which a connection attempt has failed
+     * @param keepAlive      time after which an unused connection closes by itself
      */
     public record Allowed(
             int attempts,
@@ -155,23 +165,23 @@
             positive("calls", calls);
         }
 
-        /** What a refusal may say of the seconds after which to come again; 0 for nothing. */
+        /** The retry-after delay that a refusal may carry for the wanted one: at most the maximum, 0 for none. */
         public double retryAfter(double seconds) {
             return retryAfter ? Math.min(seconds, maxRetryAfter) : 0;
         }
     }
 
     /**
-     * All that a sender is told at its start.
+     * The settings of a sender. Events refer to classes, kinds and tenants by their index in the lists.
      *
-     * @param senders        how many senders there are, this one among them
+     * @param senders        number of senders, including this one
      * @param zone           this sender's zone
-     * @param askForList     the list of targets comes only when asked for
-     * @param weight         what listed weights hold
-     * @param overShareWorth part of its worth that a message keeps beyond its tenant's share
-     * @param halving        worth falls by half with each further aim, else evenly to the deadline
-     * @param crossZoneFee   price of an attempt that leaves the zone
-     * @param routeFees      for each zone: price of a message that a route apart there takes on; may be empty
+     * @param askForList     whether the list of targets is sent only on request
+     * @param weight         meaning of the weights of listed targets
+     * @param overShareWorth share of its worth that a message beyond its tenant's quota keeps
+     * @param halving        whether the worth halves with each further aim; otherwise it falls evenly to the deadline
+     * @param crossZoneFee   fee of an attempt that leaves the zone
+     * @param routeFees      by zone, the fee of a message that a separate route there accepts; may be empty
      */
     public record Settings(
             int senders,
@@ -198,7 +208,7 @@
 
     // ---- events ----
 
-    /** Something that the sender is told. */
+    /** An input of {@link Control}. */
     public sealed interface Event
             permits TargetList,
                     AnswerPending,
@@ -214,54 +224,57 @@
                     Advised,
                     Retuned {}
 
-    /** Phase of a listed target; it tells nothing of health. */
+    /** Lifecycle phase of a listed target, independent of its health. */
     public enum Phase {
         READY,
         DRAINING,
         GONE
     }
 
-    /** A target of a destination. {@code weight} is as {@link Settings#weight} says. */
+    /** A target of a destination. {@link Settings#weight} defines the meaning of its weight. */
     public record Target(int id, int destination, int kind, int zone, double weight, Phase phase) {
-        /** Whether it may be sent something new; it tells nothing of health. */
+        /** Whether it may receive new calls, regardless of its health. */
         public boolean ready() {
             return phase == Phase.READY;
         }
 
-        /** The same target, gone from the list. */
+        /** Returns this target with the phase {@code GONE}. */
         public Target gone() {
             return new Target(id, destination, kind, zone, weight, Phase.GONE);
         }
     }
 
-    /** The list of targets; {@code whole} replaces the old list, else only changed ones are named. */
+    /**
+     * An update of the list of targets.
+     *
+     * @param whole whether this is the complete list; otherwise it has only the changed targets
+     */
     public record TargetList(boolean whole, List<Target> targets) implements Event {}
 
-    /** Asking for the list failed or the watch on it broke; the old list stands. */
+    /** A request for the list failed or the watch on it broke; the previous list stays valid. */
     public record ListFailed() implements Event {}
 
     /**
-     * An attempt that may have run, of a process before this one.
+     * An attempt that may have run, made by an earlier process.
      *
-     * @param ago  seconds since its send
-     * @param zone place of its target's zone in the settings
+     * @param ago  time since it was sent
+     * @param zone zone of its target
      */
     public record Ran(double ago, int zone) {}
 
     /**
-     * A message taken.
+     * An accepted message.
      *
-     * @param messageClass place of its class in the settings
-     * @param tenant       place of its tenant in the settings
-     * @param key          key of its order, 0 for none
-     * @param timeLeft     how long it may still be delivered
-     * @param attempts     attempts it has had already
-     * @param ran          the first of them that may have run, or null if none may
-     * @param again        it is marked as handed in again
-     * @param takenAt      by which the messages of one key stand in order, in the sender's own unit; 0 where
-     *                     they are told in their order
-     * @param acknowledged whether its answer, should it be refused or failed, is followed by an
-     *                     {@link AnswerAcknowledged}, for which later messages of its key have to wait
+     * @param messageClass index of its class in the settings
+     * @param tenant       index of its tenant in the settings
+     * @param key          key among whose messages order is kept, 0 for none
+     * @param timeLeft     time until its deadline
+     * @param attempts     number of attempts already made
+     * @param ran          the first of these that may have run, or null
+     * @param again        whether the client marked it as resubmitted
+     * @param takenAt      sort key of the messages of one key, in a unit of the sender; 0 if they arrive in order
+     * @param acknowledged whether a refusal or failure of this message is followed by an {@link AnswerAcknowledged},
+     *                     for which later messages of its key have to wait
      */
     public record Message(
             int id,
@@ -275,7 +288,7 @@
             boolean again,
             long takenAt,
             boolean acknowledged) {
-        /** A message whose order is that of its arrival, and whose answer needs no acknowledgement. */
+        /** Creates a message that is ordered by its arrival and whose answer needs no acknowledgement. */
         public Message(
                 int id,
                 int messageClass,
@@ -289,27 +302,27 @@
             this(id, messageClass, tenant, destination, key, timeLeft, attempts, ran, again, 0, false);
         }
 
-        /** A message that is not marked as handed in again. */
+        /** Creates a message that is not resubmitted and of which no attempt may have run. */
         public Message(int id, int messageClass, int tenant, int destination, long key, double timeLeft, int attempts) {
             this(id, messageClass, tenant, destination, key, timeLeft, attempts, null, false);
         }
 
-        /** A message that has had no attempt. */
+        /** Creates a message without an attempt. */
         public Message(int id, int messageClass, int tenant, int destination, long key, double timeLeft) {
             this(id, messageClass, tenant, destination, key, timeLeft, 0);
         }
     }
 
-    /** The sender has taken a message. */
+    /** The sender has accepted a message. */
     public record Arrived(Message message) implements Event {}
 
-    /** No message of the key that has had no attempt is sent until the answer of this one is acknowledged. */
+    /** The message was answered: messages of its key without an attempt wait until the answer is acknowledged. */
     public record AnswerPending(int message, long key) implements Event {}
 
-    /** The answer of this message of the key is acknowledged, and no attempt of it is out any more. */
+    /** The answer to the message was acknowledged, and no attempt of it is in flight. */
     public record AnswerAcknowledged(int message, long key) implements Event {}
 
-    /** How an attempt ended. */
+    /** How an attempt ended. {@code FULL} is a refusal for lack of capacity. */
     public enum Outcome {
         DELIVERED(false),
         ERROR(false),
@@ -326,28 +339,34 @@
             this.neverRan = neverRan;
         }
 
-        /** Whether this outcome proves that the attempt never ran. */
+        /** Whether this outcome proves that the target did not run the attempt. */
         public boolean neverRan() {
             return neverRan;
         }
 
-        /** Whether the attempt may run on at the target though nobody waits for it any more. */
+        /** Whether the target may still be running the attempt, although the sender no longer waits for it. */
         public boolean mayStillRun() {
             return this == TIMED_OUT || this == RESET || this == CANCELLED;
         }
     }
 
-    /** What a target reports: the limit in calls a second, 0 for none, and the share of it left just now. */
+    /**
+     * A load report of a target.
+     *
+     * @param limit rate limit in calls per second, 0 for none
+     * @param left  share of the limit that is unused at the moment
+     */
     public record Report(double limit, double left) {}
 
     /**
-     * The outcome of an attempt; each {@link Send} gets one.
+     * The end of an attempt; each {@link Send} is followed by one.
      *
-     * @param attempt 0 for the first send of a message
+     * @param attempt number of the attempt, 0 for the first of a message
      * @param elapsed time since the send
-     * @param over    the message has ended, by this outcome or before
-     * @param told    after {@code FULL}: how long to send nothing to the destination, 0 for not told
-     * @param report  what the target reported, or null
+     * @param over    whether the message has ended, by this outcome or earlier
+     * @param told    retry-after delay of a refusal, in which nothing may be sent to the destination, or to the route
+     *                where routes are separate; 0 for none
+     * @param report  load report of the target, or null
      */
     public record Ended(
             int message,
@@ -359,80 +378,87 @@
             double told,
             Report report)
             implements Event {
-        /** Whether it was turned away with neither a wait nor a report. */
+        /** Whether the target refused the attempt with neither a retry-after delay nor a load report. */
         public boolean barelyRefused() {
             return outcome == Outcome.FULL && told == 0 && report == null;
         }
     }
 
     /**
-     * The settings are read anew: messages taken from now on go by their classes and limits. One taken before
-     * keeps the class that it came with. Classes keep their places; new ones come after them.
+     * The settings have changed. Messages accepted from now on use the new classes and limits; earlier ones keep their
+     * class. Classes keep their index, and new ones are appended.
      */
     public record Retuned(Settings settings) implements Event {}
 
-    /** The client no longer wants the message; no answer is owed. */
+    /** The client has withdrawn the message and expects no answer. */
     public record Withdrawn(int message) implements Event {}
 
-    /** The time asked for by {@link WakeAt} has come. */
+    /** The timer that {@link WakeAt} set with this token has fired. */
     public record Woken(long token) implements Event {}
 
     /** The result of a {@link Probe}. */
     public record Probed(int target, boolean ok, boolean full, double elapsed) implements Event {}
 
-    /** A note from another sender. */
+    /** A note from another sender has arrived. */
     public record Noted(int from, byte[] note) implements Event {}
 
-    /** The answer to a message has begun to flow. */
+    /** The response to an attempt has begun to arrive. */
     public record Streaming(int message, int attempt) implements Event {}
 
     /**
-     * What was found of a destination beside single messages; it holds until the next such word.
+     * Limits for a destination as a whole, for example in a retry storm. They apply until the next such event.
      *
-     * @param rate     calls a second that this sender may make there, infinite for no bound
-     * @param hold     messages that may be held for it
-     * @param returnIn when there will be room for another message, 0 if nothing is known of that
-     * @param back     it has just been seen to answer again, beside the sender's own calls
+     * @param rate     calls per second that this sender may make there, infinite for no limit
+     * @param hold     maximum number of pending messages for it
+     * @param returnIn time until there is room for another message, 0 if unknown
+     * @param back     whether the destination was just seen to respond again, by others than this sender
      */
     public record Advised(int destination, double rate, int hold, double returnIn, boolean back) implements Event {}
 
     // ---- actions ----
 
-    /** Something that the sender is to do; actions are carried out in their order. */
+    /** An output of {@link Control}. The sender carries actions out in the order in which they are returned. */
     public sealed interface Action
             permits Send, Refuse, Fail, WakeAt, Cancel, Watch, Reload, Probe, CloseIdle, Note, Log {}
 
-    /** Call the target with the message; sends of a round to one target share a call where it may be. */
+    /**
+     * Send the message to the target. Sends of one round to the same target share a call, up to the batch size of its
+     * kind.
+     */
     public record Send(int message, int target, double timeout) implements Action {}
 
-    /** End the message undelivered; the client may safely return, after {@code after} if that is above 0. */
+    /**
+     * End the message undelivered; the client may resubmit it without risk.
+     *
+     * @param after retry-after delay for the client, 0 for none
+     */
     public record Refuse(int message, double after) implements Action {}
 
-    /** End the message as failed; nothing is said of whether it took effect. */
+    /** End the message as failed; whether it took effect is unknown. */
     public record Fail(int message) implements Action {}
 
-    /** Send a {@link Woken} with the token at or after the time. */
+    /** Deliver a {@link Woken} with the token at the given time or later. */
     public record WakeAt(double time, long token) implements Action {}
 
-    /** Cease to await an attempt. */
+    /** Stop waiting for an attempt; its {@link Ended} still follows. */
     public record Cancel(int message, int attempt) implements Action {}
 
-    /** Open or close a standing watch on the list of targets. */
+    /** Open or close the watch on the list of targets. */
     public record Watch(boolean on) implements Action {}
 
-    /** Ask for the whole list once. */
+    /** Request the complete list once. */
     public record Reload() implements Action {}
 
-    /** Check a target; the destination counts it like a call. */
+    /** Probe a target. The destination counts the probe as a call. */
     public record Probe(int target) implements Action {}
 
-    /** Close idle connections to a target. */
+    /** Close the idle connections to a target. */
     public record CloseIdle(int target) implements Action {}
 
-    /** Write to another sender, or to all others if {@code to} is -1. */
+    /** Send a note to another sender, or to all others if {@code to} is -1. */
     public record Note(int to, byte[] note) implements Action {}
 
-    /** A line for the operators, on a change of state. */
+    /** Write a line to the operators' log about a change of state. */
     public record Log(String line) implements Action {}
 
     private static void positive(String field, double value) {
