--- a/src/main/java/juniperusher/Control.java
+++ b/src/main/java/juniperusher/Control.java
@@ -64,14 +64,14 @@
     private final Map<Integer, PendingMessage> pendingMessages = new LinkedHashMap<>();
     final Map<Integer, TargetState> targets = new LinkedHashMap<>();
     private final Map<Integer, Destination> destinations = new LinkedHashMap<>();
-    private final Set<Destination> advisedDestinations = new LinkedHashSet<>(); // may limit pending messages
+    private final Set<Destination> advisedDestinations = new LinkedHashSet<>(); // each may limit its pending messages
     private final Map<Long, KeyQueue> keys = new LinkedHashMap<>();
     private final Map<Integer, Double> tableFullAt = new LinkedHashMap<>(); // by kind, in seconds
     private final Set<Integer> reportingKinds = new TreeSet<>(); // kinds whose responses carry load reports
-    private final List<TokenBucket> quotas = new ArrayList<>();
-    private final Map<TargetState, Call> roundCalls = new LinkedHashMap<>(); // newest call of this round
+    private final List<TokenBucket> quotas = new ArrayList<>(); // by tenant; this sender's part
+    private final Map<TargetState, Call> roundCalls = new LinkedHashMap<>(); // newest call to each in this round
     private final List<CircuitBreaker> trialBreakers = new ArrayList<>(); // those due for a trial in this round
-    private final Set<TargetState> idleCandidates = new LinkedHashSet<>(); // a call or probe ended
+    private final Set<TargetState> idleCandidates = new LinkedHashSet<>(); // a call or probe there ended in this round
     private List<Action> actions = new ArrayList<>();
     private int callsInFlight, trialsInFlight, reservedSlots, listFailures;
     private double now = -NEVER, startedAt, nextWakeAt = NEVER, timerSetFor = NEVER, watchRetryAt = NEVER;
@@ -252,7 +252,7 @@
             }
             blocksAll &= !target.breaker.open; // another message may suit a trial better
             Call call = roundCalls.get(target);
-            // Unsafe messages join no trial call, keyed ones none at a hanging target: its timeout would bind them.
+            // Unsafe messages join no trial, keyed ones none at a hanging target: a timeout would limit their repeats.
             boolean joins = call != null && (!call.trial || pending.safe || !target.breaker.hanging && !pending.unsafe);
             if (call != null && call.messageCount < target.kind.batch() && !call.endsInTime(pending, now)) {
                 continue; // is sent in a later round, in another call
@@ -416,7 +416,8 @@
             return;
         }
         double jitter = RETRY_AFTER_JITTER * spreadFactor * Math.pow(Math.min(2, spreadFactor), pending.attempts - 1);
-        boolean limitRefusal = e.outcome() == Outcome.FULL && !isConnectionFault(call, e); // others use it too
+        // Many senders use a limit without seeing each other, so their number lengthens the backoff after a refusal.
+        boolean limitRefusal = e.outcome() == Outcome.FULL && !isConnectionFault(call, e);
         double firstBackoff = FIRST_BACKOFF_SECONDS * (limitRefusal ? spreadFactor : 1);
         double wait = e.told() * (1 + jitter * (e.told() > 0 ? random.nextDouble() : 0));
         pending.dueAt = now + (wait > 0 ? wait : backoff(pending.attempts, firstBackoff, MAX_BACKOFF_SECONDS));
@@ -431,10 +432,12 @@
 
     // ---- rules for messages that may have run: decided only here ----
 
+    /** Whether the message may be sent to the target; a repeat may be bound to the zone of its first attempt. */
     private boolean maySendTo(PendingMessage pending, TargetState target) {
         return !pending.mayHaveRun || !pending.messageClass.zoneOnly() || target.info.zone() == pending.mayHaveRunZone;
     }
 
+    /** Whether the client could safely resubmit the message; otherwise it has to fail. */
     private boolean mayRefuse(PendingMessage pending) {
         return !pending.mayHaveRun || pending.safe || !pending.unsafe && !pending.messageClass.zoneOnly();
     }
@@ -534,6 +537,7 @@
         TargetState target = call.target;
         CircuitBreaker breaker = target.breaker;
         boolean connectionLost = e.outcome() == Outcome.RESET || e.outcome() == Outcome.TIMED_OUT;
+        // A call lost on an idle connection suggests that idle connections are dropped without notice.
         if (call.idleSeconds > 0 && connectionLost && call.sentAt > idleDropRefutedAt) {
             closeIdleUntil = now + IDLE_CLOSE_SECONDS;
             idleDropAfterSeconds = Math.min(idleDropAfterSeconds, call.idleSeconds / 2);
@@ -1018,6 +1022,7 @@
             this.kind = kind;
         }
 
+        /** Updates mean and deviation with the gains that TCP uses for round-trip times. */
         void recordResponseTime(double elapsed) {
             if (meanSeconds == 0) {
                 meanSeconds = elapsed;
@@ -1032,6 +1037,7 @@
             return meanSeconds == 0 ? DEFAULT_RESPONSE_SECONDS : Math.max(meanSeconds, 0.001);
         }
 
+        /** Response time beyond which a call is unlikely to be answered. */
         double maxResponseSeconds() {
             return meanSeconds + TIMEOUT_DEVIATIONS * deviationSeconds;
         }
@@ -1048,9 +1054,9 @@
         final EventRate successRate = new EventRate();
         final FailureShare failureShare = new FailureShare();
         double failingSince = NEVER, slowStartFrom = NEVER, slowStartShare = 1, lastSuccessAt = -NEVER;
-        double retryAt, knownLimit, bestSuccessRate, listedRate, slowStartCutAt, openUntil;
-        boolean limitReported, open, hanging, trialInFlight;
-        int failureCount, tripCount;
+        double retryAt, knownLimit, bestSuccessRate, listedRate, slowStartCutAt, openUntil; // rates per second
+        boolean limitReported, open, hanging, trialInFlight; // hanging: opened by calls without an answer
+        int failureCount, tripCount; // failures and refusals in a row; trips since it was closed
         PendingMessage trialMessage;
         TargetState trialTarget;
 
@@ -1059,6 +1065,7 @@
             this.name = name;
         }
 
+        /** Time without a response after which a call is overdue. */
         double unresponsiveSeconds() {
             double longest = MIN_UNRESPONSIVE_SECONDS;
             for (TargetState target : targets) {
--- a/src/test/java/juniperusher/ControlTest.java
+++ b/src/test/java/juniperusher/ControlTest.java
@@ -639,8 +639,8 @@
     }
 
     /**
-     * When each relay had to be refused by a full table before it closed connections, the score of a run with 100 relays
-     * fell from 0.61 to 0.54.
+     * When each relay had to be refused by a full table before it closed connections, the score of a run with 100
+     * relays fell from 0.61 to 0.54.
      */
     @Test
     void largeFleetClosesIdleConnectionsBeforeAnyTableIsFull() {
