--- a/src/main/java/juniperusher/core/CallEnd.java
+++ b/src/main/java/juniperusher/core/CallEnd.java
@@ -3,36 +3,38 @@
 import juniperusher.Protocol.Outcome;
 
 /**
- * Every way in which a call or its connection can end. The one place that maps these to the module's outcome:
- * a call begins to run once its last byte has arrived, so what ended before the last byte was written never
- * ran.
+ * How a call, or the connection that carries it, can end, and the outcome of each for the decision module. An endpoint
+ * starts to run a call when its last byte has arrived, so a call whose last byte was not written never ran.
  */
 public enum CallEnd {
-    /** The endpoint has delivered it. */
+    /** The endpoint confirmed the delivery. */
     DELIVERED(Outcome.DELIVERED),
     /** The endpoint answered with an error. */
     FAILED(Outcome.ERROR),
-    /** The answer cannot be read, does not end or is longer than any answer may be. */
+    /** The answer is malformed, incomplete or too long. */
     SPOILT(Outcome.ERROR),
-    /** The endpoint turned it away unseen. */
+    /** The endpoint rejected the call before it looked at its content. */
     TURNED_AWAY(Outcome.FULL),
-    /** The endpoint says that all slots of this relay were taken. */
+    /** The endpoint answered that this relay already uses all its slots. */
     NO_SLOT(Outcome.NOT_SENT),
-    /** The endpoint says that the message has had all its attempts. */
+    /** The endpoint answered that the message has no attempts left. */
     SPENT(Outcome.NOT_SENT),
-    /** The endpoint says that the message is over: nothing more is owed. */
+    /** The endpoint answered that the message is already finished; no further attempt is needed. */
     OVER(Outcome.NOT_SENT),
-    /** Held back before its first byte: a wait, a drain, an end or the deadline had come meanwhile. */
+    /**
+     * Not sent: a retry-after delay, a draining endpoint, a shutdown or the deadline intervened before the first byte,
+     * or the journal could not record the attempt.
+     */
     HELD_BACK(Outcome.NOT_SENT),
-    /** The connection was refused, never came up or broke before the last byte was written. */
+    /** The connection was refused, was not established, or broke before the last byte was written. */
     NOT_CONNECTED(Outcome.NOT_CONNECTED),
-    /** A broker returned the order, or refused it whole: no queue has it, as if nobody were there. */
+    /** A broker returned or rejected the message because no queue accepts it. */
     UNROUTABLE(Outcome.NOT_CONNECTED),
-    /** The connection broke or ended after the last byte was written and before an answer. */
+    /** The connection broke or was closed after the last byte was written and before an answer arrived. */
     BROKEN(Outcome.RESET),
-    /** This relay stopped waiting for the answer. */
+    /** No answer arrived within the timeout. */
     TIMED_OUT(Outcome.TIMED_OUT),
-    /** The module called it off. */
+    /** The decision module cancelled the call, or an RPC of it failed within this relay. */
     CALLED_OFF(Outcome.CANCELLED);
 
     private final Outcome outcome;
@@ -41,19 +43,30 @@
         this.outcome = outcome;
     }
 
-    /** What the module is told. */
+    /** The outcome reported to the decision module. */
     public Outcome outcome() {
         return outcome;
     }
 
-    /** The same end, given the status in the answer's first line, if any came, and the RPCs of the call. */
+    /**
+     * Returns {@code DELIVERED} if the answer's status line already confirmed the delivery of a single RPC, though the
+     * rest of the answer is missing; otherwise this end.
+     *
+     * @param status HTTP status, 0 if no status line arrived
+     * @param rpcs number of RPCs in the call
+     */
     public CallEnd afterFirstLine(int status, int rpcs) {
-        return status == 200 && rpcs == 1 ? DELIVERED : this; // that much was said before the rest was lost
+        return status == 200 && rpcs == 1 ? DELIVERED : this;
     }
 
-    /** The same end of a connection, given whether the call's last byte may have been written. */
+    /**
+     * Returns {@code NOT_CONNECTED} if this end interrupted the call before its last byte was written, since the call
+     * never ran then; otherwise this end.
+     *
+     * @param lastByteMayBeWritten whether the last byte of the call may have been written
+     */
     public CallEnd given(boolean lastByteMayBeWritten) {
-        boolean cut = this == BROKEN || this == TIMED_OUT || this == CALLED_OFF;
-        return cut && !lastByteMayBeWritten ? NOT_CONNECTED : this;
+        boolean interrupted = this == BROKEN || this == TIMED_OUT || this == CALLED_OFF;
+        return interrupted && !lastByteMayBeWritten ? NOT_CONNECTED : this;
     }
 }
--- a/src/main/java/juniperusher/core/CallResult.java
+++ b/src/main/java/juniperusher/core/CallResult.java
@@ -3,14 +3,14 @@
 import juniperusher.Protocol.Report;
 
 /**
- * The result of one RPC's call.
+ * The result of one RPC in a call.
  *
- * @param end    how it ended
- * @param told   seconds for which the endpoint told this relay to send its destination nothing, 0 for none
- * @param report what the endpoint reported of its limit, or null
+ * @param end how the call ended
+ * @param told retry-after delay of the destination in seconds, 0 for none
+ * @param report the load report of the endpoint, or null
  */
 public record CallResult(CallEnd end, double told, Report report) {
-    /** A result with nothing told and nothing reported. */
+    /** A result without a retry-after delay or a load report. */
     public static CallResult of(CallEnd end) {
         return new CallResult(end, 0, null);
     }
--- a/src/main/java/juniperusher/core/Channel.java
+++ b/src/main/java/juniperusher/core/Channel.java
@@ -1,10 +1,10 @@
 package juniperusher.core;
 
-/** The client's side of one RPC: told once whether the relay takes the RPC on. */
+/** The connection to the client that submits an RPC. Exactly one of the two methods is called, once. */
 public interface Channel {
-    /** The relay has taken the RPC on and owes it its end. */
+    /** The relay has accepted the RPC and will report its end. */
     void takenOn();
 
-    /** The relay has not taken it on; handing it in again is harmless. */
+    /** The relay has not accepted the RPC; the client may resubmit it. */
     void refused(UnavailableStatus status);
 }
--- a/src/main/java/juniperusher/core/Companion.java
+++ b/src/main/java/juniperusher/core/Companion.java
@@ -5,25 +5,33 @@
 import juniperusher.Protocol.Event;
 
 /**
- * Sees each round's events before the module does and its actions after it, and may add to both; of the
- * events it
- * may keep what it has itself asked for. It is called by the thread that owns the module and must not wait
- * for anything.
+ * Intercepts the events of each round before the decision module receives them, and its actions before they are carried
+ * out. Except where noted, methods are called by the decision thread; none may block.
  */
 public interface Companion {
-    /** Events that the module is given in place of these; the time is that of the round, in seconds. */
+    /**
+     * Returns the events that the decision module receives instead of {@code events}. Events that answer an action of
+     * this companion, such as the result of its own probe, may be left out.
+     *
+     * @param now time of the round in seconds
+     */
     List<Event> before(double now, List<Event> events);
 
     /**
-     * An RPC becomes a message of this number; whether it is one that was refused before and comes again
-     * without a
-     * mark. Called in the round in which the module hears of it, before {@link #before}.
+     * Called when an accepted RPC becomes a message, in the round of its arrival and before {@link #before}. Returns
+     * whether the RPC is an unmarked resubmission of one that was refused earlier.
+     *
+     * @param message number of the new message
      */
     boolean comesAgain(int message, RpcRequest request);
 
-    /** An RPC was refused before it became a message. Called by any thread. */
+    /** An RPC was refused and did not become a message. Called by any thread. */
     void turnedAway(RpcRequest request);
 
-    /** Actions that are carried out after these. */
+    /**
+     * Returns further actions, which are carried out after {@code actions}.
+     *
+     * @param now time of the round in seconds
+     */
     List<Action> after(double now, List<Action> actions);
 }
--- a/src/main/java/juniperusher/core/Counters.java
+++ b/src/main/java/juniperusher/core/Counters.java
@@ -5,17 +5,23 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.DoubleSupplier;
 
-/** What the relay has taken in, sent and answered, printed in Prometheus' text format. */
+/** Counters and gauges of the relay in the Prometheus text exposition format. Safe for threads. */
 public final class Counters {
     private final Map<String, LongAdder> values = new ConcurrentSkipListMap<>();
     private final Map<String, DoubleSupplier> gauges = new ConcurrentSkipListMap<>();
 
-    /** Adds one to the counter; labels are given as name, value, name, value. */
+    /**
+     * Increments the counter.
+     *
+     * @param labels alternating label names and values
+     */
     public void add(String name, String... labels) {
         values.computeIfAbsent(series(name, labels), key -> new LongAdder()).increment();
     }
 
-    /** Prints {@code value} as a gauge from now on. */
+    /**
+     * Registers a gauge, whose value is read each time the metrics are printed. A gauge of the same name is replaced.
+     */
     public void gauge(String name, DoubleSupplier value) {
         gauges.put("juniperusher_" + name, value);
     }
@@ -35,13 +41,17 @@
         return out.append(labels.length > 0 ? "}" : "").toString();
     }
 
-    /** The value of a series, 0 if nothing was counted. */
+    /**
+     * Returns the value of a counter, or 0 if it was never incremented.
+     *
+     * @param labels alternating label names and values
+     */
     public long get(String name, String... labels) {
         LongAdder value = values.get(series(name, labels));
         return value == null ? 0 : value.sum();
     }
 
-    /** All series in Prometheus' text exposition format. */
+    /** Prints all counters and gauges in the Prometheus text exposition format. */
     public String text() {
         StringBuilder out = new StringBuilder();
         String family = "";
--- a/src/main/java/juniperusher/core/DecisionLoop.java
+++ b/src/main/java/juniperusher/core/DecisionLoop.java
@@ -16,103 +16,110 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that owns the module. A round drains the queue, asks the module and has its actions
- * carried out in their order. Rounds keep the settings' shortest gap, so that what comes together is
- * decided together.
+ * Runs the decision module, which is not safe for threads, in one thread. Each round takes all queued events and due
+ * wake-ups, asks the module for its actions and has them carried out in order. A minimum time passes between the starts
+ * of two rounds, so that events that arrive together are decided together.
  */
 final class DecisionLoop implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
 
     private final Control control;
     private final Companion companion;
-    private final long gap;
-    private final Executor executor;
-    private final long origin = System.nanoTime();
+    private final long minRoundNanos;
+    private final ActionExecutor actionExecutor;
+    private final long originNanos = System.nanoTime();
     private final BlockingQueue<Supplier<Event>> queue = new LinkedBlockingQueue<>();
-    private final PriorityQueue<WakeAt> wakes = new PriorityQueue<>((a, b) -> Double.compare(a.time(), b.time()));
+    private final PriorityQueue<WakeAt> wakeUps = new PriorityQueue<>((a, b) -> Double.compare(a.time(), b.time()));
 
     private volatile boolean stopped;
 
-    /** Carries out the actions of one round. */
-    interface Executor {
+    /** Carries out the actions of one round, in order. */
+    interface ActionExecutor {
         void carryOut(List<Action> actions);
     }
 
-    /** {@code companion} may be null. */
-    DecisionLoop(Control control, Companion companion, double gap, Executor executor) {
+    /**
+     * Creates a loop, which runs once it is given to a thread.
+     *
+     * @param companion may be null
+     * @param minRoundSeconds minimum time between the starts of two rounds
+     */
+    DecisionLoop(Control control, Companion companion, double minRoundSeconds, ActionExecutor actionExecutor) {
         this.control = control;
         this.companion = companion;
-        this.gap = (long) (gap * 1e9);
-        this.executor = executor;
+        this.minRoundNanos = (long) (minRoundSeconds * 1e9);
+        this.actionExecutor = actionExecutor;
     }
 
+    /** Queues the event for the next round. Safe for threads. */
     void post(Event event) {
         queue.add(() -> event);
     }
 
-    /** Posts an event that is made when the round takes it, for what it says of the time that is left. */
-    void postLate(Supplier<Event> event) {
+    /** Posts an event that is created when its round starts, because its content depends on the time. */
+    void postDeferred(Supplier<Event> event) {
         queue.add(event);
     }
 
     /**
-     * Decides nothing more. Guards the journal: an interrupt would close its file under a write, and what the
-     * module decided would be done without being written down.
+     * Ends the loop without a further decision. The thread is not interrupted: an interrupt during a write would close
+     * the journal's file, and the rest of the round's actions would go unrecorded.
      */
     void stop() {
         stopped = true;
         queue.add(() -> new Woken(-1));
     }
 
-    private double now() {
-        return (System.nanoTime() - origin) / 1e9;
+    private double nowSeconds() {
+        return (System.nanoTime() - originNanos) / 1e9;
     }
 
     @Override
     public void run() {
         try {
             while (!stopped) {
-                round();
+                runRound();
             }
         } catch (InterruptedException e) {
-            LOG.debug("decision loop ended");
+            LOG.debug("decision loop interrupted");
         } catch (RuntimeException | Error e) {
-            // Guards against a relay that takes RPCs on while nothing decides: better down, to come back.
-            LOG.error("the decision loop failed", e);
+            // A relay that accepts RPCs without deciding on them is worse than one that is down and gets restarted.
+            LOG.error("the decision loop failed, the process exits", e);
             Runtime.getRuntime().halt(3);
         }
     }
 
-    private void round() throws InterruptedException {
-        List<Supplier<Event>> taken = new ArrayList<>();
-        WakeAt next = wakes.peek();
-        Supplier<Event> first = next == null
+    private void runRound() throws InterruptedException {
+        List<Supplier<Event>> suppliers = new ArrayList<>();
+        WakeAt nextWakeUp = wakeUps.peek();
+        Supplier<Event> first = nextWakeUp == null
                 ? queue.take()
-                : queue.poll((long) (Math.max(0, next.time() - now()) * 1e9) + 1, TimeUnit.NANOSECONDS);
-        long started = System.nanoTime();
+                : queue.poll((long) (Math.max(0, nextWakeUp.time() - nowSeconds()) * 1e9) + 1, TimeUnit.NANOSECONDS);
+        long startedNanos = System.nanoTime();
         if (first != null) {
-            taken.add(first);
+            suppliers.add(first);
         }
-        queue.drainTo(taken);
-        double now = now();
+        queue.drainTo(suppliers);
+        double nowSeconds = nowSeconds();
         List<Event> events = new ArrayList<>();
-        taken.forEach(event -> events.add(event.get()));
-        while (!wakes.isEmpty() && wakes.peek().time() <= now) {
-            events.add(new Woken(wakes.poll().token()));
+        suppliers.forEach(event -> events.add(event.get()));
+        while (!wakeUps.isEmpty() && wakeUps.peek().time() <= nowSeconds) {
+            events.add(new Woken(wakeUps.poll().token()));
         }
         if (events.isEmpty() || stopped) {
             return;
         }
-        List<Action> actions = control.decide(now, companion == null ? events : companion.before(now, events));
+        List<Action> actions =
+                control.decide(nowSeconds, companion == null ? events : companion.before(nowSeconds, events));
         if (companion != null) {
-            actions.addAll(companion.after(now, actions));
+            actions.addAll(companion.after(nowSeconds, actions));
         }
         for (Action action : actions) {
-            if (action instanceof WakeAt wake) {
-                wakes.add(wake);
+            if (action instanceof WakeAt wakeUp) {
+                wakeUps.add(wakeUp);
             }
         }
-        executor.carryOut(actions);
-        TimeUnit.NANOSECONDS.sleep(gap - (System.nanoTime() - started));
+        actionExecutor.carryOut(actions);
+        TimeUnit.NANOSECONDS.sleep(minRoundNanos - (System.nanoTime() - startedNanos));
     }
 }
--- a/src/main/java/juniperusher/core/Extension.java
+++ b/src/main/java/juniperusher/core/Extension.java
@@ -3,17 +3,20 @@
 import java.util.List;
 import juniperusher.Protocol.Target;
 
-/** A further front and the endpoints that are reached over its wire, beside those of the platform. */
+/**
+ * An additional protocol beside the platform's HTTP: a front that accepts RPCs and the endpoints that are called over
+ * the same protocol.
+ */
 public interface Extension extends AutoCloseable {
-    /** Its endpoints, which no resolver result names. */
+    /** Endpoints of this extension, which resolver results do not contain. */
     List<Target> targets();
 
-    /** Calls to them. */
+    /** Calls to these endpoints. */
     Subchannels subchannels();
 
-    /** Adds its front to the relay. */
+    /** Adds the front of this extension to the relay. */
     void join(Relay relay);
 
-    /** Begins to take RPCs in. */
+    /** Starts to accept RPCs. */
     void open() throws Exception;
 }
--- a/src/main/java/juniperusher/core/Front.java
+++ b/src/main/java/juniperusher/core/Front.java
@@ -1,23 +1,23 @@
 package juniperusher.core;
 
-/** A wire on which RPCs come in and on which their ends are told. */
+/** A protocol over which clients submit RPCs and receive their ends. Methods may be called by any thread. */
 public interface Front {
-    /** The name under which the journal and the counters know it. */
+    /** Name of this front in the journal and in metric labels; it must not change between versions. */
     String name();
 
-    /** Whether this end is told to somebody; if not, it is over once it is in the journal. */
+    /** Whether this end is reported to the client. If not, the RPC is finished once its end is in the journal. */
     boolean tells(RpcEnd end);
 
     /**
-     * Tells the end, again and again until it is acknowledged; then runs {@code acknowledged} once.
+     * Reports the end, repeatedly until the receiver acknowledges it, then runs {@code acknowledged} once.
      *
-     * @param again an earlier process may have told it already
+     * @param again whether an earlier process may have reported it already
      */
     void report(RpcEnd end, boolean again, Runnable acknowledged);
 
     /**
-     * Whether an end that is told counts for those behind it in its order only once it is acknowledged; else
-     * as soon as it is told.
+     * Whether later messages with the same order key wait until the receiver has acknowledged this end. If false, they
+     * wait only until the report has been started.
      */
     default boolean overOnceAcknowledged() {
         return true;
--- a/src/main/java/juniperusher/core/Journal.java
+++ b/src/main/java/juniperusher/core/Journal.java
@@ -21,117 +21,160 @@
 import org.slf4j.event.Level;
 
 /**
- * What the relay owes, in the folder that outlasts its process. Append-only segments hold its steps; when the room runs
- * out, what is still owed is copied into a new segment and the old ones go. Both copies fit into the room at any time.
- * Nothing is synced: what is written survives the process, and only the loss of the machine loses it.
+ * The write-ahead journal of the relay: the unfinished messages and the steps of each, in a folder that outlasts the
+ * process. Steps are appended to segment files. When the disk bound is reached, a snapshot of everything unfinished is
+ * written to a new segment and the old segments are removed; the bound leaves room for both copies at any time. Nothing
+ * is synced to the disk: written data survives the end of the process but not the loss of the machine.
  *
- * <p>The folder may fail for a while. A step that binds (a message is taken on, an attempt leaves) happens only once it
- * is written; else it is refused, and the state in memory stays as it was. A step that reports what has happened (an
- * outcome, an end, its acknowledgement) counts in memory at once; the journal is then {@link #behind} until
- * {@link #catchUp} has written all that is owed to a new segment.
+ * <p>Writes may fail for a while. A step that needs permission (accepting a message, starting an attempt) happens only
+ * after it is written; if the write fails, it is refused and the state in memory stays unchanged. A step that reports
+ * an event (an outcome, an end, an acknowledgement) changes the state in memory at once; the journal is then {@link
+ * #isBehind} until {@link #catchUp} has written a snapshot.
  *
- * <p>At an upgrade two processes share the folder. The one that holds the lock on {@code owner} is the owner; a process
- * that finds the lock held starts as a successor: it takes up nothing, writes segments of its own numbers, and leaves
- * the others' segments alone until {@link #adopt} finds the lock free (the other process has ended), when it copies
- * what they owe into its own and removes them.
+ * <p>Two processes share the folder at an upgrade. The owner holds the lock on the file {@code owner}. A process that
+ * finds the lock taken starts as the successor: it reads the other process's segments without resuming their messages,
+ * writes its own segments under higher numbers, and waits in {@link #takeOverFromPredecessor} until the lock is free
+ * because the owner has ended. Then it copies the owner's unfinished messages into its own journal and removes the
+ * owner's segments.
  *
  * <p>Safe for threads.
  */
 public final class Journal {
     private static final Logger LOG = LoggerFactory.getLogger(Journal.class);
-    private static final int SMALL = 560; // bytes of small records that an RPC may still write, at most
-    private static final int SLACK = 8 * 1024; // bytes kept free for rounding up and for the folder itself
-    private static final long LATELY = 120_000; // ms for which the id of an RPC that is over is remembered
-    private static final int SUCCESSOR_SEGMENTS = 10_000; // numbers of segments beyond the owner's
-    private static final int SUCCESSOR_NUMBERS = 1 << 24; // numbers of RPCs beyond the owner's
-    private static final long STEPPED = 1_000; // ms between the two clocks that are worth a line in the log
-    private static final String OWNER = "owner";
-    private static final long OPEN_PATIENCE = 20_000; // ms for a folder that cannot be read at a start
-    private static final long OPEN_PAUSE = 50; // ms between two tries to read it
-    private static final long RETRY = 20_000_000; // ns between two tries to catch up with a folder that fails
+    // Upper bound of the bytes that an accepted RPC still adds in small records (attempts, outcomes, its end).
+    private static final int SMALL_RECORD_BYTES_PER_RPC = 560;
+    // Kept free for rounding up file sizes to disk blocks and for the folder itself.
+    private static final int FOLDER_OVERHEAD_BYTES = 8 * 1024;
+    // How long the key of a finished RPC that is accepted only once is remembered.
+    private static final long REMEMBERED_KEY_MILLIS = 120_000;
+    // Added to the owner's last segment number; the owner writes further segments while the successor writes its own.
+    private static final int SUCCESSOR_SEGMENT_OFFSET = 10_000;
+    // Added to the owner's last message number, since the owner accepts further messages too.
+    private static final int SUCCESSOR_NUMBER_OFFSET = 1 << 24;
+    // A difference of this size between the steady clock and the wall clock is logged at level INFO.
+    private static final long CLOCK_STEP_MILLIS = 1_000;
+    private static final String OWNER_LOCK_FILE = "owner";
+    // How long a start waits for a folder that cannot be read.
+    private static final long OPEN_TIMEOUT_MILLIS = 20_000;
+    private static final long OPEN_RETRY_DELAY_MILLIS = 50;
+    // Minimum time between two attempts to write a snapshot while writes fail.
+    private static final long CATCH_UP_RETRY_NANOS = 20_000_000;
 
     private final Path folder;
-    private final long limit;
-    private final long reserve;
-    private final Map<Integer, Owed> owed = new LinkedHashMap<>();
-    private final Map<String, Long> lately = new LinkedHashMap<>();
+    private final long limitBytes;
+    private final long reserveBytes;
+    private final Map<Integer, Owed> unfinished = new LinkedHashMap<>();
+    private final Map<String, Long> endMillisByKey = new LinkedHashMap<>();
     private final List<Owed> recovered;
-    private final List<Runnable> onceWritten = new ArrayList<>();
+    private final List<Runnable> actionsOnceWritten = new ArrayList<>();
     private JournalSegments segments;
-    private int firstSegment; // of those that a snapshot of this journal stands for
-    private long live;
+    private int firstSegment; // lowest segment number that a snapshot of this journal replaces
+    private long snapshotBytes; // size of a snapshot of the current state
     private int lastNumber;
-    private FileChannel ownerFile;
-    private FileLock owning;
-    private boolean owner;
-    private boolean behind; // the file lacks steps that have happened
-    private boolean failing; // the last write failed
-    private long failures;
-    private long retryAt; // System.nanoTime of the next try to catch up, while the folder fails
-    private Runnable whenBehind = () -> {};
+    private FileChannel ownerLockChannel;
+    private FileLock ownerLock;
+    private boolean isOwner;
+    private boolean snapshotNeeded; // the segments lack steps, or room for them
+    private boolean lastWriteFailed;
+    private long failedWrites;
+    private long retryAtNanos; // System.nanoTime of the next attempt after a failed write
+    private Runnable catchUpRequest = () -> {};
 
     /**
-     * An attempt, from which a window for repeats runs.
+     * An attempt to deliver an RPC. The time window in which it may be repeated starts with it.
      *
-     * @param at   steady time in milliseconds just before its first byte, see {@link SteadyClock}
-     * @param zone place of the endpoint's zone in the settings
+     * @param startedAtMillis time just before the first byte in milliseconds of {@link SteadyClock}
+     * @param zoneIndex index of the endpoint's zone in the settings, -1 if unknown
      */
-    public record Attempt(long at, int zone) {}
+    public record Attempt(long startedAtMillis, int zoneIndex) {}
 
     /**
-     * An RPC that is owed its end, or whose end is still to be told.
+     * An unfinished message: an accepted RPC that has not ended, or whose end is not acknowledged yet.
      *
-     * @param className name of its class, whose place may differ in the settings of the next process
-     * @param takenAt   steady time in microseconds at which it was taken on, 0 where a journal of an
-     *                  earlier version does not tell
-     * @param ran       the first attempt that may have run, or null
-     * @param out       the attempt that has no outcome yet, or null
-     * @param end       its end, if it has one, else null
+     * @param number number of the message in this journal
+     * @param className name of its class, whose index may differ in the settings of the next process
+     * @param acceptedAtMicros time at which it was accepted in microseconds of {@link SteadyClock}, 0 if an earlier
+     *     version recorded it without one
+     * @param attempts number of attempts started
+     * @param firstPossibleRun the first attempt that may have run, or null
+     * @param inFlight the attempt without a known outcome, or null
+     * @param end its end, or null while it has none
      */
     public record Owed(
             int number,
             RpcRequest request,
             String className,
-            long takenAt,
+            long acceptedAtMicros,
             int attempts,
-            Attempt ran,
-            Attempt out,
+            Attempt firstPossibleRun,
+            Attempt inFlight,
             RpcEnd end) {
-        /** Whether an attempt may have run; one without an outcome counts once the process has ended. */
+        /**
+         * Whether an attempt may have run. An attempt in flight counts only after a restart, see {@link #afterRestart}.
+         */
         public boolean mayHaveRun() {
-            return ran != null;
+            return firstPossibleRun != null;
         }
 
-        /** Whether its id is remembered; what was handed back never ran and may come again under its id. */
-        boolean rememberedAsOnce() {
+        /**
+         * Whether its key is remembered, so that a second submission is dropped. A returned message is excluded,
+         * because its client may resubmit it under the same id.
+         */
+        boolean keyIsRemembered() {
             return request.once() && end.kind() != RpcEnd.Kind.HANDED_BACK;
         }
 
-        /** What a restart has to assume of it. */
-        Owed settled() {
-            return new Owed(number, request, className, takenAt, attempts, ran == null ? out : ran, null, end);
-        }
-
-        /** An attempt leaves. One before it whose outcome was not written down may have run. */
-        Owed sent(Attempt attempt) {
-            return new Owed(number, request, className, takenAt, attempts + 1, ran == null ? out : ran, attempt, null);
-        }
-
-        Owed answered(boolean neverRan) {
+        /** The state that a new process assumes: an attempt in flight may have run. */
+        Owed afterRestart() {
             return new Owed(
-                    number, request, className, takenAt, attempts, ran == null && !neverRan ? out : ran, null, null);
+                    number,
+                    request,
+                    className,
+                    acceptedAtMicros,
+                    attempts,
+                    firstPossibleRun == null ? inFlight : firstPossibleRun,
+                    null,
+                    end);
+        }
+
+        /** A further attempt starts. An earlier attempt without a recorded outcome may have run. */
+        Owed withAttempt(Attempt attempt) {
+            return new Owed(
+                    number,
+                    request,
+                    className,
+                    acceptedAtMicros,
+                    attempts + 1,
+                    firstPossibleRun == null ? inFlight : firstPossibleRun,
+                    attempt,
+                    null);
+        }
+
+        /** The attempt in flight has ended. */
+        Owed withOutcome(boolean neverRan) {
+            return new Owed(
+                    number,
+                    request,
+                    className,
+                    acceptedAtMicros,
+                    attempts,
+                    firstPossibleRun == null && !neverRan ? inFlight : firstPossibleRun,
+                    null,
+                    null);
         }
 
-        Owed over(RpcEnd newEnd) {
-            return new Owed(number, request, className, takenAt, attempts, ran, null, newEnd);
+        /** The RPC has ended. */
+        Owed withEnd(RpcEnd newEnd) {
+            return new Owed(number, request, className, acceptedAtMicros, attempts, firstPossibleRun, null, newEnd);
         }
 
-        Owed numbered(int newNumber) {
-            return new Owed(newNumber, request, className, takenAt, attempts, ran, out, end);
+        Owed withNumber(int newNumber) {
+            return new Owed(newNumber, request, className, acceptedAtMicros, attempts, firstPossibleRun, inFlight, end);
         }
 
-        long size() {
-            return JournalRecords.HEADER
+        /** Upper bound of the bytes that it takes in a snapshot. */
+        long sizeBytes() {
+            return JournalRecords.HEADER_BYTES
                     + 64
                     + 3L
                             * (request.id().length()
@@ -145,84 +188,100 @@
         }
     }
 
-    /** Opens the journal in the folder, reads what is owed and starts a clean segment with it. */
-    public Journal(Path folder, long diskBytes, int held) throws IOException {
-        this(folder, diskBytes, held, false);
+    /**
+     * Opens the journal in the folder, reads its unfinished messages and writes them to a new segment. Waits up to 20
+     * seconds for a folder that cannot be read.
+     *
+     * @param diskBytes upper bound of the folder's size
+     * @param maxPending maximum number of pending messages, for whose further records room is reserved
+     * @throws IOException if the folder cannot be created or read; a failing write is no error here
+     */
+    public Journal(Path folder, long diskBytes, int maxPending) throws IOException {
+        this(folder, diskBytes, maxPending, false);
     }
 
-    /** The same; {@code successor} makes it one whatever the lock says, for tests within one process. */
-    Journal(Path folder, long diskBytes, int held, boolean successor) throws IOException {
+    /**
+     * Tests set {@code successor} to start as a successor whatever the lock's state, since both processes are one
+     * there.
+     */
+    Journal(Path folder, long diskBytes, int maxPending, boolean successor) throws IOException {
         this.folder = folder;
-        limit = diskBytes - SLACK;
-        reserve = Math.min(limit / 4, (long) held * SMALL);
-        open(successor);
-        recovered = List.copyOf(owed.values());
-        live = owed.values().stream().mapToLong(Owed::size).sum()
-                + lately.keySet().stream().mapToLong(Journal::rememberedSize).sum();
-        behind = true;
-        writeSnapshot(); // where it fails what is owed is known all the same, and the old segments stay
-    }
-
-    /** Guards a start against a folder that fails for a while: what it holds is owed, and cannot be left. */
-    private void open(boolean successor) throws IOException {
-        long until = System.nanoTime() + OPEN_PATIENCE * 1_000_000;
-        for (boolean told = false; ; told = true) {
+        limitBytes = diskBytes - FOLDER_OVERHEAD_BYTES;
+        reserveBytes = Math.min(limitBytes / 4, (long) maxPending * SMALL_RECORD_BYTES_PER_RPC);
+        openFolder(successor);
+        recovered = List.copyOf(unfinished.values());
+        snapshotBytes = unfinished.values().stream().mapToLong(Owed::sizeBytes).sum()
+                + endMillisByKey.keySet().stream()
+                        .mapToLong(Journal::rememberedKeyBytes)
+                        .sum();
+        snapshotNeeded = true;
+        // if this fails, the unfinished messages are still known and the old segments stay
+        writeSnapshotIfNeeded();
+    }
+
+    /** Retries while the folder cannot be read: starting without it would lose the unfinished messages in it. */
+    private void openFolder(boolean successor) throws IOException {
+        long untilNanos = System.nanoTime() + OPEN_TIMEOUT_MILLIS * 1_000_000;
+        for (boolean logged = false; ; logged = true) {
             try {
                 Files.createDirectories(folder);
-                lock(successor);
-                read();
+                lockFolder(successor);
+                readSegments();
                 return;
             } catch (FileAlreadyExistsException | NotDirectoryException | AccessDeniedException e) {
-                throw e; // no such folder can be had, and waiting does not help
+                // the folder cannot exist or be accessed, so a retry does not help
+                throw e;
             } catch (IOException e) {
-                if (System.nanoTime() > until) {
+                if (System.nanoTime() > untilNanos) {
                     throw e;
                 }
-                if (!told) {
+                if (!logged) {
                     LOG.atWarn().log("journal: the folder cannot be read yet: {}", e.toString());
                 }
-                pause(e);
+                pauseBeforeRetry(e);
             }
         }
     }
 
-    private static void pause(IOException why) throws IOException {
+    private static void pauseBeforeRetry(IOException cause) throws IOException {
         try {
-            Thread.sleep(OPEN_PAUSE);
+            Thread.sleep(OPEN_RETRY_DELAY_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw why;
+            throw cause;
         }
     }
 
-    private void lock(boolean successor) throws IOException {
-        if (ownerFile != null) {
+    private void lockFolder(boolean successor) throws IOException {
+        if (ownerLockChannel != null) {
             return;
         }
-        ownerFile = FileChannel.open(folder.resolve(OWNER), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        ownerLockChannel =
+                FileChannel.open(folder.resolve(OWNER_LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
-            owning = successor ? null : ownerFile.tryLock();
-            owner = owning != null;
+            ownerLock = successor ? null : ownerLockChannel.tryLock();
+            isOwner = ownerLock != null;
         } catch (OverlappingFileLockException e) {
-            owner = true; // this very process holds it: a journal opened again, as tests do
+            // this process holds the lock already: a test has opened the journal again
+            isOwner = true;
         } catch (IOException e) {
-            // Guards a start where the file system has no locks: the folder is taken as this process's own.
-            LOG.atWarn().log("journal: the folder cannot be locked, and is taken as this process's: {}", e.toString());
-            owner = true;
+            // The file system has no locks: assume that no other process uses the folder.
+            LOG.atWarn().log("journal: the folder cannot be locked; this process acts as its owner: {}", e.toString());
+            isOwner = true;
         }
     }
 
-    private void read() throws IOException {
+    private void readSegments() throws IOException {
         List<Path> found = JournalSegments.all(folder);
         JournalReplay replay = JournalReplay.of(found);
         resumeClock(replay);
-        lately.putAll(replay.lately());
+        endMillisByKey.putAll(replay.endMillisByKey());
         lastNumber = replay.lastNumber();
         int newest = found.isEmpty() ? 0 : JournalSegments.number(found.get(found.size() - 1));
-        if (!owner) {
-            // Guards the other process's journal: read to learn its numbers only, and left as it is.
-            firstSegment = newest + SUCCESSOR_SEGMENTS;
-            lastNumber += SUCCESSOR_NUMBERS;
+        if (!isOwner) {
+            // The other process still writes its segments: only its highest numbers are needed here.
+            firstSegment = newest + SUCCESSOR_SEGMENT_OFFSET;
+            lastNumber += SUCCESSOR_NUMBER_OFFSET;
             segments = new JournalSegments(folder, firstSegment);
             LOG.atInfo()
                     .addKeyValue("segments", found.size())
@@ -231,267 +290,298 @@
         }
         segments = new JournalSegments(folder, newest);
         for (Path path : found) {
-            segments.own(path);
+            segments.addOwn(path);
         }
-        replay.owed().forEach((number, left) -> owed.put(number, left.settled()));
+        replay.unfinished().forEach((number, entry) -> unfinished.put(number, entry.afterRestart()));
     }
 
     private static void resumeClock(JournalReplay replay) {
-        if (replay.clock() == null) {
+        if (replay.clockMark() == null) {
             return;
         }
-        boolean resumed = SteadyClock.resume(replay.clock());
-        long ahead = SteadyClock.millis() - System.currentTimeMillis();
-        // A wall clock that has stepped since, or a machine that has started again, explains what a timeline shows.
-        LOG.atLevel(resumed && Math.abs(ahead) < STEPPED ? Level.DEBUG : Level.INFO)
+        boolean resumed = SteadyClock.resume(replay.clockMark());
+        long aheadMillis = SteadyClock.millis() - System.currentTimeMillis();
+        // Logged because a wall clock step or a reboot explains irregular timelines.
+        LOG.atLevel(resumed && Math.abs(aheadMillis) < CLOCK_STEP_MILLIS ? Level.DEBUG : Level.INFO)
                 .addKeyValue("resumed", resumed)
-                .addKeyValue("ahead_of_wall_ms", ahead)
-                .log("journal: the clock of the process before");
+                .addKeyValue("ahead_of_wall_ms", aheadMillis)
+                .log("journal: steady clock compared with the one of the previous process");
     }
 
-    /** Whether another process owned the folder at the start and has not yet been taken over from. */
-    public synchronized boolean successor() {
-        return !owner;
+    /** Whether another process owned the folder at the start and its messages have not been taken over yet. */
+    public synchronized boolean isSuccessor() {
+        return !isOwner;
     }
 
     /**
-     * Waits until the process that owned the folder has ended, then takes what it owed into this journal under new
-     * numbers and removes its segments. Returns what was taken, settled as a restart would: an attempt that was out may
-     * have run. Returns nothing if this journal owned the folder from the start.
+     * Waits until the owner has ended, then adds its unfinished messages to this journal under new numbers and removes
+     * its segments.
+     *
+     * @return the messages taken over, in the state that a restart assumes: an attempt in flight may have run; an empty
+     *     list if this journal has owned the folder from the start
      */
-    public List<Owed> adopt() throws IOException, InterruptedException {
-        FileChannel file;
+    public List<Owed> takeOverFromPredecessor() throws IOException, InterruptedException {
+        FileChannel lockChannel;
         synchronized (this) {
-            if (owner) {
+            if (isOwner) {
                 return List.of();
             }
-            file = ownerFile;
+            lockChannel = ownerLockChannel;
         }
         FileLock lock = null;
         while (lock == null) {
             try {
-                lock = file.lock(); // blocks until the other process has ended
+                lock = lockChannel.lock(); // blocks until the owner has ended
             } catch (OverlappingFileLockException e) {
-                Thread.sleep(20); // the owner is a journal of this very process, as in tests
+                // a test has opened the owner in this process
+                Thread.sleep(20);
             }
         }
         synchronized (this) {
-            owning = lock;
-            owner = true;
-            return takeOver();
+            ownerLock = lock;
+            isOwner = true;
+            return takeOverSegments();
         }
     }
 
-    private List<Owed> takeOver() throws IOException {
-        List<Path> theirs = JournalSegments.all(folder).stream()
+    private List<Owed> takeOverSegments() throws IOException {
+        List<Path> otherSegments = JournalSegments.all(folder).stream()
                 .filter(path -> !segments.owns(path))
                 .toList();
-        JournalReplay other = JournalReplay.of(theirs);
-        List<Owed> taken = new ArrayList<>();
-        for (Owed left : other.owed().values()) {
-            Owed entry = left.settled().numbered(++lastNumber);
-            owed.put(entry.number(), entry);
-            live += entry.size();
-            taken.add(entry);
-        }
-        other.lately().forEach((key, at) -> live += lately.put(key, at) == null ? rememberedSize(key) : 0);
-        for (Path path : theirs) {
-            segments.own(path);
-        }
-        firstSegment = 0; // from now on a snapshot stands for theirs too
-        behind = true;
-        writeSnapshot(); // their segments go once the new one is whole
+        JournalReplay replay = JournalReplay.of(otherSegments);
+        List<Owed> takenOver = new ArrayList<>();
+        for (Owed otherEntry : replay.unfinished().values()) {
+            Owed entry = otherEntry.afterRestart().withNumber(++lastNumber);
+            unfinished.put(entry.number(), entry);
+            snapshotBytes += entry.sizeBytes();
+            takenOver.add(entry);
+        }
+        replay.endMillisByKey()
+                .forEach((key, endMillis) ->
+                        snapshotBytes += endMillisByKey.put(key, endMillis) == null ? rememberedKeyBytes(key) : 0);
+        for (Path path : otherSegments) {
+            segments.addOwn(path);
+        }
+        // from now on a snapshot replaces the other segments too
+        firstSegment = 0;
+        snapshotNeeded = true;
+        // removes the other segments after the new one is complete
+        writeSnapshotIfNeeded();
         LOG.atInfo()
-                .addKeyValue("segments", theirs.size())
-                .addKeyValue("owed", taken.size())
+                .addKeyValue("segments", otherSegments.size())
+                .addKeyValue("owed", takenOver.size())
                 .log("journal: taken over from the process before");
-        return taken;
+        return takenOver;
     }
 
-    /** What the journal in the folder holds, read without changing it. */
+    /** Reads the unfinished messages in the folder without changing it. */
     public static List<Owed> read(Path folder) throws IOException {
-        return List.copyOf(JournalReplay.of(JournalSegments.all(folder)).owed().values());
+        return List.copyOf(
+                JournalReplay.of(JournalSegments.all(folder)).unfinished().values());
     }
 
-    /** What an earlier process left, in the order taken. */
+    /** Unfinished messages of an earlier process, in the order in which they were accepted. */
     public List<Owed> recovered() {
         return recovered;
     }
 
-    /** Closes the open segment. */
+    /** Closes the open segment and releases the lock on the folder. */
     public synchronized void close() {
         segments.close();
         try {
-            ownerFile.close(); // and with it the lock: a successor takes over
+            // releases the lock, so that a successor can take over
+            ownerLockChannel.close();
         } catch (IOException e) {
-            LOG.debug("journal: {}", e.toString());
+            LOG.debug("journal: the lock file cannot be closed: {}", e.toString());
         }
     }
 
-    /** Steady time in microseconds at which an RPC that is owed was taken on; 0 if that is not known. */
-    public synchronized long takenAt(int number) {
-        Owed entry = owed.get(number);
-        return entry == null ? 0 : entry.takenAt();
+    /** Time at which an unfinished RPC was accepted, in microseconds of {@link SteadyClock}; 0 if unknown. */
+    public synchronized long acceptedAtMicros(int number) {
+        Owed entry = unfinished.get(number);
+        return entry == null ? 0 : entry.acceptedAtMicros();
     }
 
-    /** Bytes in the folder. */
+    /** Size of this journal's segments in bytes. */
     public synchronized long bytes() {
         return segments.bytes();
     }
 
-    /** How many writes to the folder have failed. */
-    public synchronized long failures() {
-        return failures;
+    /** Number of failed writes. */
+    public synchronized long failedWrites() {
+        return failedWrites;
     }
 
-    // ---- steps that bind: written first ----
+    // ---- steps that are written before they happen ----
 
-    /** Writes an RPC of that class down as taken on; its number, or -1 if it cannot be, and is not taken on. */
+    /**
+     * Records that an RPC of the class is accepted.
+     *
+     * @return the number of the new message, or -1 if it cannot be written and must not be accepted
+     */
     public synchronized int taken(RpcRequest request, String className) {
         Owed entry = new Owed(lastNumber + 1, request, className, SteadyClock.micros(), 0, null, null, null);
-        long size = entry.size();
+        long size = entry.sizeBytes();
         if (!hasRoom(size)) {
-            behind = true; // a new segment holds only what is still owed
+            // a snapshot in a new segment frees the room of finished messages
+            snapshotNeeded = true;
         }
-        if (!writeSnapshot() || !hasRoom(size) || !append(JournalRecords.taken(entry))) {
+        if (!writeSnapshotIfNeeded() || !hasRoom(size) || !append(JournalRecords.accepted(entry))) {
             return -1;
         }
         lastNumber++;
-        owed.put(entry.number(), entry);
-        live += size;
+        unfinished.put(entry.number(), entry);
+        snapshotBytes += size;
         return entry.number();
     }
 
     private boolean hasRoom(long size) {
-        return segments.bytes() + live + 2 * size + reserve <= limit;
+        return segments.bytes() + snapshotBytes + 2 * size + reserveBytes <= limitBytes;
     }
 
     /**
-     * An attempt is about to leave for an endpoint in that zone. Throws a {@link JournalUnavailableException} if that
-     * cannot be written down: then it must not leave.
+     * Records that an attempt is about to start for an endpoint in the zone. If it cannot be written, a {@link
+     * JournalUnavailableException} is thrown and the attempt must not start.
      */
-    public synchronized Attempt attempt(int number, int zone) {
-        Attempt attempt = new Attempt(SteadyClock.millis(), zone);
-        Owed entry = owed.get(number);
-        Owed sent = entry.sent(attempt);
+    public synchronized Attempt attempt(int number, int zoneIndex) {
+        Attempt attempt = new Attempt(SteadyClock.millis(), zoneIndex);
+        Owed entry = unfinished.get(number);
+        Owed updated = entry.withAttempt(attempt);
         byte[] record = JournalRecords.attempt(number, attempt);
         if (!fits(record)) {
-            behind = true;
+            snapshotNeeded = true;
         }
-        if (!writeSnapshot() || !append(record)) {
+        if (!writeSnapshotIfNeeded() || !append(record)) {
             throw new JournalUnavailableException(null);
         }
-        owed.put(number, sent);
+        unfinished.put(number, updated);
         return attempt;
     }
 
-    // ---- steps that report what has happened: they count in memory at once ----
+    // ---- steps that have already happened: they change the state in memory at once ----
 
-    /** The attempt that was out has ended. */
+    /** Records the end of the attempt in flight. */
     public synchronized void outcome(int number, boolean neverRan) {
-        owed.put(number, owed.get(number).answered(neverRan));
-        note(JournalRecords.outcome(number, neverRan));
+        unfinished.put(number, unfinished.get(number).withOutcome(neverRan));
+        appendOrSnapshot(JournalRecords.outcome(number, neverRan));
     }
 
-    /** The RPC has its final answer, which may still have to be told; whether that is written down already. */
+    /**
+     * Records the end of an RPC, which may still have to be reported.
+     *
+     * @return whether the end is already in the folder
+     */
     public synchronized boolean ended(int number, RpcEnd end) {
-        Owed entry = owed.get(number);
-        live -= entry.size();
-        entry = entry.over(end);
-        owed.put(number, entry);
-        live += entry.size();
-        long now = SteadyClock.millis();
-        if (entry.rememberedAsOnce()) {
+        Owed entry = unfinished.get(number);
+        snapshotBytes -= entry.sizeBytes();
+        entry = entry.withEnd(end);
+        unfinished.put(number, entry);
+        snapshotBytes += entry.sizeBytes();
+        long nowMillis = SteadyClock.millis();
+        if (entry.keyIsRemembered()) {
             String key = entry.request().key();
-            live += lately.put(key, now) == null ? rememberedSize(key) : 0;
+            snapshotBytes += endMillisByKey.put(key, nowMillis) == null ? rememberedKeyBytes(key) : 0;
         }
-        return note(JournalRecords.ended(number, end, now));
+        return appendOrSnapshot(JournalRecords.ended(number, end, nowMillis));
     }
 
-    /** The RPC's end is told, or needs no telling. */
+    /** Records that the RPC's end is acknowledged or needs no report. The message is finished. */
     public synchronized void acknowledged(int number) {
-        Owed entry = owed.remove(number);
+        Owed entry = unfinished.remove(number);
         if (entry != null) {
-            live -= entry.size();
-            note(JournalRecords.acknowledged(number));
+            snapshotBytes -= entry.sizeBytes();
+            appendOrSnapshot(JournalRecords.acknowledged(number));
         }
     }
 
-    /** Whether an RPC of this key, which is taken on only once, ended a short while ago. */
-    public synchronized boolean lately(String key) {
-        Long at = lately.get(key);
-        return at != null && SteadyClock.millis() - at < LATELY;
+    /** Whether an RPC with this key that is accepted only once has ended within the last two minutes. */
+    public synchronized boolean endedRecently(String key) {
+        Long endMillis = endMillisByKey.get(key);
+        return endMillis != null && SteadyClock.millis() - endMillis < REMEMBERED_KEY_MILLIS;
     }
 
-    private static long rememberedSize(String key) {
-        return JournalRecords.HEADER + 16 + 3L * key.length();
+    private static long rememberedKeyBytes(String key) {
+        return JournalRecords.HEADER_BYTES + 16 + 3L * key.length();
     }
 
-    // ---- the folder ----
+    // ---- writing and catching up ----
 
-    /** Whether the folder lacks steps that have happened, as it could not be written. */
-    public synchronized boolean behind() {
-        return behind;
+    /** Whether the folder lacks steps because it could not be written. */
+    public synchronized boolean isBehind() {
+        return snapshotNeeded;
     }
 
-    /** Calls {@code action}, which must not wait, whenever {@link #catchUp} has to be called soon. */
-    public synchronized void whenBehind(Runnable action) {
-        whenBehind = action;
+    /**
+     * Sets the action that requests a call of {@link #catchUp}. It runs under this journal's lock and must not block.
+     */
+    public synchronized void onBehind(Runnable action) {
+        catchUpRequest = action;
     }
 
-    /** Runs the action once all that has happened is written down: at once, or within a later {@link #catchUp}. */
-    public void onceWritten(Runnable action) {
+    /** Runs the action once all steps so far are written: immediately, or during a later {@link #catchUp}. */
+    public void runOnceWritten(Runnable action) {
         synchronized (this) {
-            if (behind) {
-                onceWritten.add(action);
-                whenBehind.run();
+            if (snapshotNeeded) {
+                actionsOnceWritten.add(action);
+                catchUpRequest.run();
                 return;
             }
         }
         action.run();
     }
 
-    /** Writes all that is owed to a new segment if the folder lacks something; whether it lacks nothing now. */
+    /**
+     * Writes a snapshot to a new segment if the folder lacks steps.
+     *
+     * @return whether the folder now holds all steps
+     */
     public boolean catchUp() {
         List<Runnable> actions;
         synchronized (this) {
-            if (!writeSnapshot()) {
+            if (!writeSnapshotIfNeeded()) {
                 return false;
             }
-            actions = List.copyOf(onceWritten);
-            onceWritten.clear();
+            actions = List.copyOf(actionsOnceWritten);
+            actionsOnceWritten.clear();
         }
-        actions.forEach(Runnable::run); // not under the lock: they tell ends
+        actions.forEach(Runnable::run); // outside of the lock, since they report ends
         return true;
     }
 
-    private boolean writeSnapshot() {
-        if (!behind) {
+    private boolean writeSnapshotIfNeeded() {
+        if (!snapshotNeeded) {
             return true;
         }
-        if (failing && System.nanoTime() - retryAt < 0) {
-            return false; // guards the processor, and the folder, against a try for each step
+        if (lastWriteFailed && System.nanoTime() - retryAtNanos < 0) {
+            // a snapshot for each step would load the processor and the failing folder
+            return false;
         }
         try {
             segments.replace(snapshot());
         } catch (IOException e) {
-            failed(e);
+            onWriteFailed(e);
             return false;
         }
-        behind = false;
-        succeeded();
+        snapshotNeeded = false;
+        onWriteSucceeded();
         return true;
     }
 
     private boolean fits(byte[] record) {
-        return segments.bytes() + live + record.length <= limit;
+        return segments.bytes() + snapshotBytes + record.length <= limitBytes;
     }
 
-    /** Appends a step that has happened, or has it written with all the rest as soon as that can be. */
-    private boolean note(byte[] record) {
-        if (behind || !fits(record) || !append(record)) {
-            behind = true; // the state already holds what the record says
-            return writeSnapshot();
+    /**
+     * Appends a step that has happened, or a snapshot that includes it; if neither can be written now, a later snapshot
+     * will include it.
+     *
+     * @return whether the step is in the folder
+     */
+    private boolean appendOrSnapshot(byte[] record) {
+        if (snapshotNeeded || !fits(record) || !append(record)) {
+            // the state in memory already includes the step
+            snapshotNeeded = true;
+            return writeSnapshotIfNeeded();
         }
         return true;
     }
@@ -499,48 +589,48 @@
     private boolean append(byte[] record) {
         try {
             segments.append(record);
-            succeeded();
+            onWriteSucceeded();
             return true;
         } catch (IOException e) {
-            failed(e);
+            onWriteFailed(e);
             return false;
         }
     }
 
-    private void failed(IOException why) {
-        failures++;
-        retryAt = System.nanoTime() + RETRY;
-        whenBehind.run();
-        if (!failing) {
-            failing = true;
-            LOG.atError().log("journal: it cannot be written, so nothing is taken on or sent: {}", why.toString());
+    private void onWriteFailed(IOException cause) {
+        failedWrites++;
+        retryAtNanos = System.nanoTime() + CATCH_UP_RETRY_NANOS;
+        catchUpRequest.run();
+        if (!lastWriteFailed) {
+            lastWriteFailed = true;
+            LOG.atError().log("journal: writes fail; no message is accepted or sent: {}", cause.toString());
         }
     }
 
-    private void succeeded() {
-        if (failing) {
-            failing = false;
-            LOG.atInfo().addKeyValue("failures", failures).log("journal: it can be written again");
+    private void onWriteSucceeded() {
+        if (lastWriteFailed) {
+            lastWriteFailed = false;
+            LOG.atInfo().addKeyValue("failures", failedWrites).log("journal: writes succeed again");
         }
     }
 
     private byte[] snapshot() {
-        long now = SteadyClock.millis();
-        lately.entrySet().removeIf(entry -> {
-            boolean gone = now - entry.getValue() >= LATELY;
-            live -= gone ? rememberedSize(entry.getKey()) : 0;
-            return gone;
+        long nowMillis = SteadyClock.millis();
+        endMillisByKey.entrySet().removeIf(entry -> {
+            boolean expired = nowMillis - entry.getValue() >= REMEMBERED_KEY_MILLIS;
+            snapshotBytes -= expired ? rememberedKeyBytes(entry.getKey()) : 0;
+            return expired;
         });
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.writeBytes(JournalRecords.snapshotBegins(firstSegment, SteadyClock.mark()));
-        lately.forEach((key, at) -> all.writeBytes(JournalRecords.remembered(key, at)));
-        for (Owed entry : owed.values()) {
-            all.writeBytes(JournalRecords.taken(entry));
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        bytes.writeBytes(JournalRecords.snapshotBegins(firstSegment, SteadyClock.mark()));
+        endMillisByKey.forEach((key, endMillis) -> bytes.writeBytes(JournalRecords.rememberedKey(key, endMillis)));
+        for (Owed entry : unfinished.values()) {
+            bytes.writeBytes(JournalRecords.accepted(entry));
             if (entry.end() != null) {
-                all.writeBytes(JournalRecords.ended(entry.number(), entry.end(), now));
+                bytes.writeBytes(JournalRecords.ended(entry.number(), entry.end(), nowMillis));
             }
         }
-        all.writeBytes(JournalRecords.snapshotEnds(firstSegment));
-        return all.toByteArray();
+        bytes.writeBytes(JournalRecords.snapshotEnds(firstSegment));
+        return bytes.toByteArray();
     }
 }
--- a/src/main/java/juniperusher/core/JournalRecords.java
+++ b/src/main/java/juniperusher/core/JournalRecords.java
@@ -10,22 +10,24 @@
 import juniperusher.clock.SteadyClock;
 
 /**
- * The journal's records as bytes: a length, a checksum and the fields. A type that a version does not know is passed
- * over by it, so each record begins with its type and an int.
+ * Encodes and decodes the records of the journal. A record is its length, a checksum and its fields, of which the first
+ * are its type (a byte) and a number (an int); only {@link #REMEMBERED_KEY} has a text there. A reader skips records of
+ * a type that it does not know, and fields that a later version has appended.
  */
 final class JournalRecords {
-    /** Bytes in front of a record's fields. */
-    static final int HEADER = 8;
-    /** Bytes of a record; a longer one is damage. */
-    static final int MOST = 1 << 20;
+    /** Bytes of length and checksum in front of the fields. */
+    static final int HEADER_BYTES = 8;
+    /** Maximum length of a record's fields; a longer one is treated as damaged. */
+    static final int MAX_RECORD_BYTES = 1 << 20;
 
-    static final byte TAKEN = 1;
+    // Types of records. They are stored, so they must not change.
+    static final byte ACCEPTED = 1;
     static final byte ATTEMPT = 2;
     static final byte OUTCOME = 3;
     static final byte ENDED = 4;
     static final byte ACKNOWLEDGED = 5;
-    static final byte REMEMBERED = 6;
-    /** From here to its end: all that its writer holds, which takes the place of what it wrote before. */
+    static final byte REMEMBERED_KEY = 6;
+    /** Starts a snapshot: the records up to its end replace what its writer wrote before. */
     static final byte SNAPSHOT_BEGINS = 7;
 
     static final byte SNAPSHOT_ENDS = 8;
@@ -33,6 +35,7 @@
     private JournalRecords() {}
 
     private interface Fields {
+        /** Writes the fields after the type. */
         void write(DataOutputStream out) throws IOException;
     }
 
@@ -43,13 +46,13 @@
             out.writeByte(type);
             fields.write(out);
             byte[] body = bytes.toByteArray();
-            return ByteBuffer.allocate(HEADER + body.length)
+            return ByteBuffer.allocate(HEADER_BYTES + body.length)
                     .putInt(body.length)
                     .putInt(checksum(body, 0, body.length))
                     .put(body)
                     .array();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // not from memory
+            throw new UncheckedIOException(e); // cannot happen: the stream writes to memory
         }
     }
 
@@ -59,13 +62,18 @@
         return (int) sum.getValue();
     }
 
-    /** {@code firstSegment}: the snapshot stands for all of its writer's segments from that number on. */
-    static byte[] snapshotBegins(int firstSegment, SteadyClock.Mark clock) {
+    /**
+     * A snapshot's first record.
+     *
+     * @param firstSegment the snapshot replaces all of its writer's segments from this number on
+     * @param clockMark lets the next process resume the steady clock
+     */
+    static byte[] snapshotBegins(int firstSegment, SteadyClock.Mark clockMark) {
         return record(SNAPSHOT_BEGINS, out -> {
             out.writeInt(firstSegment);
-            out.writeUTF(clock.boot());
-            out.writeLong(clock.nanos());
-            out.writeLong(clock.millis());
+            out.writeUTF(clockMark.boot());
+            out.writeLong(clockMark.nanos());
+            out.writeLong(clockMark.millis());
         });
     }
 
@@ -73,21 +81,21 @@
         return record(SNAPSHOT_ENDS, out -> out.writeInt(firstSegment));
     }
 
-    /** The clock's mark in a snapshot's first record, of which type and number are read. */
-    static SteadyClock.Mark clock(DataInputStream in) throws IOException {
+    /** Reads the clock mark of a snapshot's first record, after its type and number. */
+    static SteadyClock.Mark clockMark(DataInputStream in) throws IOException {
         return new SteadyClock.Mark(in.readUTF(), in.readLong(), in.readLong());
     }
 
-    static byte[] remembered(String key, long at) {
-        return record(REMEMBERED, out -> {
+    static byte[] rememberedKey(String key, long endMillis) {
+        return record(REMEMBERED_KEY, out -> {
             out.writeUTF(key);
-            out.writeLong(at);
+            out.writeLong(endMillis);
         });
     }
 
-    static byte[] taken(Journal.Owed entry) {
+    static byte[] accepted(Journal.Owed entry) {
         RpcRequest request = entry.request();
-        return record(TAKEN, out -> {
+        return record(ACCEPTED, out -> {
             out.writeInt(entry.number());
             out.writeUTF(request.id());
             out.writeUTF(request.front());
@@ -97,23 +105,24 @@
             out.writeUTF(request.returnAddress());
             out.writeBoolean(request.once());
             out.writeInt(entry.attempts());
-            out.writeBoolean(entry.ran() != null);
-            out.writeBoolean(entry.out() != null);
+            out.writeBoolean(entry.firstPossibleRun() != null);
+            out.writeBoolean(entry.inFlight() != null);
             byte[] body = entry.end() == null ? request.body() : new byte[0];
             out.writeInt(body.length);
             out.write(body);
-            out.writeUTF(entry.className()); // from here on: unknown to versions before this one
-            write(out, entry.ran());
-            write(out, entry.out());
+            // earlier versions do not know the fields from here on
+            out.writeUTF(entry.className());
+            write(out, entry.firstPossibleRun());
+            write(out, entry.inFlight());
             out.writeUTF(request.idempotencyKey());
             out.writeUTF(request.orderKey());
             out.writeUTF(request.tenant());
-            out.writeLong(entry.takenAt());
+            out.writeLong(entry.acceptedAtMicros());
         });
     }
 
-    /** The entry of a record of which type and {@code number} are read. */
-    static Journal.Owed taken(int number, DataInputStream in) throws IOException {
+    /** Reads the message in an {@link #ACCEPTED} record, after its type and number. */
+    static Journal.Owed accepted(int number, DataInputStream in) throws IOException {
         String id = in.readUTF();
         String front = in.readUTF();
         int messageClass = in.readInt();
@@ -122,12 +131,12 @@
         String returnAddress = in.readUTF();
         boolean once = in.readBoolean();
         int attempts = in.readInt();
-        boolean ran = in.readBoolean();
-        boolean out = in.readBoolean();
+        boolean hasPossibleRun = in.readBoolean();
+        boolean hasInFlight = in.readBoolean();
         byte[] body = in.readNBytes(in.readInt());
-        String className = text(in);
-        Journal.Attempt first = attempt(in);
-        Journal.Attempt last = attempt(in);
+        String className = optionalText(in);
+        Journal.Attempt firstPossibleRun = attempt(in);
+        Journal.Attempt inFlight = attempt(in);
         RpcRequest request = new RpcRequest(
                 id,
                 front,
@@ -138,16 +147,23 @@
                 once,
                 body,
                 false,
-                text(in),
-                text(in),
-                text(in));
-        long takenAt = in.available() > 0 ? in.readLong() : 0;
+                optionalText(in),
+                optionalText(in),
+                optionalText(in));
+        long acceptedAtMicros = in.available() > 0 ? in.readLong() : 0;
         return new Journal.Owed(
-                number, request, className, takenAt, attempts, ran ? first : null, out ? last : null, null);
-    }
-
-    /** A text that records of an earlier version lack. */
-    private static String text(DataInputStream in) throws IOException {
+                number,
+                request,
+                className,
+                acceptedAtMicros,
+                attempts,
+                hasPossibleRun ? firstPossibleRun : null,
+                hasInFlight ? inFlight : null,
+                null);
+    }
+
+    /** Reads a text, or returns an empty one if an earlier version wrote the record without it. */
+    private static String optionalText(DataInputStream in) throws IOException {
         return in.available() > 0 ? in.readUTF() : "";
     }
 
@@ -159,13 +175,13 @@
     }
 
     private static void write(DataOutputStream out, Journal.Attempt attempt) throws IOException {
-        out.writeLong(attempt == null ? 0 : attempt.at());
-        out.writeInt(attempt == null ? -1 : attempt.zone());
+        out.writeLong(attempt == null ? 0 : attempt.startedAtMillis());
+        out.writeInt(attempt == null ? -1 : attempt.zoneIndex());
     }
 
     /**
-     * Reads an attempt. Guards records of an earlier version, which tell neither time nor zone: the window of such an
-     * attempt counts as over.
+     * Reads an attempt. Records of an earlier version have neither time nor zone; time 0 makes the repeat window of
+     * such an attempt count as expired.
      */
     static Journal.Attempt attempt(DataInputStream in) throws IOException {
         return in.available() > 0 ? new Journal.Attempt(in.readLong(), in.readInt()) : new Journal.Attempt(0, -1);
@@ -178,12 +194,12 @@
         });
     }
 
-    static byte[] ended(int number, RpcEnd end, long at) {
+    static byte[] ended(int number, RpcEnd end, long endMillis) {
         return record(ENDED, out -> {
             out.writeInt(number);
             out.writeByte(end.kind().ordinal());
             out.writeDouble(end.retryIn());
-            out.writeLong(at);
+            out.writeLong(endMillis);
         });
     }
 
--- a/src/main/java/juniperusher/core/JournalReplay.java
+++ b/src/main/java/juniperusher/core/JournalReplay.java
@@ -15,141 +15,143 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the segments of a folder add up to. A torn or damaged record ends its segment; a snapshot that is not whole
- * counts for nothing, and one that is whole takes the place of what its writer wrote before.
+ * Reads the segments of a folder into the state that they describe. A torn or damaged record ends the reading of its
+ * segment. An incomplete snapshot is ignored; a complete one replaces what its writer wrote before.
  */
 final class JournalReplay {
     private static final Logger LOG = LoggerFactory.getLogger(JournalReplay.class);
 
-    private final Map<Integer, Journal.Owed> owed = new LinkedHashMap<>();
-    private final Map<Integer, Integer> origins = new HashMap<>(); // segment that took each message on
-    private final Map<String, Long> lately = new LinkedHashMap<>();
+    private final Map<Integer, Journal.Owed> unfinished = new LinkedHashMap<>();
+    // number of the segment in which each message was accepted
+    private final Map<Integer, Integer> acceptingSegments = new HashMap<>();
+    private final Map<String, Long> endMillisByKey = new LinkedHashMap<>();
     private int lastNumber;
-    private SteadyClock.Mark clock; // the last mark read, or null
-    private Map<Integer, Journal.Owed> snapshot; // that is being read, or null
-    private int firstReplaced;
-    private int segment;
+    private SteadyClock.Mark clockMark; // the last one read, or null
+    private Map<Integer, Journal.Owed> snapshotEntries; // messages of the snapshot being read, or null outside of one
+    private int firstReplacedSegment;
+    private int segmentNumber;
 
-    /** Reads the segments in their order. */
+    /** Reads the segments in the given order, the oldest first. */
     static JournalReplay of(List<Path> segments) throws IOException {
         JournalReplay replay = new JournalReplay();
         for (Path path : segments) {
-            replay.segment = JournalSegments.number(path);
-            replay.segment(Files.readAllBytes(path));
-            replay.snapshot = null; // one that was cut off counts for nothing
+            replay.segmentNumber = JournalSegments.number(path);
+            replay.replaySegment(Files.readAllBytes(path));
+            replay.snapshotEntries = null; // a snapshot that the segment cuts off is ignored
         }
         return replay;
     }
 
-    /** Messages that are owed an end, or its telling, in the order taken. */
-    Map<Integer, Journal.Owed> owed() {
-        return owed;
+    /** Unfinished messages in the order in which they were accepted. */
+    Map<Integer, Journal.Owed> unfinished() {
+        return unfinished;
     }
 
-    /** When messages that are taken only once ended, by their keys. */
-    Map<String, Long> lately() {
-        return lately;
+    /** End times of messages that are accepted only once, in milliseconds of {@link SteadyClock}, by key. */
+    Map<String, Long> endMillisByKey() {
+        return endMillisByKey;
     }
 
-    /** The highest number of a message. */
+    /** The highest message number. */
     int lastNumber() {
         return lastNumber;
     }
 
-    /** The newest mark of the clock, or null. */
-    SteadyClock.Mark clock() {
-        return clock;
+    /** The newest clock mark, or null. */
+    SteadyClock.Mark clockMark() {
+        return clockMark;
     }
 
-    private void segment(byte[] bytes) {
-        ByteBuffer in = ByteBuffer.wrap(bytes);
-        while (in.remaining() >= JournalRecords.HEADER) {
-            int length = in.getInt();
-            int expected = in.getInt();
-            if (length <= 0 || length > JournalRecords.MOST || length > in.remaining()) {
-                return; // torn by the end of the process
+    private void replaySegment(byte[] bytes) {
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        while (buffer.remaining() >= JournalRecords.HEADER_BYTES) {
+            int length = buffer.getInt();
+            int expectedChecksum = buffer.getInt();
+            if (length <= 0 || length > JournalRecords.MAX_RECORD_BYTES || length > buffer.remaining()) {
+                return; // the process ended while it wrote this record
             }
-            if (JournalRecords.checksum(bytes, in.position(), length) != expected) {
+            if (JournalRecords.checksum(bytes, buffer.position(), length) != expectedChecksum) {
                 return;
             }
             try {
-                record(new DataInputStream(new ByteArrayInputStream(bytes, in.position(), length)));
+                replayRecord(new DataInputStream(new ByteArrayInputStream(bytes, buffer.position(), length)));
             } catch (IOException | RuntimeException e) {
-                LOG.warn("journal: a record that cannot be read ends the segment: {}", e.toString());
+                LOG.warn("journal: unreadable record; the rest of the segment is ignored: {}", e.toString());
                 return;
             }
-            in.position(in.position() + length);
+            buffer.position(buffer.position() + length);
         }
     }
 
-    private void record(DataInputStream in) throws IOException {
+    private void replayRecord(DataInputStream in) throws IOException {
         byte type = in.readByte();
-        if (type == JournalRecords.REMEMBERED) {
-            lately.put(in.readUTF(), in.readLong());
+        if (type == JournalRecords.REMEMBERED_KEY) {
+            endMillisByKey.put(in.readUTF(), in.readLong());
             return;
         }
         int number = in.readInt();
         switch (type) {
             case JournalRecords.SNAPSHOT_BEGINS -> {
-                firstReplaced = number;
-                snapshot = new LinkedHashMap<>();
-                clock = JournalRecords.clock(in);
+                firstReplacedSegment = number;
+                snapshotEntries = new LinkedHashMap<>();
+                clockMark = JournalRecords.clockMark(in);
             }
-            case JournalRecords.SNAPSHOT_ENDS -> snapshotEnds();
-            case JournalRecords.TAKEN -> taken(number, JournalRecords.taken(number, in));
-            default -> step(type, number, in);
+            case JournalRecords.SNAPSHOT_ENDS -> applySnapshot();
+            case JournalRecords.ACCEPTED -> addAccepted(number, JournalRecords.accepted(number, in));
+            default -> replayStep(type, number, in);
         }
     }
 
-    private void snapshotEnds() {
-        if (snapshot == null) {
+    private void applySnapshot() {
+        if (snapshotEntries == null) {
             return;
         }
-        owed.keySet().removeIf(number -> origins.get(number) >= firstReplaced);
-        snapshot.forEach((number, entry) -> {
-            owed.put(number, entry);
-            origins.put(number, segment);
+        unfinished.keySet().removeIf(number -> acceptingSegments.get(number) >= firstReplacedSegment);
+        snapshotEntries.forEach((number, entry) -> {
+            unfinished.put(number, entry);
+            acceptingSegments.put(number, segmentNumber);
         });
-        snapshot = null;
+        snapshotEntries = null;
     }
 
-    private Map<Integer, Journal.Owed> entries() {
-        return snapshot == null ? owed : snapshot;
+    private Map<Integer, Journal.Owed> currentEntries() {
+        return snapshotEntries == null ? unfinished : snapshotEntries;
     }
 
-    private void taken(int number, Journal.Owed entry) {
-        entries().put(number, entry);
-        if (snapshot == null) {
-            origins.put(number, segment);
+    private void addAccepted(int number, Journal.Owed entry) {
+        currentEntries().put(number, entry);
+        if (snapshotEntries == null) {
+            acceptingSegments.put(number, segmentNumber);
         }
         lastNumber = Math.max(lastNumber, number);
     }
 
-    private void step(byte type, int number, DataInputStream in) throws IOException {
-        Map<Integer, Journal.Owed> entries = entries();
+    private void replayStep(byte type, int number, DataInputStream in) throws IOException {
+        Map<Integer, Journal.Owed> entries = currentEntries();
         Journal.Owed entry = entries.get(number);
         if (entry == null) {
             return;
         }
         switch (type) {
-            case JournalRecords.ATTEMPT -> entries.put(number, entry.sent(JournalRecords.attempt(in)));
-            case JournalRecords.OUTCOME -> entries.put(number, entry.answered(in.readBoolean()));
-            case JournalRecords.ENDED -> ended(entries, entry, in);
+            case JournalRecords.ATTEMPT -> entries.put(number, entry.withAttempt(JournalRecords.attempt(in)));
+            case JournalRecords.OUTCOME -> entries.put(number, entry.withOutcome(in.readBoolean()));
+            case JournalRecords.ENDED -> replayEnd(entries, entry, in);
             case JournalRecords.ACKNOWLEDGED -> entries.remove(number);
-            default -> {} // of a later version
+            default -> {} // a record type of a later version
         }
     }
 
-    private void ended(Map<Integer, Journal.Owed> entries, Journal.Owed entry, DataInputStream in) throws IOException {
+    private void replayEnd(Map<Integer, Journal.Owed> entries, Journal.Owed entry, DataInputStream in)
+            throws IOException {
         RpcEnd end = new RpcEnd(
                 entry.request().id(),
                 entry.request().returnAddress(),
                 RpcEnd.Kind.values()[in.readByte()],
                 in.readDouble());
-        Journal.Owed over = entry.over(end);
-        entries.put(entry.number(), over);
-        if (over.rememberedAsOnce()) {
-            lately.put(over.request().key(), in.readLong());
+        Journal.Owed updated = entry.withEnd(end);
+        entries.put(entry.number(), updated);
+        if (updated.keyIsRemembered()) {
+            endMillisByKey.put(updated.request().key(), in.readLong());
         }
     }
 }
--- a/src/main/java/juniperusher/core/JournalSegments.java
+++ b/src/main/java/juniperusher/core/JournalSegments.java
@@ -15,11 +15,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The segment files of a journal, of which the newest is appended to.
+ * The segment files of a journal, the newest of which is appended to.
  *
- * <p>Nothing ever stands behind a torn record: an append that fails is cut off again, and where even that fails the
- * segment is left for good, so that the next append needs a new one ({@link #replace}). A new segment takes the place
- * of the old ones only once it is whole.
+ * <p>No record ever follows a torn one. What a failed append has written is cut off; if that fails too, the segment is
+ * closed for good and the next append needs a new one ({@link #replace}). A new segment replaces the old ones only
+ * after it is written completely.
  *
  * <p>Not safe for use by several threads.
  */
@@ -28,17 +28,17 @@
     private static final String PREFIX = "journal-";
 
     private final Path folder;
-    private final TreeMap<Integer, Long> sizes = new TreeMap<>(); // bytes of this writer's segments, by number
-    private FileChannel current; // or null, where no segment can be appended to
+    private final TreeMap<Integer, Long> bytesByNumber = new TreeMap<>(); // sizes of this writer's segments
+    private FileChannel openSegment; // null if no segment can be appended to
     private int lastNumber;
 
-    /** The segments in the folder; those to be written get numbers beyond {@code lastNumber}. */
+    /** Creates a writer without segments of its own. New segments get numbers above {@code lastNumber}. */
     JournalSegments(Path folder, int lastNumber) {
         this.folder = folder;
         this.lastNumber = lastNumber;
     }
 
-    /** The segments of any writer in the folder, the oldest first. */
+    /** All segments in the folder, of any writer, the oldest first. */
     static List<Path> all(Path folder) throws IOException {
         try (Stream<Path> paths = Files.list(folder)) {
             return paths.filter(path -> path.getFileName().toString().matches(PREFIX + "\\d{8,9}"))
@@ -47,6 +47,7 @@
         }
     }
 
+    /** The number in a segment's file name. */
     static int number(Path segment) {
         return Integer.parseInt(segment.getFileName().toString().substring(PREFIX.length()));
     }
@@ -55,39 +56,39 @@
         return folder.resolve(String.format(PREFIX + "%08d", number));
     }
 
-    /** A segment of an earlier process is this writer's own now: it goes with the next {@link #replace}. */
-    void own(Path segment) throws IOException {
-        sizes.put(number(segment), Files.size(segment));
+    /** Adds an existing segment to this writer's own, so that the next {@link #replace} removes it. */
+    void addOwn(Path segment) throws IOException {
+        bytesByNumber.put(number(segment), Files.size(segment));
         lastNumber = Math.max(lastNumber, number(segment));
     }
 
-    /** Whether the segment is this writer's own. */
+    /** Whether the segment belongs to this writer. */
     boolean owns(Path segment) {
-        return sizes.containsKey(number(segment));
+        return bytesByNumber.containsKey(number(segment));
     }
 
-    /** Number of the newest segment. */
+    /** Highest segment number used so far. */
     int lastNumber() {
         return lastNumber;
     }
 
-    /** Bytes of this writer's segments. */
+    /** Total size of this writer's segments in bytes. */
     long bytes() {
-        return sizes.values().stream().mapToLong(size -> size).sum();
+        return bytesByNumber.values().stream().mapToLong(size -> size).sum();
     }
 
-    /** Appends the record whole, or throws and leaves no part of it in front of what is appended later. */
+    /** Appends the record. If it fails, nothing of the record stays in front of later ones. */
     void append(byte[] record) throws IOException {
-        if (current == null) {
+        if (openSegment == null) {
             throw new IOException("no segment is open");
         }
-        int number = sizes.lastKey();
-        long from = sizes.get(number);
+        int number = bytesByNumber.lastKey();
+        long offset = bytesByNumber.get(number);
         try {
-            write(current, record);
-            sizes.put(number, from + record.length);
+            write(openSegment, record);
+            bytesByNumber.put(number, offset + record.length);
         } catch (IOException e) {
-            cutOff(number, from);
+            truncate(number, offset);
             throw e;
         }
     }
@@ -99,41 +100,44 @@
         }
     }
 
-    private void cutOff(int number, long size) {
+    private void truncate(int number, long offset) {
         try {
-            current.truncate(size);
-            current.position(size);
+            openSegment.truncate(offset);
+            openSegment.position(offset);
         } catch (IOException e) {
             LOG.atWarn()
                     .addKeyValue("segment", number)
-                    .log("journal: a torn record ends the segment: {}", e.toString());
+                    .log("journal: a torn record cannot be cut off; the segment is closed: {}", e.toString());
             close();
-            current = null;
-            sizes.put(number, path(number).toFile().length());
+            openSegment = null;
+            bytesByNumber.put(number, path(number).toFile().length());
         }
     }
 
     /**
-     * Begins a new segment with these bytes, then removes the old ones. Throws where the new one cannot be written
-     * whole; then the old ones stay, and the one that was appended to still is.
+     * Starts a new segment with this content, then removes the old ones. If the new one cannot be written completely,
+     * the old ones stay and the open one is still appended to.
      */
-    void replace(byte[] whole) throws IOException {
+    void replace(byte[] content) throws IOException {
         int number = ++lastNumber;
-        FileChannel next = null;
+        FileChannel segment = null;
         try {
-            next = FileChannel.open(path(number), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-            write(next, whole);
+            segment = FileChannel.open(path(number), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+            write(segment, content);
         } catch (IOException e) {
-            discard(next, number);
+            discard(segment, number);
             throw e;
         }
         close();
-        current = next;
-        sizes.put(number, (long) whole.length);
-        removeOld(number);
+        openSegment = segment;
+        bytesByNumber.put(number, (long) content.length);
+        removeOlderThan(number);
     }
 
-    /** A segment that was not written whole; one that cannot be removed counts, and is ignored by a reader. */
+    /**
+     * Removes a segment that was not written completely. One that cannot be removed counts towards the size; a reader
+     * ignores its incomplete snapshot.
+     */
     private void discard(FileChannel segment, int number) {
         try {
             if (segment != null) {
@@ -141,34 +145,39 @@
             }
             Files.deleteIfExists(path(number));
         } catch (IOException e) {
-            sizes.put(number, path(number).toFile().length());
+            bytesByNumber.put(number, path(number).toFile().length());
             close();
-            current = null; // appends go to the newest segment alone
+            openSegment = null; // appends must go to the newest segment only
         }
     }
 
-    /** The oldest first: a record that ends a message must not go before the one that began it. */
-    private void removeOld(int newest) {
-        while (sizes.firstKey() < newest) {
-            Map.Entry<Integer, Long> oldest = sizes.firstEntry();
+    /**
+     * Removes the segments before {@code number}, the oldest first: the record that ends a message must not disappear
+     * before the one that accepted it.
+     */
+    private void removeOlderThan(int number) {
+        while (bytesByNumber.firstKey() < number) {
+            Map.Entry<Integer, Long> oldest = bytesByNumber.firstEntry();
             try {
                 Files.deleteIfExists(path(oldest.getKey()));
             } catch (IOException e) {
-                LOG.atWarn().addKeyValue("segment", oldest.getKey()).log("journal: it stays: {}", e.toString());
+                LOG.atWarn()
+                        .addKeyValue("segment", oldest.getKey())
+                        .log("journal: an old segment cannot be removed: {}", e.toString());
                 return;
             }
-            sizes.remove(oldest.getKey());
+            bytesByNumber.remove(oldest.getKey());
         }
     }
 
-    /** Closes the segment that is appended to. */
+    /** Closes the open segment, if any. */
     void close() {
         try {
-            if (current != null) {
-                current.close();
+            if (openSegment != null) {
+                openSegment.close();
             }
         } catch (IOException e) {
-            LOG.debug("journal: {}", e.toString());
+            LOG.debug("journal: a segment cannot be closed: {}", e.toString());
         }
     }
 }
--- a/src/main/java/juniperusher/core/JournalUnavailableException.java
+++ b/src/main/java/juniperusher/core/JournalUnavailableException.java
@@ -1,6 +1,9 @@
 package juniperusher.core;
 
-/** A step that binds could not be written down, and must not be taken now. It may be tried again later. */
+/**
+ * The journal could not record a step that must be recorded before it happens. The step must not happen now and may be
+ * tried again later.
+ */
 final class JournalUnavailableException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/juniperusher/core/MessageLog.java
+++ b/src/main/java/juniperusher/core/MessageLog.java
@@ -4,9 +4,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The log of what becomes of each message, by its id: one line for each state transition, so that a message can be
- * followed from its client's request to its final answer. Lines are written at level DEBUG to a logger of their own,
- * {@value #NAME}, which {@code -Dorg.slf4j.simpleLogger.log.juniperusher.messages=debug} turns on. Safe for threads.
+ * Logs the state transitions of each message, one line each with the message's id, so that a message can be followed
+ * from its submission to the acknowledgement of its end. Lines are written at level DEBUG to the logger {@value #NAME},
+ * which {@code -Dorg.slf4j.simpleLogger.log.juniperusher.messages=debug} turns on. Safe for threads.
  */
 final class MessageLog {
     /** Name of the logger. */
@@ -16,8 +16,8 @@
 
     private MessageLog() {}
 
-    /** The message was written to the journal and its client is about to hear that it is taken on. */
-    static void taken(int number, RpcRequest request, double secondsLeft) {
+    /** The message is in the journal, and its client is about to be told that it is accepted. */
+    static void accepted(int number, RpcRequest request, double secondsLeft) {
         LOG.atDebug()
                 .addKeyValue("id", request.id())
                 .addKeyValue("number", number)
@@ -27,7 +27,7 @@
                 .log("taken on");
     }
 
-    /** The message was not taken on, for that reason. */
+    /** The message was not accepted. */
     static void refused(RpcRequest request, String reason) {
         LOG.atDebug()
                 .addKeyValue("id", request.id())
@@ -35,19 +35,19 @@
                 .log("refused");
     }
 
-    /** An earlier process left the message unfinished. */
-    static void recovered(Journal.Owed left, double secondsLeft) {
+    /** A message that an earlier process left unfinished was read. */
+    static void recovered(Journal.Owed entry, double secondsLeft) {
         LOG.atDebug()
-                .addKeyValue("id", left.request().id())
-                .addKeyValue("number", left.number())
-                .addKeyValue("attempts", left.attempts())
-                .addKeyValue("may_have_run", left.mayHaveRun())
-                .addKeyValue("end", left.end() == null ? "none" : left.end().kind())
+                .addKeyValue("id", entry.request().id())
+                .addKeyValue("number", entry.number())
+                .addKeyValue("attempts", entry.attempts())
+                .addKeyValue("may_have_run", entry.mayHaveRun())
+                .addKeyValue("end", entry.end() == null ? "none" : entry.end().kind())
                 .addKeyValue("left", secondsLeft)
                 .log("recovered");
     }
 
-    /** The message joins a call, which starts once all of its {@code members} have joined. */
+    /** The message joins a call, which starts once all its {@code members} have joined. */
     static void attempt(Rpc rpc, int attempt, SharedCall call) {
         LOG.atDebug()
                 .addKeyValue("id", rpc.request().id())
@@ -55,32 +55,32 @@
                 .addKeyValue("endpoint", call.target().id())
                 .addKeyValue("call", call.number())
                 .addKeyValue("members", call.size())
-                .addKeyValue("left", rpc.timeLeft())
+                .addKeyValue("left", rpc.secondsLeft())
                 .log("attempt");
     }
 
-    /** The message's part in a call is over. */
+    /** The message's attempt, its part in a call, has ended. */
     static void attemptEnded(Rpc rpc, int attempt, SharedCall call, CallResult result) {
         LOG.atDebug()
                 .addKeyValue("id", rpc.request().id())
                 .addKeyValue("attempt", attempt)
                 .addKeyValue("call", call.number())
                 .addKeyValue("end", result.end())
-                .addKeyValue("elapsed", call.elapsed())
+                .addKeyValue("elapsed", call.elapsedSeconds())
                 .addKeyValue("told", result.told())
                 .log("attempt ended");
     }
 
-    /** The message has its final answer. */
+    /** The message has its end. */
     static void ended(Rpc rpc, RpcEnd end) {
         LOG.atDebug()
                 .addKeyValue("id", end.id())
                 .addKeyValue("end", end.kind())
-                .addKeyValue("left", rpc.timeLeft())
+                .addKeyValue("left", rpc.secondsLeft())
                 .log("ended");
     }
 
-    /** The platform has acknowledged the status report with the message's final answer. */
+    /** The status report of the message's end is acknowledged. */
     static void reported(RpcRequest request) {
         LOG.atDebug().addKeyValue("id", request.id()).log("end acknowledged");
     }
--- a/src/main/java/juniperusher/core/OrderHandover.java
+++ b/src/main/java/juniperusher/core/OrderHandover.java
@@ -11,109 +11,123 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which of the two processes of an upgrade sends messages in order. While both live, messages in order that
- * either takes on are held back at the module: the owner goes on with those that it took before it saw its
- * successor, and the successor sends the rest, merged by the time at which they were taken on, once the owner
- * has ended. A successor that dies gives the order back. Safe for threads.
+ * Decides which of the two processes of an upgrade sends ordered messages. While both run, ordered messages that either
+ * accepts are held back in the decision module. The owner continues with those that it accepted before it noticed its
+ * successor; the successor sends the rest, merged by acceptance time, once the owner has ended. If the successor dies,
+ * the owner releases what it held back. Safe for threads.
  */
 final class OrderHandover {
     private static final Logger LOG = LoggerFactory.getLogger(OrderHandover.class);
-    // ms for which a successor waits until the owner holds its messages back: many times the owner's looks
-    private static final long MOST_WAIT = 1_000;
+    // How long a successor waits for the owner to yield; a multiple of the interval at which the owner checks for one.
+    private static final long MAX_YIELD_WAIT_MILLIS = 1_000;
 
-    private final SuccessorMark mark;
-    private final Consumer<Event> module;
-    private final Object intake = new Object();
-    private final Map<Integer, Long> heldBack = new ConcurrentHashMap<>(); // order keys by message
-    private boolean holding; // guarded by intake
+    private final SuccessorMark successorMark;
+    private final Consumer<Event> moduleEvents;
+    private final Object intakeLock = new Object();
+    private final Map<Integer, Long> heldBackKeys = new ConcurrentHashMap<>(); // order keys by message number
+    private boolean holdingBack; // guarded by intakeLock
 
-    OrderHandover(SuccessorMark mark, Consumer<Event> module) {
-        this.mark = mark;
-        this.module = module;
+    OrderHandover(SuccessorMark successorMark, Consumer<Event> moduleEvents) {
+        this.successorMark = successorMark;
+        this.moduleEvents = moduleEvents;
     }
 
-    /** Takes a message in order on: the journal, the client and the module see one order of them all. */
-    void inOrder(Runnable takesOn) {
-        synchronized (intake) {
-            takesOn.run();
+    /**
+     * Runs the acceptance of an ordered message. Only one runs at a time, so that the journal, the client and the
+     * decision module see the same order.
+     */
+    void runInIntakeOrder(Runnable acceptance) {
+        synchronized (intakeLock) {
+            acceptance.run();
         }
     }
 
-    /** A message was taken on, of which the module has not heard yet; {@code key} is 0 where it has no order. */
-    void taken(int message, long key) {
+    /**
+     * A message was accepted and is not passed to the decision module yet. If messages are held back, the module is
+     * told first that the key has to wait.
+     *
+     * @param key order key of the message, 0 if it is not ordered
+     */
+    void accepted(int message, long key) {
         if (key == 0) {
             return;
         }
-        synchronized (intake) {
-            if (holding) {
-                heldBack.put(message, key);
-                module.accept(new AnswerPending(message, key));
+        synchronized (intakeLock) {
+            if (holdingBack) {
+                heldBackKeys.put(message, key);
+                moduleEvents.accept(new AnswerPending(message, key));
             }
         }
     }
 
-    /** The message has its answer. */
-    void over(int message) {
-        heldBack.remove(message);
+    /** The message has ended. */
+    void finished(int message) {
+        heldBackKeys.remove(message);
     }
 
-    /** How many messages are held back. */
-    int waiting() {
-        return heldBack.size();
+    /** Number of messages that are held back. */
+    int heldBackCount() {
+        return heldBackKeys.size();
     }
 
-    // ---- as the successor ----
+    // ---- calls as the successor ----
 
-    /** Holds back what is taken on from now on, and returns once the owner does so too, or does not answer. */
-    void awaitOwner() {
-        synchronized (intake) {
-            holding = true;
+    /**
+     * Holds back ordered messages that are accepted from now on. Returns once the owner holds back its own too, or has
+     * not answered in time.
+     */
+    void awaitOwnerYield() {
+        synchronized (intakeLock) {
+            holdingBack = true;
         }
         try {
-            mark.raise();
-            if (!mark.awaitYielded(MOST_WAIT)) {
-                LOG.warn("the process before does not say that it holds back what it takes on in order");
+            successorMark.set();
+            if (!successorMark.awaitYield(MAX_YIELD_WAIT_MILLIS)) {
+                LOG.warn("the owner has not confirmed that it holds back ordered messages");
             }
         } catch (IOException e) {
-            LOG.atWarn().log("the process before is not told of its successor: {}", e.toString());
+            LOG.atWarn().log("the successor file cannot be written, so the owner is not notified: {}", e.toString());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The owner has ended, and the module has heard of all that it left. */
+    /**
+     * Releases the messages held back. Called after the owner has ended and the decision module has received its
+     * unfinished messages.
+     */
     void ownerEnded() {
         release();
         try {
-            mark.lower();
+            successorMark.clear();
         } catch (IOException e) {
-            LOG.atWarn().log("the mark of a successor stays: {}", e.toString());
+            LOG.atWarn().log("the successor mark cannot be cleared: {}", e.toString());
         }
     }
 
-    // ---- as the owner ----
+    // ---- calls as the owner ----
 
-    /** Looks for a successor; to be called again and again. */
-    void followSuccessor() throws IOException {
-        boolean raised = mark.raised();
-        synchronized (intake) {
-            if (raised == holding) {
+    /** Checks for a successor and starts or stops holding back messages. Has to be called periodically. */
+    void checkForSuccessor() throws IOException {
+        boolean successorLives = successorMark.isSet();
+        synchronized (intakeLock) {
+            if (successorLives == holdingBack) {
                 return;
             }
-            holding = raised;
+            holdingBack = successorLives;
         }
-        if (raised) {
-            mark.yield();
+        if (successorLives) {
+            successorMark.confirmYield();
         } else {
             release();
         }
     }
 
     private void release() {
-        synchronized (intake) {
-            holding = false;
-            heldBack.forEach((message, key) -> module.accept(new AnswerAcknowledged(message, key)));
-            heldBack.clear();
+        synchronized (intakeLock) {
+            holdingBack = false;
+            heldBackKeys.forEach((message, key) -> moduleEvents.accept(new AnswerAcknowledged(message, key)));
+            heldBackKeys.clear();
         }
     }
 }
--- a/src/main/java/juniperusher/core/OrderKeys.java
+++ b/src/main/java/juniperusher/core/OrderKeys.java
@@ -4,19 +4,27 @@
 import juniperusher.Protocol.MessageClass;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** Order keys of any length as the module's 64 bits. Two keys that share a hash are ordered as if one. */
+/**
+ * Maps order keys of any length to 64 bits for the decision module. Two keys with the same hash are ordered as one key.
+ */
 final class OrderKeys {
-    private static final long NONE = 0;
-    private static final long INSTEAD_OF_NONE = 1; // for a key whose hash is that of no key
+    private static final long NO_KEY = 0;
+    private static final long KEY_FOR_ZERO_HASH = 1;
 
     private OrderKeys() {}
 
-    /** The key of a request of that class (null for one that is unknown); 0 where it has no order. */
-    static long of(RpcRequest request, MessageClass kind) {
-        if (kind == null || !kind.ordered() || request.orderKey().isEmpty()) {
-            return NONE;
+    /**
+     * Order key of a request, or 0 if its messages are not ordered.
+     *
+     * @param messageClass class of the request, null if it is unknown
+     */
+    static long of(RpcRequest request, MessageClass messageClass) {
+        if (messageClass == null
+                || !messageClass.ordered()
+                || request.orderKey().isEmpty()) {
+            return NO_KEY;
         }
         long hash = MurmurHash3.hash128x64(request.orderKey().getBytes(StandardCharsets.UTF_8))[0];
-        return hash == NONE ? INSTEAD_OF_NONE : hash;
+        return hash == NO_KEY ? KEY_FOR_ZERO_HASH : hash;
     }
 }
--- a/src/main/java/juniperusher/core/Relay.java
+++ b/src/main/java/juniperusher/core/Relay.java
@@ -48,40 +48,51 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The core: takes RPCs on, has the module decide, carries out what it decides and answers for every end. */
+/**
+ * The core of the relay: accepts or refuses RPCs, passes them to the decision module, carries out the module's actions
+ * and reports the end of each accepted RPC to its front.
+ *
+ * <p>All fronts are added with {@link #add} before {@link #start}. After that, {@link #offer}, {@link #resolved},
+ * {@link #tell(Event)} and {@link #retune} may be called by any thread.
+ */
 public final class Relay {
     private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
-    private static final long ENDS = 300; // ms in which the last round ends
-    private static final double FULL_RETRY = 0.5; // s, told when no room is left: the module's first pause
-    // ms between two looks at the waits that the other process of an upgrade was told: well within the
-    // 100 ms in which calls after a wait's answer are let through.
-    private static final long FOLLOW_WAITS = 25;
-    private static final long CATCH_UP = 50; // ms between two tries to write what a folder that failed lacks
-    private static final double OVERDUE = 0.1; // s behind its deadline at which a message without an end is given up
-    private static final long EXPIRE_FIRST = 2_000; // ms after the start, when what was recovered is decided
-    private static final long EXPIRE = 50; // ms between two looks for such messages
-    private static final long HELD_BACK = 200; // ms for which an attempt rests that could not be written down
+    private static final long LAST_ROUND_TIMEOUT_MILLIS = 300;
+    // The advice given with a refusal for lack of room; equal to the decision module's first retry delay.
+    private static final double FULL_RETRY_AFTER_SECONDS = 0.5;
+    // Well below the 100 ms in which calls are still permitted after an answer with a retry-after delay.
+    private static final long SHARED_DELAYS_POLL_MILLIS = 25;
+    // Between two attempts to write the steps that a failing state folder lacks.
+    private static final long CATCH_UP_DELAY_MILLIS = 50;
+    // Time past its deadline at which a message without an end fails permanently.
+    private static final double OVERDUE_GRACE_SECONDS = 0.1;
+    // Leaves the decision module time to decide on recovered messages first.
+    private static final long FIRST_EXPIRY_CHECK_MILLIS = 2_000;
+    private static final long EXPIRY_CHECK_INTERVAL_MILLIS = 50;
+    // Delay before the decision module hears of an attempt that the journal could not record.
+    private static final long HELD_BACK_DELAY_MILLIS = 200;
 
     private volatile Settings settings;
-    private final Set<Integer> everUnsafe = ConcurrentHashMap.newKeySet(); // places of classes, see unsafe
+    // indexes into Settings.classes(), see wasEverUnsafe
+    private final Set<Integer> classesEverUnsafe = ConcurrentHashMap.newKeySet();
     private final Journal journal;
-    private final Path state;
-    private SharedWaits waits; // or null, where no other process can run beside this one
-    private final OrderHandover order;
+    private final Path stateFolder;
+    private SharedRetryDelays sharedRetryDelays; // null unless another process may share the folder
+    private final OrderHandover orderHandover;
     private final Counters counters;
     private final Subchannels subchannels;
-    private final NoteSender notes;
-    private final Companion companion; // or null
-    private final DecisionLoop loop;
-    private final Guards guards = new Guards();
+    private final NoteSender noteSender;
+    private final Companion companion; // may be null
+    private final DecisionLoop decisionLoop;
+    private final CallPreconditions callPreconditions = new CallPreconditions();
     private final Map<String, Front> fronts = new HashMap<>();
-    private final Map<Integer, Rpc> held = new ConcurrentHashMap<>();
-    private final Map<String, Rpc> heldIds = new ConcurrentHashMap<>();
-    private final Set<String> arriving = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger owed = new AtomicInteger();
-    private final AtomicBoolean catchingUp = new AtomicBoolean();
-    private volatile long noUnsafeAfter = Long.MAX_VALUE;
-    private volatile long noCallAfter = Long.MAX_VALUE;
+    private final Map<Integer, Rpc> pending = new ConcurrentHashMap<>();
+    private final Map<String, Rpc> pendingByKey = new ConcurrentHashMap<>();
+    private final Set<String> keysBeingAdmitted = ConcurrentHashMap.newKeySet();
+    private final AtomicInteger admittedCount = new AtomicInteger();
+    private final AtomicBoolean catchUpScheduled = new AtomicBoolean();
+    private volatile long noUnsafeCallsAfterMillis = Long.MAX_VALUE;
+    private volatile long noCallsAfterMillis = Long.MAX_VALUE;
     private final ScheduledThreadPoolExecutor timers = new ScheduledThreadPoolExecutor(1, task -> {
         Thread thread = new Thread(null, task, "call-timers", 128 * 1024);
         thread.setDaemon(true);
@@ -89,214 +100,241 @@
     });
     private Thread loopThread;
 
-    /** Sends a note to the relay of that number, or to all others for -1. */
+    /** Sends datagrams to the other relays. */
     public interface NoteSender {
+        /** Sends the note to the relay of number {@code to}, or to all other relays where it is -1. */
         void send(int to, byte[] note);
     }
 
     /**
-     * A relay that keeps its journal in {@code state}, of at most {@code diskBytes}; {@code companion} may be
-     * null.
+     * Opens the journal in {@code stateFolder}.
+     *
+     * @param seed seed of the decision module's random numbers
+     * @param minRoundSeconds minimum time between the starts of two rounds of the decision module
+     * @param stateFolder folder of the journal and of the files shared by the two processes of an upgrade
+     * @param diskBytes upper bound of the journal's size
+     * @param companion sees the events and actions of each round; may be null
+     * @throws IOException where the folder cannot be created or read
      */
     public Relay(
             Settings settings,
             long seed,
-            double gap,
-            Path state,
+            double minRoundSeconds,
+            Path stateFolder,
             long diskBytes,
             Counters counters,
             Subchannels subchannels,
-            NoteSender notes,
+            NoteSender noteSender,
             Companion companion)
             throws IOException {
         this(
                 settings,
                 seed,
-                gap,
-                state,
-                new Journal(state, diskBytes, settings.allowed().held()),
+                minRoundSeconds,
+                stateFolder,
+                new Journal(stateFolder, diskBytes, settings.allowed().held()),
                 counters,
                 subchannels,
-                notes,
+                noteSender,
                 companion);
     }
 
-    /** The same with a journal that is open already. */
+    /** Uses a journal that is already open. */
     Relay(
             Settings settings,
             long seed,
-            double gap,
-            Path state,
+            double minRoundSeconds,
+            Path stateFolder,
             Journal journal,
             Counters counters,
             Subchannels subchannels,
-            NoteSender notes,
+            NoteSender noteSender,
             Companion companion) {
         this.settings = settings;
-        noteUnsafe(settings);
+        recordUnsafeClasses(settings);
         this.counters = counters;
         this.subchannels = subchannels;
-        this.notes = notes;
+        this.noteSender = noteSender;
         this.companion = companion;
-        timers.prestartCoreThread(); // a thread that cannot be started later would leave calls without a time-out
-        timers.setRemoveOnCancelPolicy(true); // else each answered call's timer stays up to its time-out
+        // a thread that fails to start later would leave calls without a timeout
+        timers.prestartCoreThread();
+        // otherwise the timer of each answered call would be kept until its timeout
+        timers.setRemoveOnCancelPolicy(true);
         this.journal = journal;
-        this.state = state;
-        loop = new DecisionLoop(new Control(settings, seed), companion, gap, this::carryOut);
-        order = new OrderHandover(new SuccessorMark(state), loop::post);
-        counters.gauge("held", held::size);
+        this.stateFolder = stateFolder;
+        decisionLoop = new DecisionLoop(new Control(settings, seed), companion, minRoundSeconds, this::carryOut);
+        orderHandover = new OrderHandover(new SuccessorMark(stateFolder), decisionLoop::post);
+        counters.gauge("held", pending::size);
         counters.gauge("journal_bytes", journal::bytes);
-        counters.gauge("journal_behind", () -> journal.behind() ? 1 : 0);
-        counters.gauge("journal_write_failures", journal::failures);
-        journal.whenBehind(this::catchUpSoon);
+        counters.gauge("journal_behind", () -> journal.isBehind() ? 1 : 0);
+        counters.gauge("journal_write_failures", journal::failedWrites);
+        journal.onBehind(this::scheduleCatchUp);
     }
 
-    /** Adds a front; all are added before {@link #start}. */
+    /** Adds a front. All fronts have to be added before {@link #start}. */
     public void add(Front front) {
         fronts.put(front.name(), front);
     }
 
     /**
-     * Another process may run on the same folder at an upgrade: waits told to either hold both. To be called
-     * before {@link #start}; without it no file is written or looked at for them.
+     * Shares retry-after delays with the other process of an upgrade through a file in the state folder: a delay
+     * announced to either process delays calls in both. Has to be called before {@link #start}; without it the file is
+     * neither read nor written.
      */
     public void shareWaits() {
-        waits = new SharedWaits(state);
+        sharedRetryDelays = new SharedRetryDelays(stateFolder);
     }
 
-    /** Starts deciding, and takes up again what an earlier process left owed. */
-    public void start(Snapshot known) {
-        resolved(known, Membership.whole(known));
-        if (journal.successor()) {
-            order.awaitOwner();
+    /**
+     * Starts the decision thread and resumes the messages that an earlier process left unfinished. As the successor at
+     * an upgrade, first waits up to a second for the running process to yield ordered messages.
+     *
+     * @param knownEndpoints endpoints to begin with
+     */
+    public void start(Snapshot knownEndpoints) {
+        resolved(knownEndpoints, Membership.whole(knownEndpoints));
+        if (journal.isSuccessor()) {
+            orderHandover.awaitOwnerYield();
         }
-        for (Journal.Owed left : journal.recovered()) {
-            recover(left);
+        for (Journal.Owed entry : journal.recovered()) {
+            recover(entry);
         }
-        loopThread = new Thread(loop, "decide");
+        loopThread = new Thread(decisionLoop, "decide");
         loopThread.start();
-        timers.scheduleWithFixedDelay(this::expireOverdue, EXPIRE_FIRST, EXPIRE, TimeUnit.MILLISECONDS);
-        if (waits != null) {
-            timers.scheduleWithFixedDelay(this::followWaits, FOLLOW_WAITS, FOLLOW_WAITS, TimeUnit.MILLISECONDS);
-        }
-        if (journal.successor()) {
-            Thread takeOver = new Thread(null, this::takeOver, "take-over", 256 * 1024);
+        timers.scheduleWithFixedDelay(
+                this::expireOverdue, FIRST_EXPIRY_CHECK_MILLIS, EXPIRY_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        if (sharedRetryDelays != null) {
+            timers.scheduleWithFixedDelay(
+                    this::applySharedRetryDelays,
+                    SHARED_DELAYS_POLL_MILLIS,
+                    SHARED_DELAYS_POLL_MILLIS,
+                    TimeUnit.MILLISECONDS);
+        }
+        if (journal.isSuccessor()) {
+            Thread takeOver = new Thread(null, this::takeOverFromPredecessor, "take-over", 256 * 1024);
             takeOver.setDaemon(true);
             takeOver.start();
         }
     }
 
     /**
-     * The settings read anew: taken RPCs keep their classes, those taken from now on go by the new ones and
-     * by the new limits. Classes keep their places, and new ones come after them.
+     * Applies changed settings. Accepted RPCs keep their classes; later ones use the new classes and limits. Existing
+     * classes keep their index, and new ones are appended.
      */
-    public void retune(Settings newer) {
-        noteUnsafe(newer);
-        settings = newer;
-        loop.post(new Retuned(newer));
+    public void retune(Settings newSettings) {
+        recordUnsafeClasses(newSettings);
+        settings = newSettings;
+        decisionLoop.post(new Retuned(newSettings));
     }
 
-    private void noteUnsafe(Settings some) {
-        for (int place = 0; place < some.classes().size(); place++) {
-            if (some.classes().get(place).effect() == Effect.UNSAFE) {
-                everUnsafe.add(place);
+    private void recordUnsafeClasses(Settings newSettings) {
+        for (int classIndex = 0; classIndex < newSettings.classes().size(); classIndex++) {
+            if (newSettings.classes().get(classIndex).effect() == Effect.UNSAFE) {
+                classesEverUnsafe.add(classIndex);
             }
         }
     }
 
     /**
-     * Whether an RPC of the class in that place may not be repeated. Guards against a class made less strict
-     * while an RPC of it is under way: it keeps the strictest effect that its class ever had here.
+     * Whether the class at that index has ever had the effect {@code UNSAFE} in this process, so that its RPCs are not
+     * repeated. A class that becomes less strict while an RPC of it is in progress would otherwise allow a repeat.
      */
-    private boolean unsafe(int place) {
-        return everUnsafe.contains(place);
+    private boolean wasEverUnsafe(int classIndex) {
+        return classesEverUnsafe.contains(classIndex);
     }
 
-    /** Guards waits told to the other process of an upgrade: they hold the destination here too. */
-    private void followWaits() {
-        Map<Integer, Long> told;
+    /** Delays calls to the destinations whose retry-after delay was announced to the other process of an upgrade. */
+    private void applySharedRetryDelays() {
+        Map<Integer, Long> delays;
         try {
-            if (!journal.successor()) {
-                order.followSuccessor();
+            if (!journal.isSuccessor()) {
+                orderHandover.checkForSuccessor();
             }
-            told = waits.changed();
+            delays = sharedRetryDelays.pollChanges();
         } catch (IOException | RuntimeException e) {
-            LOG.atWarn().log("shared waits: {}", e.toString()); // a timer that throws would never run again
+            // an exception would cancel this periodic task
+            LOG.atWarn().log("files shared with the other process cannot be read: {}", e.toString());
             return;
         }
-        if (told != null) {
-            long now = SteadyClock.millis();
-            told.forEach((destination, until) -> guards.wait(destination, (until - now) / 1000.0));
+        if (delays != null) {
+            long nowMillis = SteadyClock.millis();
+            delays.forEach(
+                    (destination, until) -> callPreconditions.delayCalls(destination, (until - nowMillis) / 1000.0));
         }
     }
 
     /**
-     * At an upgrade: once the process before this one has ended, takes up what it left owed, as a restart
-     * would. Until then that process answers for it, and nothing of it is sent from here.
+     * At an upgrade: waits for the end of the process before this one, then resumes its unfinished messages as a
+     * restart would. Until then the other process alone sends and answers them.
      */
-    private void takeOver() {
+    private void takeOverFromPredecessor() {
         try {
-            List<Journal.Owed> left = journal.adopt();
-            for (Journal.Owed one : left) {
-                if (heldIds.containsKey(one.request().key())) {
-                    // Handed in here again meanwhile: it is owed one end, and that one is under way here.
-                    journal.acknowledged(one.number());
+            List<Journal.Owed> entries = journal.takeOverFromPredecessor();
+            for (Journal.Owed entry : entries) {
+                if (pendingByKey.containsKey(entry.request().key())) {
+                    // Its client resubmitted it to this process, which reports its one end.
+                    journal.acknowledged(entry.number());
                 } else {
-                    recover(one);
+                    recover(entry);
                 }
             }
             counters.add("taken_over_total", "result", "done");
         } catch (IOException | RuntimeException e) {
-            LOG.atError().log("what the process before left is not taken up: {}", e.toString());
+            LOG.atError().log("unfinished messages of the previous process cannot be taken over: {}", e.toString());
             counters.add("taken_over_total", "result", "failed");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            order.ownerEnded();
+            orderHandover.ownerEnded();
         }
     }
 
-    private void recover(Journal.Owed left) {
-        int place = place(left);
-        MessageClass kind = place < 0 ? null : settings.classes().get(place);
-        RpcRequest request = place < 0 ? left.request() : left.request().of(place);
-        Rpc rpc = new Rpc(left, request, kind, this);
-        MessageLog.recovered(left, rpc.timeLeft());
-        if (left.end() != null) {
-            answerPending(rpc);
-            tell(rpc, left.end(), true);
+    private void recover(Journal.Owed entry) {
+        int classIndex = classIndexOf(entry);
+        MessageClass messageClass = classIndex < 0 ? null : settings.classes().get(classIndex);
+        RpcRequest request = classIndex < 0 ? entry.request() : entry.request().withMessageClass(classIndex);
+        Rpc rpc = new Rpc(entry, request, messageClass, this);
+        MessageLog.recovered(entry, rpc.secondsLeft());
+        if (entry.end() != null) {
+            postAnswerPending(rpc);
+            reportEnd(rpc, entry.end(), true);
             return;
         }
-        hold(rpc);
-        if (left.mayHaveRun()) {
-            answerPending(rpc);
-            overInItsOrder(rpc); // its attempt may run on: those behind it wait for the rest of their key
-        }
-        if (left.mayHaveRun() && (place < 0 || unsafe(place))) {
-            // Guards against a second effect: its attempt may have run, and nobody heard its outcome.
-            answerPending(rpc);
-            end(rpc, new RpcEnd(request.id(), request.returnAddress(), RpcEnd.Kind.GIVEN_UP, 0));
-        } else if (place < 0) {
-            LOG.atWarn().addKeyValue("class", left.className()).log("handed back: its class is gone");
-            end(rpc, new RpcEnd(request.id(), request.returnAddress(), RpcEnd.Kind.HANDED_BACK, 0));
+        addPending(rpc);
+        if (entry.mayHaveRun()) {
+            postAnswerPending(rpc);
+            // its attempt may still run: later messages of its key wait for the quiet time of the key
+            postAnswerAcknowledged(rpc);
+        }
+        if (entry.mayHaveRun() && (classIndex < 0 || wasEverUnsafe(classIndex))) {
+            // A repeat could cause the effect twice: an attempt may have run, and its outcome is unknown.
+            postAnswerPending(rpc);
+            finish(rpc, new RpcEnd(request.id(), request.returnAddress(), RpcEnd.Kind.GIVEN_UP, 0));
+        } else if (classIndex < 0) {
+            LOG.atWarn()
+                    .addKeyValue("class", entry.className())
+                    .log("message returned to its client: its class is no longer in the settings");
+            finish(rpc, new RpcEnd(request.id(), request.returnAddress(), RpcEnd.Kind.HANDED_BACK, 0));
         } else {
-            rpc.live(); // also where its time is over: the module knows what may be handed back
+            // also past its deadline: the decision module chooses between failing and returning it
+            rpc.start();
         }
     }
 
     /**
-     * The place of its class in the settings in force, or -1. Guards against classes that stand in another
-     * order, or are gone, after a restart: by its place alone an RPC could become one that may be repeated.
+     * Index of the message's class in the current settings, or -1. The class is found by its name: its recorded index
+     * may stand for another class after a restart with other settings, which could make an unsafe RPC repeatable.
      */
-    private int place(Journal.Owed left) {
+    private int classIndexOf(Journal.Owed entry) {
         List<MessageClass> classes = settings.classes();
-        int was = left.request().messageClass();
-        if (left.className().isEmpty()) {
-            return was < classes.size() ? was : -1; // written before names were
-        }
-        for (int place = 0; place < classes.size(); place++) {
-            if (classes.get(place).name().equals(left.className())) {
-                return place;
+        int recordedIndex = entry.request().messageClass();
+        if (entry.className().isEmpty()) {
+            // written by a version that did not record class names
+            return recordedIndex < classes.size() ? recordedIndex : -1;
+        }
+        for (int classIndex = 0; classIndex < classes.size(); classIndex++) {
+            if (classes.get(classIndex).name().equals(entry.className())) {
+                return classIndex;
             }
         }
         return -1;
@@ -304,288 +342,331 @@
 
     // ---- an RPC comes in ----
 
-    /** Takes the RPC on, or refuses it; the channel is told before this returns. */
+    /**
+     * Accepts or refuses the RPC and notifies the channel before returning. A resubmission counts as accepted and is
+     * not delivered a second time: an RPC whose key is still pending, or, if {@link RpcRequest#once} is set, ended
+     * recently. Safe for threads.
+     */
     public void offer(RpcRequest request, Channel channel) {
-        if (!arriving.add(request.key())) {
-            refuse(request, channel, "twice"); // the same id at this very moment on another connection
+        if (!keysBeingAdmitted.add(request.key())) {
+            refuse(request, channel, "twice"); // another connection is submitting the same id at this moment
             return;
         }
         try {
             admit(request, channel);
         } finally {
-            arriving.remove(request.key());
+            keysBeingAdmitted.remove(request.key());
         }
     }
 
     private void admit(RpcRequest request, Channel channel) {
-        if (heldIds.containsKey(request.key()) || request.once() && journal.lately(request.key())) {
-            channel.takenOn(); // the same handing-in once more: it is owed one end, not two
+        if (pendingByKey.containsKey(request.key()) || request.once() && journal.endedRecently(request.key())) {
+            channel.takenOn(); // a resubmission: the RPC is reported once
             return;
         }
-        if (owed.incrementAndGet() > settings.allowed().held()) {
-            owed.decrementAndGet();
+        if (admittedCount.incrementAndGet() > settings.allowed().held()) {
+            admittedCount.decrementAndGet();
             refuse(request, channel, "held");
             return;
         }
-        MessageClass kind = settings.classes().get(request.messageClass());
-        if (OrderKeys.of(request, kind) == 0) {
-            takeOn(request, kind, channel);
+        MessageClass messageClass = settings.classes().get(request.messageClass());
+        if (OrderKeys.of(request, messageClass) == 0) {
+            accept(request, messageClass, channel);
             return;
         }
-        order.inOrder(() -> takeOn(request, kind, channel));
+        orderHandover.runInIntakeOrder(() -> accept(request, messageClass, channel));
     }
 
-    private void takeOn(RpcRequest request, MessageClass kind, Channel channel) {
-        int number = journal.taken(request, kind.name());
+    private void accept(RpcRequest request, MessageClass messageClass, Channel channel) {
+        int number = journal.taken(request, messageClass.name());
         if (number < 0) {
-            owed.decrementAndGet();
+            admittedCount.decrementAndGet();
             refuse(request, channel, "disk");
             return;
         }
         counters.add("taken_total", "front", request.front(), "class", "" + request.messageClass());
-        Rpc rpc = new Rpc(number, request, kind, this);
-        held.put(number, rpc);
-        heldIds.put(request.key(), rpc);
-        MessageLog.taken(number, request, rpc.timeLeft());
+        Rpc rpc = new Rpc(number, request, messageClass, this);
+        pending.put(number, rpc);
+        pendingByKey.put(request.key(), rpc);
+        MessageLog.accepted(number, request, rpc.secondsLeft());
         channel.takenOn();
-        order.taken(number, rpc.orderKey());
-        rpc.live();
+        orderHandover.accepted(number, rpc.orderKey());
+        rpc.start();
     }
 
-    private void refuse(RpcRequest request, Channel channel, String why) {
-        counters.add("refused_total", "front", request.front(), "why", why);
-        MessageLog.refused(request, why);
+    private void refuse(RpcRequest request, Channel channel, String reason) {
+        counters.add("refused_total", "front", request.front(), "why", reason);
+        MessageLog.refused(request, reason);
         if (companion != null) {
             companion.turnedAway(request);
         }
-        channel.refused(new UnavailableStatus(FULL_RETRY));
+        channel.refused(new UnavailableStatus(FULL_RETRY_AFTER_SECONDS));
     }
 
-    private void hold(Rpc rpc) {
-        owed.incrementAndGet();
-        held.put(rpc.number(), rpc);
-        heldIds.put(rpc.request().key(), rpc);
+    private void addPending(Rpc rpc) {
+        admittedCount.incrementAndGet();
+        pending.put(rpc.number(), rpc);
+        pendingByKey.put(rpc.request().key(), rpc);
     }
 
-    /** Whether a resolver result, or an extension, has ever named the destination. */
+    /** Whether a resolver result or an extension has ever named the destination. */
     public boolean knows(int destination) {
-        return guards.knows(destination);
+        return callPreconditions.knowsDestination(destination);
     }
 
-    void arrived(Rpc rpc, int attemptsUsed, Journal.Attempt ran) {
+    /** Passes a new or recovered RPC to the decision module. {@code firstPossibleRun} may be null. */
+    void postArrival(Rpc rpc, int attemptsUsed, Journal.Attempt firstPossibleRun) {
         RpcRequest request = rpc.request();
-        // Guards the final answer's time: what waits for a round, while the core is busy, has less left.
-        long takenAt = rpc.orderKey() == 0 ? 0 : journal.takenAt(rpc.number());
-        loop.postLate(() -> new Arrived(new Message(
+        long acceptedAtMicros = rpc.orderKey() == 0 ? 0 : journal.acceptedAtMicros(rpc.number());
+        // The time left is read when the round starts, not now: an event may queue while the decision thread is busy.
+        decisionLoop.postDeferred(() -> new Arrived(new Message(
                 rpc.number(),
                 request.messageClass(),
-                tenant(request),
+                tenantIndex(request),
                 request.destination(),
                 rpc.orderKey(),
-                Math.max(0, rpc.timeLeft()),
+                Math.max(0, rpc.secondsLeft()),
                 attemptsUsed,
-                ran == null ? null : new Ran((SteadyClock.millis() - ran.at()) / 1000.0, ran.zone()),
+                firstPossibleRun == null
+                        ? null
+                        : new Ran(
+                                (SteadyClock.millis() - firstPossibleRun.startedAtMillis()) / 1000.0,
+                                firstPossibleRun.zoneIndex()),
                 request.again() || companion != null && companion.comesAgain(rpc.number(), request),
-                takenAt,
+                acceptedAtMicros,
                 true)));
     }
 
-    /** The place of its tenant in the settings; the last, who has no share, for one that is not named there. */
-    private int tenant(RpcRequest request) {
+    /**
+     * Index of the request's tenant in the settings. A tenant that is not listed gets the last index, which has no
+     * share.
+     */
+    private int tenantIndex(RpcRequest request) {
         List<Tenant> tenants = settings.tenants();
-        for (int place = 0; place < tenants.size(); place++) {
-            if (tenants.get(place).name().equals(request.tenant())) {
-                return place;
+        for (int index = 0; index < tenants.size(); index++) {
+            if (tenants.get(index).name().equals(request.tenant())) {
+                return index;
             }
         }
         return Math.max(0, tenants.size() - 1);
     }
 
-    // ---- what the module is told ----
+    // ---- events for the decision module ----
 
     /**
-     * The resolver result: the snapshot that guards hold from now on, and what the module is told of it. A
-     * list that names nothing new says nothing to the module.
+     * Applies a resolver result: calls are checked against {@code snapshot} at once, and the decision module receives
+     * {@code list} unless it is an empty partial list.
      */
     public void resolved(Snapshot snapshot, TargetList list) {
-        guards.learn(snapshot);
+        callPreconditions.updateMembers(snapshot);
         if (list.whole() || !list.targets().isEmpty()) {
-            loop.post(list);
+            decisionLoop.post(list);
         }
     }
 
-    /** A note or another event that a front passes on as it is. */
+    /** Passes an event of a front, such as a peer note, to the decision module unchanged. */
     public void tell(Event event) {
-        loop.post(event);
+        decisionLoop.post(event);
     }
 
-    void attemptEnded(Rpc rpc, int attempt, SharedCall call, CallResult result, boolean over) {
+    /**
+     * Records the end of an attempt and passes it to the decision module.
+     *
+     * @param finished whether the RPC has ended with it, so that the journal needs no outcome
+     */
+    void attemptEnded(Rpc rpc, int attempt, SharedCall call, CallResult result, boolean finished) {
         Target target = call.target();
-        if (!over) {
+        if (!finished) {
             journal.outcome(rpc.number(), result.end().outcome().neverRan());
         }
         counters.add("attempts_total", "end", result.end().name().toLowerCase(Locale.ROOT));
         MessageLog.attemptEnded(rpc, attempt, call, result);
-        loop.post(new Ended(
+        decisionLoop.post(new Ended(
                 rpc.number(),
                 attempt,
                 target.id(),
                 result.end().outcome(),
-                call.elapsed(),
-                over,
+                call.elapsedSeconds(),
+                finished,
                 result.told(),
                 result.report()));
     }
 
-    /** An RPC failed within this relay: the module is told that it is over, its attempt with it. */
-    void abandon(Rpc rpc, int attempt, SharedCall out) {
-        answerPending(rpc);
-        if (out != null) {
-            loop.post(new Ended(rpc.number(), attempt, out.target().id(), Outcome.ERROR, out.elapsed(), true, 0, null));
+    /**
+     * Tells the decision module that the RPC has ended, with its attempt, because of an error in this relay. {@code
+     * callInFlight} may be null.
+     */
+    void postInternalFailure(Rpc rpc, int attempt, SharedCall callInFlight) {
+        postAnswerPending(rpc);
+        if (callInFlight != null) {
+            decisionLoop.post(new Ended(
+                    rpc.number(),
+                    attempt,
+                    callInFlight.target().id(),
+                    Outcome.ERROR,
+                    callInFlight.elapsedSeconds(),
+                    true,
+                    0,
+                    null));
         } else {
-            loop.post(new Withdrawn(rpc.number()));
+            decisionLoop.post(new Withdrawn(rpc.number()));
         }
     }
 
-    // ---- what the module decides ----
+    // ---- actions of the decision module ----
 
     private void carryOut(List<Action> actions) {
-        Map<Integer, SharedCall> forming = new HashMap<>();
-        List<Runnable> starts = new ArrayList<>();
+        Map<Integer, SharedCall> latestCallByTarget = new HashMap<>();
+        List<Runnable> callStarts = new ArrayList<>();
         for (Action action : actions) {
             if (action instanceof Send send) {
-                Rpc rpc = held.get(send.message());
-                SharedCall call = callFor(send, forming);
+                Rpc rpc = pending.get(send.message());
+                SharedCall call = callFor(send, latestCallByTarget);
                 if (rpc != null) {
                     call.add(rpc, send.timeout());
-                    starts.add(() -> rpc.choose(call));
+                    callStarts.add(() -> rpc.applyDecision(call));
                 }
             } else if (action instanceof Refuse refuse) {
-                choose(refuse.message(), refuse);
+                passDecision(refuse.message(), refuse);
             } else if (action instanceof Fail fail) {
-                choose(fail.message(), fail);
+                passDecision(fail.message(), fail);
             } else if (action instanceof Cancel cancel) {
-                Rpc rpc = held.get(cancel.message());
+                Rpc rpc = pending.get(cancel.message());
                 if (rpc != null) {
-                    rpc.callOff();
+                    rpc.cancelAttempt();
                 }
             } else if (action instanceof Probe probe) {
                 probe(probe.target());
             } else if (action instanceof CloseIdle close) {
-                Target target = guards.target(close.target());
+                Target target = callPreconditions.target(close.target());
                 if (target != null) {
                     subchannels.closeIdle(target);
                 }
             } else if (action instanceof Note note) {
-                notes.send(note.to(), note.note());
+                noteSender.send(note.to(), note.note());
             } else if (action instanceof Log log) {
                 LOG.info(log.line());
             }
         }
-        starts.forEach(Runnable::run);
+        callStarts.forEach(Runnable::run);
     }
 
-    private SharedCall callFor(Send send, Map<Integer, SharedCall> forming) {
-        SharedCall call = forming.get(send.target());
-        Target target = guards.target(send.target());
+    private SharedCall callFor(Send send, Map<Integer, SharedCall> latestCallByTarget) {
+        SharedCall call = latestCallByTarget.get(send.target());
+        Target target = callPreconditions.target(send.target());
         if (call == null || call.size() >= settings.kinds().get(target.kind()).batch()) {
             call = new SharedCall(
                     target,
                     subchannels,
-                    () -> guards.mayCall(target.id(), target.destination()),
+                    () -> callPreconditions.mayCall(target.id(), target.destination()),
                     timers,
-                    result -> heard(target, result));
-            forming.put(send.target(), call);
+                    result -> applyRetryAfter(target, result));
+            latestCallByTarget.put(send.target(), call);
         }
         return call;
     }
 
-    /** Guards a told wait from the moment at which its answer is read: RPCs and the module hear it later. */
-    private void heard(Target target, CallResult result) {
+    /**
+     * Delays calls to the destination as soon as an answer with a retry-after delay is read, before the RPCs and the
+     * decision module are notified.
+     */
+    private void applyRetryAfter(Target target, CallResult result) {
         if (result.told() > 0) {
-            guards.wait(target.destination(), result.told());
-            if (waits != null) {
-                waits.told(target.destination(), SteadyClock.millis() + (long) Math.ceil(result.told() * 1000));
+            callPreconditions.delayCalls(target.destination(), result.told());
+            if (sharedRetryDelays != null) {
+                sharedRetryDelays.add(
+                        target.destination(), SteadyClock.millis() + (long) Math.ceil(result.told() * 1000));
             }
         }
     }
 
-    private void choose(int message, Object choice) {
-        Rpc rpc = held.get(message);
+    private void passDecision(int message, Object decision) {
+        Rpc rpc = pending.get(message);
         if (rpc != null) {
-            rpc.choose(choice);
+            rpc.applyDecision(decision);
         }
     }
 
     private void probe(int id) {
-        Target target = guards.target(id);
-        if (target == null || !guards.mayCall(target.id(), target.destination())) {
-            loop.post(new Probed(id, false, false, 0));
+        Target target = callPreconditions.target(id);
+        if (target == null || !callPreconditions.mayCall(target.id(), target.destination())) {
+            decisionLoop.post(new Probed(id, false, false, 0));
             return;
         }
         counters.add("probes_total");
-        subchannels.probe(target, (ok, full, elapsed) -> loop.post(new Probed(target.id(), ok, full, elapsed)));
+        subchannels.probe(target, (ok, full, elapsed) -> decisionLoop.post(new Probed(target.id(), ok, full, elapsed)));
     }
 
-    // ---- a folder that fails ----
+    // ---- journal write failures ----
 
-    private void catchUpSoon() {
-        if (catchingUp.compareAndSet(false, true)) {
-            later(CATCH_UP, this::catchUp);
+    private void scheduleCatchUp() {
+        if (catchUpScheduled.compareAndSet(false, true)) {
+            schedule(CATCH_UP_DELAY_MILLIS, this::catchUpJournal);
         }
     }
 
-    private void catchUp() {
-        catchingUp.set(false);
+    private void catchUpJournal() {
+        catchUpScheduled.set(false);
         if (!journal.catchUp()) {
-            catchUpSoon();
+            scheduleCatchUp();
         }
     }
 
-    // ---- the last resort ----
+    // ---- overdue messages ----
 
-    /** Guards the final answer of each message against whatever keeps the module or a call from ending it. */
+    /**
+     * Ends messages that neither the decision module nor a call has ended within {@link #OVERDUE_GRACE_SECONDS} of
+     * their deadline.
+     */
     private void expireOverdue() {
         try {
-            held.values().stream().filter(rpc -> rpc.timeLeft() < -OVERDUE).forEach(rpc -> {
-                counters.add("expired_total", "class", "" + rpc.request().messageClass());
-                rpc.expire();
-            });
+            pending.values().stream()
+                    .filter(rpc -> rpc.secondsLeft() < -OVERDUE_GRACE_SECONDS)
+                    .forEach(rpc -> {
+                        counters.add(
+                                "expired_total", "class", "" + rpc.request().messageClass());
+                        rpc.expire();
+                    });
         } catch (RuntimeException e) {
-            LOG.error("overdue messages", e); // a timer that throws would never run again
+            LOG.error("overdue messages cannot be ended", e); // an exception would cancel this periodic task
         }
     }
 
-    /** The module holds the RPC no longer. */
+    /** Removes the RPC from the decision module's pending messages. */
     void withdraw(Rpc rpc) {
-        answerPending(rpc);
-        loop.post(new Withdrawn(rpc.number()));
+        postAnswerPending(rpc);
+        decisionLoop.post(new Withdrawn(rpc.number()));
     }
 
-    /** Runs the action after so many milliseconds, or never where this relay is closed by then. */
-    private void later(long millis, Runnable action) {
+    /** Runs the action after the delay, or never if this relay is closed by then. */
+    private void schedule(long delayMillis, Runnable action) {
         try {
-            timers.schedule(action, millis, TimeUnit.MILLISECONDS);
+            timers.schedule(action, delayMillis, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
-            LOG.debug("closed: {}", e.toString()); // the next process takes up what is owed
+            // the next process resumes what is unfinished
+            LOG.debug("timer not scheduled, the relay is closed: {}", e.toString());
         }
     }
 
-    /** The result of an attempt that could not be written down, and so did not leave; after a pause. */
-    CompletableFuture<CallResult> heldBack() {
+    /**
+     * Result of an attempt that was not sent because the journal could not record it. It completes after a delay, so
+     * that the decision module does not retry at once.
+     */
+    CompletableFuture<CallResult> heldBackResult() {
         CompletableFuture<CallResult> result = new CompletableFuture<>();
-        later(HELD_BACK, () -> result.complete(CallResult.of(CallEnd.HELD_BACK)));
+        schedule(HELD_BACK_DELAY_MILLIS, () -> result.complete(CallResult.of(CallEnd.HELD_BACK)));
         return result;
     }
 
     // ---- an RPC ends ----
 
-    void end(Rpc rpc, RpcEnd end) {
+    /** Records the one end of an RPC, removes it from the pending ones and reports the end to its front. */
+    void finish(Rpc rpc, RpcEnd end) {
         RpcRequest request = rpc.request();
         boolean written = journal.ended(rpc.number(), end);
-        held.remove(rpc.number());
-        heldIds.remove(request.key(), rpc);
-        owed.decrementAndGet();
+        pending.remove(rpc.number());
+        pendingByKey.remove(request.key(), rpc);
+        admittedCount.decrementAndGet();
         counters.add(
                 "answered_total",
                 "front",
@@ -595,70 +676,71 @@
                 "end",
                 end.kind().name().toLowerCase(Locale.ROOT));
         MessageLog.ended(rpc, end);
-        order.over(rpc.number());
+        orderHandover.finished(rpc.number());
         if (written) {
-            tell(rpc, end, false);
+            reportEnd(rpc, end, false);
         } else {
-            tellSafely(rpc, end);
+            reportOnceWritten(rpc, end);
         }
     }
 
     /**
-     * Tells an end that is not written down yet: once it is, or once the RPC's time is up. Guards against a kill in
-     * between: until then the next process could send what its client was told is over.
+     * Reports an end that is not yet in the journal: once it is written, or at the RPC's deadline at the latest. If
+     * this process were killed after an earlier report, the next one could send an RPC whose end its client already
+     * knows.
      */
-    private void tellSafely(Rpc rpc, RpcEnd end) {
-        AtomicBoolean told = new AtomicBoolean();
-        Runnable tell = () -> {
-            if (told.compareAndSet(false, true)) {
-                tell(rpc, end, false);
+    private void reportOnceWritten(Rpc rpc, RpcEnd end) {
+        AtomicBoolean reported = new AtomicBoolean();
+        Runnable reportOnce = () -> {
+            if (reported.compareAndSet(false, true)) {
+                reportEnd(rpc, end, false);
             }
         };
-        journal.onceWritten(tell);
-        later(Math.max(0, (long) (rpc.timeLeft() * 1000)), tell);
+        journal.runOnceWritten(reportOnce);
+        schedule(Math.max(0, (long) (rpc.secondsLeft() * 1000)), reportOnce);
     }
 
-    /** Those behind it in its order wait for the acknowledgement of its end, of which the module knows not. */
-    private void answerPending(Rpc rpc) {
+    /** Makes later messages with the same order key wait until this one's end is acknowledged. */
+    private void postAnswerPending(Rpc rpc) {
         if (rpc.orderKey() != 0) {
-            loop.post(new AnswerPending(rpc.number(), rpc.orderKey()));
+            decisionLoop.post(new AnswerPending(rpc.number(), rpc.orderKey()));
         }
     }
 
-    private void tell(Rpc rpc, RpcEnd end, boolean again) {
+    private void reportEnd(Rpc rpc, RpcEnd end, boolean repeated) {
         Front front = fronts.get(rpc.request().front());
         if (front == null || !front.tells(end)) {
-            acknowledged(rpc);
+            onAcknowledged(rpc);
         } else if (front.overOnceAcknowledged()) {
-            front.report(end, again, () -> acknowledged(rpc));
+            front.report(end, repeated, () -> onAcknowledged(rpc));
         } else {
-            front.report(end, again, () -> {
+            front.report(end, repeated, () -> {
                 MessageLog.reported(rpc.request());
                 journal.acknowledged(rpc.number());
             });
-            overInItsOrder(rpc);
+            postAnswerAcknowledged(rpc);
         }
     }
 
-    private void acknowledged(Rpc rpc) {
+    private void onAcknowledged(Rpc rpc) {
         journal.acknowledged(rpc.number());
-        overInItsOrder(rpc);
+        postAnswerAcknowledged(rpc);
     }
 
-    private void overInItsOrder(Rpc rpc) {
+    private void postAnswerAcknowledged(Rpc rpc) {
         if (rpc.orderKey() != 0) {
-            rpc.afterLastCall(() -> loop.post(new AnswerAcknowledged(rpc.number(), rpc.orderKey())));
+            rpc.runAfterLastCall(() -> decisionLoop.post(new AnswerAcknowledged(rpc.number(), rpc.orderKey())));
         }
     }
 
-    /** Stops deciding; what is held stays owed in the journal. */
+    /** Stops the decision thread and all timers. Pending messages stay unfinished in the journal. */
     public void close() throws InterruptedException {
-        loop.stop();
-        loopThread.join(ENDS); // what it has decided it carries out
+        decisionLoop.stop();
+        loopThread.join(LAST_ROUND_TIMEOUT_MILLIS); // the last round's actions are carried out
         timers.shutdownNow();
     }
 
-    /** Closes the journal; only once no connection can bring an end any more. */
+    /** Closes the journal. Has to be called after all connections have closed, since each may still report an end. */
     public void closeJournal() {
         journal.close();
     }
@@ -667,23 +749,28 @@
         return journal;
     }
 
-    /** How many RPCs are held, but for those that the successor of an upgrade will send. */
+    /** Number of pending RPCs, without those that the successor of an upgrade will send. */
     public int held() {
-        return held.size() - order.waiting();
+        return pending.size() - orderHandover.heldBackCount();
     }
 
     /**
-     * From the first time on no call starts that may not be repeated, from the second on none at all: what is out may
-     * end, and what is held is owed by the next process. Both are milliseconds of {@link SteadyClock}.
+     * Stops new calls before a shutdown. Calls in flight may end; pending RPCs are left to the next process. Both times
+     * are milliseconds of {@link SteadyClock}.
+     *
+     * @param unsafeMillis time from which no call of an unsafe class starts
+     * @param allMillis time from which no call starts
      */
-    public void noCallsAfter(long unsafe, long any) {
-        noUnsafeAfter = unsafe;
-        noCallAfter = any;
+    public void noCallsAfter(long unsafeMillis, long allMillis) {
+        noUnsafeCallsAfterMillis = unsafeMillis;
+        noCallsAfterMillis = allMillis;
     }
 
+    /** Whether a call that carries the RPC may still start, given the times set by {@link #noCallsAfter}. */
     boolean mayStart(Rpc rpc) {
-        long now = SteadyClock.millis();
-        return now < noCallAfter
-                && (now < noUnsafeAfter || !unsafe(rpc.request().messageClass()));
+        long nowMillis = SteadyClock.millis();
+        return nowMillis < noCallsAfterMillis
+                && (nowMillis < noUnsafeCallsAfterMillis
+                        || !wasEverUnsafe(rpc.request().messageClass()));
     }
 }
--- a/src/main/java/juniperusher/core/RoutedSubchannels.java
+++ b/src/main/java/juniperusher/core/RoutedSubchannels.java
@@ -5,35 +5,38 @@
 import java.util.stream.Collectors;
 import juniperusher.Protocol.Target;
 
-/** Calls that go over the platform's wire or, where the endpoint is one of an extension, over that one's. */
+/**
+ * Routes each call to the transport of its endpoint: the extension's for endpoints of the extension, else the
+ * platform's.
+ */
 public final class RoutedSubchannels implements Subchannels {
-    private final Subchannels usual;
+    private final Subchannels platformSubchannels;
     private final Extension extension;
-    private final Set<Integer> extended;
+    private final Set<Integer> extensionTargets;
 
-    /** Routes by the endpoints that the extension has. */
-    public RoutedSubchannels(Subchannels usual, Extension extension) {
-        this.usual = usual;
+    /** Takes the list of the extension's endpoints, which must not change afterwards. */
+    public RoutedSubchannels(Subchannels platformSubchannels, Extension extension) {
+        this.platformSubchannels = platformSubchannels;
         this.extension = extension;
-        extended = extension.targets().stream().map(Target::id).collect(Collectors.toSet());
+        extensionTargets = extension.targets().stream().map(Target::id).collect(Collectors.toSet());
     }
 
-    private Subchannels of(Target target) {
-        return extended.contains(target.id()) ? extension.subchannels() : usual;
+    private Subchannels subchannelsFor(Target target) {
+        return extensionTargets.contains(target.id()) ? extension.subchannels() : platformSubchannels;
     }
 
     @Override
     public Call call(Target subchannel, List<RpcRequest> rpcs, double timeout, Clearance clearance, Results results) {
-        return of(subchannel).call(subchannel, rpcs, timeout, clearance, results);
+        return subchannelsFor(subchannel).call(subchannel, rpcs, timeout, clearance, results);
     }
 
     @Override
     public void probe(Target subchannel, Probed probed) {
-        of(subchannel).probe(subchannel, probed);
+        subchannelsFor(subchannel).probe(subchannel, probed);
     }
 
     @Override
     public void closeIdle(Target subchannel) {
-        of(subchannel).closeIdle(subchannel);
+        subchannelsFor(subchannel).closeIdle(subchannel);
     }
 }
--- a/src/main/java/juniperusher/core/Rpc.java
+++ b/src/main/java/juniperusher/core/Rpc.java
@@ -11,182 +11,190 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The life of one RPC, from top to bottom, as one chain of futures: a thread for each would not fit into a
- * small relay. The module is asked at each point of choice: it is told of the arrival and of each attempt's
- * end, and its next choice completes the future that the chain goes on from.
+ * The state machine of one accepted RPC, written as a chain of futures because a thread for each RPC would need too
+ * much memory on a small relay. The decision module receives the arrival and the end of each attempt; its next decision
+ * completes the future that the chain waits for.
  */
 final class Rpc {
     private static final Logger LOG = LoggerFactory.getLogger(Rpc.class);
 
     private final int number;
     private final RpcRequest request;
-    private final MessageClass kind;
+    private final MessageClass messageClass;
     private final long orderKey;
     private final Relay relay;
-    private volatile CompletableFuture<Object> choice = new CompletableFuture<>();
+    private volatile CompletableFuture<Object> nextDecision = new CompletableFuture<>();
     private int attempts;
-    private volatile SharedCall out;
-    private volatile SharedCall last; // the call of the last attempt, which may be out still, or null
-    private volatile boolean over;
-    private final AtomicBoolean ended = new AtomicBoolean(); // its final answer is decided, once
-    private volatile Journal.Attempt ran; // the first attempt that may have run, or null
+    private volatile SharedCall callInFlight; // null between attempts
+    private volatile SharedCall lastCall; // may still be in flight; null before the first attempt
+    private volatile boolean finished;
+    private final AtomicBoolean endDecided = new AtomicBoolean();
+    private volatile Journal.Attempt firstPossibleRun; // null if no attempt can have run
 
-    Rpc(int number, RpcRequest request, MessageClass kind, Relay relay) {
+    Rpc(int number, RpcRequest request, MessageClass messageClass, Relay relay) {
         this.number = number;
         this.request = request;
-        this.kind = kind;
-        this.orderKey = OrderKeys.of(request, kind);
+        this.messageClass = messageClass;
+        this.orderKey = OrderKeys.of(request, messageClass);
         this.relay = relay;
     }
 
-    /** The same, as an earlier process left it; {@code request} names the place that its class has now. */
-    Rpc(Journal.Owed left, RpcRequest request, MessageClass kind, Relay relay) {
-        this(left.number(), request, kind, relay);
-        attempts = left.attempts();
-        ran = left.ran();
+    /**
+     * An RPC that an earlier process left unfinished.
+     *
+     * @param request the request with the current index of its class
+     * @param messageClass its class, null if the settings no longer contain it
+     */
+    Rpc(Journal.Owed entry, RpcRequest request, MessageClass messageClass, Relay relay) {
+        this(entry.number(), request, messageClass, relay);
+        attempts = entry.attempts();
+        firstPossibleRun = entry.firstPossibleRun();
     }
 
-    /** From the arrival on. */
-    void live() {
-        CompletableFuture<Object> first = choice;
-        relay.arrived(this, attempts, ran);
-        turn(first);
+    /** Passes the arrival to the decision module and waits for its first decision. */
+    void start() {
+        CompletableFuture<Object> firstDecision = nextDecision;
+        relay.postArrival(this, attempts, firstPossibleRun);
+        onDecision(firstDecision);
     }
 
-    /** From one choice of the module to the next, or to the end. */
-    private void turn(CompletableFuture<Object> chosen) {
-        chosen.thenCompose(made -> {
-                    // Laid out before the module hears anything, since its next choice may come at once.
+    /** Carries out a decision once it is made, then waits for the next one or ends the RPC. */
+    private void onDecision(CompletableFuture<Object> decisionMade) {
+        decisionMade
+                .thenCompose(decision -> {
+                    // Set before the decision module is notified, since its next decision may follow at once.
                     CompletableFuture<Object> next = new CompletableFuture<>();
-                    choice = next;
-                    if (made instanceof SharedCall call) {
-                        return attempt(call, next);
-                    } else if (made instanceof Refuse refuse) {
-                        end(RpcEnd.Kind.HANDED_BACK, refuse.after());
-                    } else if (made instanceof Fail) {
-                        end(RpcEnd.Kind.GIVEN_UP, 0);
+                    nextDecision = next;
+                    if (decision instanceof SharedCall call) {
+                        return runAttempt(call, next);
+                    } else if (decision instanceof Refuse refuse) {
+                        finish(RpcEnd.Kind.HANDED_BACK, refuse.after());
+                    } else if (decision instanceof Fail) {
+                        finish(RpcEnd.Kind.GIVEN_UP, 0);
                     } else {
-                        turn(next);
+                        onDecision(next);
                     }
                     return CompletableFuture.<Void>completedFuture(null);
                 })
-                .exceptionally(this::broken);
+                .exceptionally(this::onFailure);
     }
 
-    private CompletableFuture<Void> attempt(SharedCall call, CompletableFuture<Object> next) {
+    private CompletableFuture<Void> runAttempt(SharedCall call, CompletableFuture<Object> next) {
         int attempt = attempts++;
-        Journal.Attempt sent;
-        CompletableFuture<CallResult> ended;
-        out = call;
+        Journal.Attempt record;
+        CompletableFuture<CallResult> result;
+        callInFlight = call;
         try {
-            sent = relay.journal().attempt(number, call.target().zone());
-            last = call;
+            record = relay.journal().attempt(number, call.target().zone());
+            lastCall = call;
             MessageLog.attempt(this, attempt, call);
-            ended = call.join(this);
+            result = call.join(this);
         } catch (JournalUnavailableException e) {
-            sent = null;
-            call.leave(this); // the others go without it
-            ended = relay.heldBack();
+            record = null;
+            call.leave(this); // the other RPCs of the call go without it
+            result = relay.heldBackResult();
         }
-        Journal.Attempt written = sent;
-        return ended.thenAccept(result -> {
-            out = null;
-            ran = ran == null && !result.end().outcome().neverRan() ? written : ran;
-            over = result.end() == CallEnd.DELIVERED || result.end() == CallEnd.OVER;
-            relay.attemptEnded(this, attempt, call, result, over);
-            if (over) {
-                end(RpcEnd.Kind.DELIVERED, 0);
+        Journal.Attempt recordedAttempt = record;
+        return result.thenAccept(callResult -> {
+            callInFlight = null;
+            firstPossibleRun =
+                    firstPossibleRun == null && !callResult.end().outcome().neverRan()
+                            ? recordedAttempt
+                            : firstPossibleRun;
+            finished = callResult.end() == CallEnd.DELIVERED || callResult.end() == CallEnd.OVER;
+            relay.attemptEnded(this, attempt, call, callResult, finished);
+            if (finished) {
+                finish(RpcEnd.Kind.DELIVERED, 0);
             } else {
-                turn(next);
+                onDecision(next);
             }
         });
     }
 
-    private void end(RpcEnd.Kind kind, double retryIn) {
-        over = true;
-        if (!ended.compareAndSet(false, true)) {
-            return; // it has its one final answer
+    private void finish(RpcEnd.Kind kind, double retryIn) {
+        finished = true;
+        if (!endDecided.compareAndSet(false, true)) {
+            return; // an RPC ends only once
         }
-        relay.end(this, new RpcEnd(request.id(), request.returnAddress(), kind, retryIn));
+        relay.finish(this, new RpcEnd(request.id(), request.returnAddress(), kind, retryIn));
     }
 
-    /** Guards against an RPC that nobody answers for: what broke is unknown, so it may have run. */
-    private Void broken(Throwable why) {
-        LOG.error("RPC {} failed", number, why);
-        boolean delivered = over;
-        SharedCall shared = out;
-        if (shared != null) {
-            shared.fail(this);
+    /** Ends the RPC after an unexpected error, which would otherwise leave it without an end. It may have run. */
+    private Void onFailure(Throwable cause) {
+        LOG.error("RPC {} ended by an internal error", number, cause);
+        boolean delivered = finished;
+        SharedCall call = callInFlight;
+        if (call != null) {
+            call.fail(this);
         }
-        if (!ended.get()) {
-            relay.abandon(this, attempts - 1, shared);
-            end(delivered ? RpcEnd.Kind.DELIVERED : RpcEnd.Kind.GIVEN_UP, 0);
+        if (!endDecided.get()) {
+            relay.postInternalFailure(this, attempts - 1, call);
+            finish(delivered ? RpcEnd.Kind.DELIVERED : RpcEnd.Kind.GIVEN_UP, 0);
         }
         return null;
     }
 
-    /**
-     * Ends it, its call first, as its time is up and nothing else has: the last resort, whatever became of the module's
-     * choice or of the call's end.
-     */
+    /** Ends an overdue RPC, after its call, whether or not the decision module or the call still responds. */
     void expire() {
         LOG.atError()
                 .addKeyValue("id", request.id())
                 .addKeyValue("attempts", attempts)
-                .addKeyValue("call_out", out != null)
-                .log("no end in its time, given up");
-        SharedCall shared = out;
-        if (shared != null) {
-            shared.fail(this);
+                .addKeyValue("call_out", callInFlight != null)
+                .log("message failed permanently: it had no end by its deadline");
+        SharedCall call = callInFlight;
+        if (call != null) {
+            call.fail(this);
         }
         relay.withdraw(this);
-        end(RpcEnd.Kind.GIVEN_UP, 0);
+        finish(RpcEnd.Kind.GIVEN_UP, 0);
     }
 
-    /** The module's choice: a {@link SharedCall}, a {@link Refuse} or a {@link Fail}. */
-    void choose(Object made) {
-        choice.complete(made);
+    /** Applies a decision: a {@link SharedCall}, a {@link Refuse} or a {@link Fail}. */
+    void applyDecision(Object decision) {
+        nextDecision.complete(decision);
     }
 
-    void callOff() {
-        SharedCall call = out;
+    /** Cancels the attempt in flight, if any. */
+    void cancelAttempt() {
+        SharedCall call = callInFlight;
         if (call != null) {
-            call.callOff(this);
+            call.cancel(this);
         }
     }
 
-    /** Whether a call with it may still start; asked just before the first byte. */
+    /** Whether a call that carries this RPC may still start. Checked immediately before the first byte. */
     boolean mayStart() {
-        return !over && timeLeft() > 0 && mayRepeat() && relay.mayStart(this);
+        return !finished && secondsLeft() > 0 && mayRepeat() && relay.mayStart(this);
     }
 
     /**
-     * Guards the window for repeats, and what may never be repeated, against a connection that took its time
-     * to come up: the module chose to send before it.
+     * Whether a further attempt is allowed if an earlier one may have run. The decision module has checked this too,
+     * but establishing the connection may have outlasted the repeat window since.
      */
     private boolean mayRepeat() {
-        Journal.Attempt first = ran;
-        return first == null
-                || kind.effect() == Effect.SAFE
-                || kind.effect() == Effect.KEYED && SteadyClock.millis() - first.at() < kind.keyWindow() * 1000;
+        Journal.Attempt firstRun = firstPossibleRun;
+        return firstRun == null
+                || messageClass.effect() == Effect.SAFE
+                || messageClass.effect() == Effect.KEYED
+                        && SteadyClock.millis() - firstRun.startedAtMillis() < messageClass.keyWindow() * 1000;
     }
 
     int number() {
         return number;
     }
 
-    /** Key of its order as the module knows it, 0 for none. */
+    /** Its order key as in {@link OrderKeys}, 0 if it is not ordered. */
     long orderKey() {
         return orderKey;
     }
 
-    /** Runs the action once no attempt of it is out any more. */
-    void afterLastCall(Runnable action) {
-        SharedCall call = last;
+    /** Runs the action once no attempt of this RPC is in flight. */
+    void runAfterLastCall(Runnable action) {
+        SharedCall call = lastCall;
         if (call == null) {
             action.run();
         } else {
-            call.afterCall(this, action);
+            call.runAfterCall(this, action);
         }
     }
 
@@ -194,7 +202,8 @@
         return request;
     }
 
-    double timeLeft() {
+    /** Seconds until its deadline, negative after it. */
+    double secondsLeft() {
         return (request.deadline() - SteadyClock.millis()) / 1000.0;
     }
 }
--- a/src/main/java/juniperusher/core/RpcEnd.java
+++ b/src/main/java/juniperusher/core/RpcEnd.java
@@ -1,19 +1,21 @@
 package juniperusher.core;
 
 /**
- * The one final answer of an RPC that was taken on.
+ * The one final end of an accepted RPC.
  *
- * @param id            the client's id
- * @param returnAddress as in {@link RpcRequest}
- * @param kind          how it ended
- * @param retryIn       after {@code HANDED_BACK}: seconds after which the client may come again, 0 for no
- * advice
+ * @param id the client's id of the RPC
+ * @param returnAddress see {@link RpcRequest}
+ * @param kind how the RPC ended
+ * @param retryIn after {@code HANDED_BACK}: seconds after which the client should resubmit it, 0 for no advice
  */
 public record RpcEnd(String id, String returnAddress, Kind kind, double retryIn) {
-    /** Delivered; failed for good; or refused, so that handing it in again is harmless. */
+    /** How an RPC ends. The journal stores the ordinal, so the order of the constants must not change. */
     public enum Kind {
+        /** An endpoint delivered it. */
         DELIVERED,
+        /** It failed permanently. */
         GIVEN_UP,
+        /** It was returned to the client, which may safely resubmit it. */
         HANDED_BACK
     }
 }
--- a/src/main/java/juniperusher/core/RpcRequest.java
+++ b/src/main/java/juniperusher/core/RpcRequest.java
@@ -1,21 +1,21 @@
 package juniperusher.core;
 
 /**
- * An RPC as a channel hands it in.
+ * An RPC as a client submits it.
  *
- * @param id            the client's id of this handing-in
- * @param front         name of the front that took it in
- * @param messageClass  place of its class in the settings
- * @param destination   number of its destination
- * @param deadline      time in ms by which it may still be delivered, see {@link juniperusher.clock.SteadyClock}
- * @param returnAddress where its end is told; the front's own text, may be empty
- * @param once          a repeat of its id, while it is held or lately over, is not taken on a second time
- * @param body          the bytes passed on
- * @param again         its client marks it as handed in again; not known any more after a restart
- * @param idempotencyKey by which its destination knows repeats of it; passed on as it is, empty for none
- * @param orderKey     messages of ordered classes with the same key are delivered one at a time, as taken;
- *                     empty for none
- * @param tenant       name of the tenant on whose behalf it comes, empty for none
+ * @param id the client's id of this submission
+ * @param front name of the front that received it
+ * @param messageClass index of its class in the settings
+ * @param destination number of its destination
+ * @param deadline latest delivery time in milliseconds of {@link juniperusher.clock.SteadyClock}
+ * @param returnAddress where its end is reported, in a format of the front; may be empty
+ * @param once whether a second submission with this id is dropped while the first is pending or ended recently
+ * @param body payload, passed on unchanged
+ * @param again whether its client marked it as a resubmission; not kept over a restart
+ * @param idempotencyKey key by which its destination recognizes repeats, passed on unchanged; empty for none
+ * @param orderKey messages of ordered classes with the same key are delivered one at a time, in the order in which they
+ *     were accepted; empty for none
+ * @param tenant name of the tenant that it belongs to, empty for none
  */
 public record RpcRequest(
         String id,
@@ -30,7 +30,7 @@
         String idempotencyKey,
         String orderKey,
         String tenant) {
-    /** An RPC without keys or a tenant that is not marked as handed in again. */
+    /** An RPC without keys and without a tenant that is not marked as a resubmission. */
     public RpcRequest(
             String id,
             String front,
@@ -43,7 +43,7 @@
         this(id, front, messageClass, destination, deadline, returnAddress, once, body, false, "");
     }
 
-    /** An RPC without a key of its order or a tenant. */
+    /** An RPC without an order key and without a tenant. */
     public RpcRequest(
             String id,
             String front,
@@ -58,12 +58,12 @@
         this(id, front, messageClass, destination, deadline, returnAddress, once, body, again, idempotencyKey, "", "");
     }
 
-    /** The same, of the class in that place of the settings. */
-    RpcRequest of(int place) {
+    /** A copy with another class index. */
+    RpcRequest withMessageClass(int classIndex) {
         return new RpcRequest(
                 id,
                 front,
-                place,
+                classIndex,
                 destination,
                 deadline,
                 returnAddress,
@@ -75,7 +75,7 @@
                 tenant);
     }
 
-    /** What tells it from every other RPC held. */
+    /** Identifies the RPC among all pending ones: front and id. */
     public String key() {
         return front + ' ' + id;
     }
--- a/src/main/java/juniperusher/core/SharedCall.java
+++ b/src/main/java/juniperusher/core/SharedCall.java
@@ -13,13 +13,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One call and the RPCs that share it: one connection, one fate. It starts when the last of them has
- * joined, so that each has its attempt in the journal before the first byte.
+ * A call and the RPCs that share it, and with it one connection. The call starts when the last of them has joined, so
+ * that the journal holds the attempt of each before the first byte.
  */
 final class SharedCall {
     private static final Logger LOG = LoggerFactory.getLogger(SharedCall.class);
-    // s before the earliest deadline at which a call of several ends, so that each has its end in time
-    private static final double ENDS_EARLY = 0.02;
+    // A call with several RPCs ends this long before their earliest deadline, so that the end of each is reported in
+    // time.
+    private static final double DEADLINE_MARGIN_SECONDS = 0.02;
 
     private static final AtomicLong LAST_NUMBER = new AtomicLong();
 
@@ -27,41 +28,46 @@
     private final Subchannels subchannels;
     private final Subchannels.Clearance clearance;
     private final ScheduledExecutorService timers;
-    private final Consumer<CallResult> heard;
+    private final Consumer<CallResult> resultListener;
     private final List<Member> members = new ArrayList<>();
-    private double timeout;
+    private double timeoutSeconds;
     private Subchannels.Call call;
-    private boolean abandoned;
-    private final long madeAt = System.nanoTime();
-    private final long number = LAST_NUMBER.incrementAndGet(); // tells calls apart in the log
+    private boolean abandonRequested;
+    private final long createdAtNanos = System.nanoTime();
+    private final long number = LAST_NUMBER.incrementAndGet(); // identifies the call in the log
 
     private static final class Member {
         final Rpc rpc;
         final CompletableFuture<CallResult> result = new CompletableFuture<>();
-        final CompletableFuture<Void> callEnded = new CompletableFuture<>(); // may be later than the result
+        final CompletableFuture<Void> callEnded = new CompletableFuture<>(); // may complete after the result
         boolean joined;
-        boolean calledOff;
+        boolean cancelled;
 
         Member(Rpc rpc) {
             this.rpc = rpc;
         }
     }
 
-    /** {@code heard} takes each result at once, before any RPC does. */
+    /**
+     * Creates a call without RPCs.
+     *
+     * @param clearance asked before the first byte, in addition to the RPCs
+     * @param resultListener receives each result before the RPC of the result does
+     */
     SharedCall(
             Target target,
             Subchannels subchannels,
             Subchannels.Clearance clearance,
             ScheduledExecutorService timers,
-            Consumer<CallResult> heard) {
+            Consumer<CallResult> resultListener) {
         this.target = target;
         this.subchannels = subchannels;
         this.clearance = clearance;
         this.timers = timers;
-        this.heard = heard;
+        this.resultListener = resultListener;
     }
 
-    /** Number of the call within this process, by which the log names it. */
+    /** Number of the call in the log, unique within this process. */
     long number() {
         return number;
     }
@@ -70,58 +76,64 @@
         return target;
     }
 
-    /** Seconds since the module chose to send. */
-    double elapsed() {
-        return (System.nanoTime() - madeAt) / 1e9;
+    /** Seconds since the decision module decided on the call. */
+    double elapsedSeconds() {
+        return (System.nanoTime() - createdAtNanos) / 1e9;
     }
 
     int size() {
         return members.size();
     }
 
-    /** Adds an RPC; only the decision loop does so, before any has joined. */
-    void add(Rpc rpc, double wanted) {
+    /**
+     * Adds an RPC. Called only by the decision thread, before any RPC joins.
+     *
+     * @param requestedSeconds timeout that the decision module wants for this RPC; the longest one applies to the call
+     */
+    void add(Rpc rpc, double requestedSeconds) {
         members.add(new Member(rpc));
-        timeout = Math.max(timeout, wanted);
+        timeoutSeconds = Math.max(timeoutSeconds, requestedSeconds);
     }
 
-    /** Joins; this RPC's result is to come. The last to join starts the call. */
+    /**
+     * Joins the RPC to the call and returns its result, which is still to come. The last RPC to join starts the call.
+     */
     CompletableFuture<CallResult> join(Rpc rpc) {
         Member self =
                 members.stream().filter(member -> member.rpc == rpc).findFirst().orElseThrow();
-        boolean last;
+        boolean allJoined;
         synchronized (this) {
             self.joined = true;
-            last = members.stream().allMatch(member -> member.joined);
+            allJoined = members.stream().allMatch(member -> member.joined);
         }
-        if (last) {
+        if (allJoined) {
             start();
         }
         return self.result;
     }
 
-    /** An RPC that failed before it joined. Guards the others, who would wait for it for good. */
+    /** Removes an RPC that has not joined; otherwise the others would wait for it forever. */
     void leave(Rpc rpc) {
-        boolean last;
+        boolean allOthersJoined;
         synchronized (this) {
-            boolean left = members.removeIf(member -> member.rpc == rpc && !member.joined);
-            last = left && !members.isEmpty() && members.stream().allMatch(member -> member.joined);
+            boolean removed = members.removeIf(member -> member.rpc == rpc && !member.joined);
+            allOthersJoined = removed && !members.isEmpty() && members.stream().allMatch(member -> member.joined);
         }
-        if (last) {
+        if (allOthersJoined) {
             start();
         }
     }
 
     /**
-     * An RPC of the call failed within this relay, before or after it joined. The call ends, if it is out, before the
-     * RPC's end is told.
+     * Ends the call because an RPC failed within this relay, before or after it joined. A call in flight ends before
+     * the end of the RPC is reported.
      */
     void fail(Rpc rpc) {
         leave(rpc);
         Subchannels.Call started;
         synchronized (this) {
             boolean joined = members.stream().anyMatch(member -> member.rpc == rpc);
-            abandoned |= joined;
+            abandonRequested |= joined;
             started = joined ? call : null;
         }
         if (started != null) {
@@ -130,10 +142,10 @@
     }
 
     /**
-     * Runs the action once the RPC is in no call that is out: at once where it has left, else at the end of
-     * the call, which may come after the RPC's own time-out.
+     * Runs the action once no call with the RPC is in flight: immediately if the RPC has left, else at the end of the
+     * call, which may come after the result of the RPC.
      */
-    void afterCall(Rpc rpc, Runnable action) {
+    void runAfterCall(Rpc rpc, Runnable action) {
         members.stream()
                 .filter(member -> member.rpc == rpc)
                 .findFirst()
@@ -143,70 +155,72 @@
     }
 
     private void start() {
-        double patience = patience();
+        double limitSeconds = callTimeoutSeconds();
         Subchannels.Call started;
         try {
             started = subchannels.call(
                     target,
                     members.stream().map(member -> member.rpc.request()).toList(),
-                    patience,
-                    this::clear,
+                    limitSeconds,
+                    this::mayStart,
                     (place, result) -> {
-                        heard.accept(result);
+                        resultListener.accept(result);
                         members.get(place).result.complete(result);
                         members.get(place).callEnded.complete(null);
                     });
         } catch (RuntimeException e) {
-            // Guards those that joined earlier: only the last one's chain would hear of it. It may have run.
-            LOG.atError().setCause(e).addKeyValue("endpoint", target.id()).log("a call failed at its start");
+            // The exception would reach only the RPC that joined last, so all results are set here. The call may have
+            // run.
+            LOG.atError().setCause(e).addKeyValue("endpoint", target.id()).log("a call failed to start");
             members.forEach(member -> member.result.complete(CallResult.of(CallEnd.BROKEN)));
             members.forEach(member -> member.callEnded.complete(null));
             return;
         }
-        boolean off;
+        boolean abandonNow;
         synchronized (this) {
             call = started;
-            off = abandoned;
+            abandonNow = abandonRequested;
         }
-        if (off) {
+        if (abandonNow) {
             started.abandon(CallEnd.CALLED_OFF);
         }
         ScheduledFuture<?> timer = timers.schedule(
-                () -> started.abandon(CallEnd.TIMED_OUT), (long) (patience * 1e9), TimeUnit.NANOSECONDS);
+                () -> started.abandon(CallEnd.TIMED_OUT), (long) (limitSeconds * 1e9), TimeUnit.NANOSECONDS);
         members.forEach(member -> member.callEnded.whenComplete((result, failure) -> timer.cancel(false)));
     }
 
     /**
-     * Seconds for which the call may be out: the longest that the module wants for one of its messages, but no longer
-     * than the earliest of their deadlines. No message's end is told while a call with it is out: its endpoint would
-     * deliver what is over, and an answer behind that deadline counts for none of those that share the call.
+     * Timeout of the call in seconds: the longest that the decision module wants for one of its RPCs, but at most until
+     * the earliest of their deadlines. The end of an RPC must not be reported while a call with it is in flight, since
+     * the endpoint could still deliver it. An answer after the earliest deadline would count for none of the RPCs.
      */
-    private double patience() {
-        double longest = timeout - elapsed();
-        double earliest = members.stream()
-                .mapToDouble(member -> member.rpc.timeLeft())
+    private double callTimeoutSeconds() {
+        double longestSeconds = timeoutSeconds - elapsedSeconds();
+        double earliestSeconds = members.stream()
+                .mapToDouble(member -> member.rpc.secondsLeft())
                 .min()
                 .orElse(0);
-        return Math.max(0, Math.min(longest, earliest - (members.size() > 1 ? ENDS_EARLY : 0)));
+        return Math.max(
+                0, Math.min(longestSeconds, earliestSeconds - (members.size() > 1 ? DEADLINE_MARGIN_SECONDS : 0)));
     }
 
-    private boolean clear() {
+    private boolean mayStart() {
         return clearance.mayStart() && members.stream().allMatch(member -> member.rpc.mayStart());
     }
 
     /**
-     * The module calls an RPC's attempt off: the connection closes once nobody who shares it waits any more.
-     * Guards the others against an RPC that is called off twice, and the slot against those whose time is up.
+     * Cancels the attempt of an RPC. The connection closes once every RPC of the call is cancelled or has its result.
+     * Cancelling the same RPC twice counts once, so that the others are not affected.
      */
-    void callOff(Rpc rpc) {
-        Subchannels.Call out;
+    void cancel(Rpc rpc) {
+        Subchannels.Call toAbandon;
         synchronized (this) {
-            members.forEach(member -> member.calledOff |= member.rpc == rpc);
-            abandoned = members.stream().allMatch(member -> member.calledOff || member.result.isDone());
-            out = abandoned ? call : null;
+            members.forEach(member -> member.cancelled |= member.rpc == rpc);
+            abandonRequested = members.stream().allMatch(member -> member.cancelled || member.result.isDone());
+            toAbandon = abandonRequested ? call : null;
         }
-        if (out != null) {
-            out.abandon(CallEnd.CALLED_OFF);
+        if (toAbandon != null) {
+            toAbandon.abandon(CallEnd.CALLED_OFF);
         }
     }
 }
--- a/src/main/java/juniperusher/core/Subchannels.java
+++ b/src/main/java/juniperusher/core/Subchannels.java
@@ -3,38 +3,50 @@
 import java.util.List;
 import juniperusher.Protocol.Target;
 
-/** Calls to endpoints, over whatever wire an endpoint speaks. None ever sends a call twice by itself. */
+/** Transport for calls to endpoints. An implementation never repeats a call on its own. Safe for threads. */
 public interface Subchannels {
     /**
-     * Begins one call with all the RPCs. {@code clearance} is asked once, just before the first byte would
-     * leave; if it says no, nothing leaves. {@code results} is told each RPC's result exactly once.
+     * Starts one call that carries all the RPCs. {@code clearance} is asked once, immediately before the first byte; if
+     * it denies the call, nothing is sent. {@code results} receives the result of each RPC exactly once.
+     *
+     * @param timeout seconds for which the caller waits; the endpoint may be informed of it, but the caller ends the
+     *     call
      */
     Call call(Target subchannel, List<RpcRequest> rpcs, double timeout, Clearance clearance, Results results);
 
-    /** Checks an endpoint. */
+    /** Checks the health of an endpoint. */
     void probe(Target subchannel, Probed probed);
 
-    /** Closes idle connections to an endpoint. */
+    /** Closes the idle connections to an endpoint. */
     void closeIdle(Target subchannel);
 
-    /** A call out. */
+    /** A call in flight. */
     interface Call {
-        /** Stops waiting: closes the connection, then tells {@code why} as the end if none came before. */
+        /** Closes the connection, then reports {@code why} as the end of each RPC that has no result yet. */
         void abandon(CallEnd why);
     }
 
-    /** Whether a call may still start. */
+    /** Permission to start a call. */
     interface Clearance {
+        /** Whether the call may still start. */
         boolean mayStart();
     }
 
-    /** Takes the result of the RPC at a place of the call's list. */
+    /** Receives the results of a call. */
     interface Results {
+        /** The RPC at index {@code place} of the call's list has ended. */
         void ended(int place, CallResult result);
     }
 
-    /** Takes the result of a probe. */
+    /** Receives the result of a probe. */
     interface Probed {
+        /**
+         * The probe has ended.
+         *
+         * @param ok whether the endpoint answered in good health
+         * @param full whether it answered that it has no capacity left
+         * @param elapsed duration of the probe in seconds
+         */
         void probed(boolean ok, boolean full, double elapsed);
     }
 }
--- a/src/main/java/juniperusher/core/SuccessorMark.java
+++ b/src/main/java/juniperusher/core/SuccessorMark.java
@@ -10,72 +10,72 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How the two processes of an upgrade agree on who sends messages in order. The successor holds a lock on the
- * file {@code successor}; the owner, once it has seen that lock, begins no message in order that it takes from
- * then on, and says so by the file {@code order-yielded}. The lock ends with the successor's process, after
- * which the owner takes its order back.
+ * Signals between the two processes of an upgrade, through files in the shared folder, which of them sends ordered
+ * messages. The successor locks the file {@code successor}. An owner that finds it locked holds back ordered messages
+ * that it accepts from then on, and confirms this with the file {@code order-yielded}. The lock ends with the
+ * successor's process, after which the owner sends ordered messages again.
  */
 final class SuccessorMark {
-    private static final String MARK = "successor";
-    private static final String YIELDED = "order-yielded";
-    private static final long LOOK = 5; // ms between two looks for the owner's word
+    private static final String MARK_FILE = "successor";
+    private static final String YIELDED_FILE = "order-yielded";
+    private static final long POLL_INTERVAL_MILLIS = 5;
 
-    private final Path mark;
-    private final Path yielded;
-    private FileChannel channel; // open while this process is the marked successor
+    private final Path markFile;
+    private final Path yieldedFile;
+    private FileChannel markChannel; // open while this process is the successor
 
     SuccessorMark(Path folder) {
-        mark = folder.resolve(MARK);
-        yielded = folder.resolve(YIELDED);
+        markFile = folder.resolve(MARK_FILE);
+        yieldedFile = folder.resolve(YIELDED_FILE);
     }
 
     // ---- the successor's side ----
 
-    /** Marks this process as the successor. What an owner of before said no longer counts. */
-    void raise() throws IOException {
-        Files.deleteIfExists(yielded);
-        channel = FileChannel.open(mark, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        channel.lock();
+    /** Marks this process as the successor. Removes a confirmation that an earlier owner left. */
+    void set() throws IOException {
+        Files.deleteIfExists(yieldedFile);
+        markChannel = FileChannel.open(markFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        markChannel.lock();
     }
 
-    /** Waits until the owner has yielded; false if it has not within the time in milliseconds. */
-    boolean awaitYielded(long atMost) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(atMost);
-        while (!Files.exists(yielded)) {
-            if (System.nanoTime() - until >= 0) {
+    /** Waits until the owner has yielded. Returns false if it has not within the timeout. */
+    boolean awaitYield(long timeoutMillis) throws InterruptedException {
+        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        while (!Files.exists(yieldedFile)) {
+            if (System.nanoTime() - untilNanos >= 0) {
                 return false;
             }
-            Thread.sleep(LOOK);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
         return true;
     }
 
-    /** This process is the owner now. */
-    void lower() throws IOException {
-        if (channel != null) {
-            channel.close();
-            channel = null;
+    /** Removes the mark: this process is no longer the successor. */
+    void clear() throws IOException {
+        if (markChannel != null) {
+            markChannel.close();
+            markChannel = null;
         }
-        Files.deleteIfExists(yielded);
+        Files.deleteIfExists(yieldedFile);
     }
 
     // ---- the owner's side ----
 
-    /** Whether a successor lives. */
-    boolean raised() throws IOException {
-        if (!Files.exists(mark)) {
+    /** Whether a successor process is running. */
+    boolean isSet() throws IOException {
+        if (!Files.exists(markFile)) {
             return false;
         }
-        try (FileChannel file = FileChannel.open(mark, StandardOpenOption.WRITE);
+        try (FileChannel file = FileChannel.open(markFile, StandardOpenOption.WRITE);
                 FileLock lock = file.tryLock()) {
             return lock == null;
         } catch (OverlappingFileLockException e) {
-            return true; // a successor within this very process, as in tests
+            return true; // a test runs the successor in this process
         }
     }
 
-    /** Tells the successor that nothing in order begins here any more but what was taken before. */
-    void yield() throws IOException {
-        Files.write(yielded, new byte[0]);
+    /** Confirms that this process starts no ordered message accepted from now on. */
+    void confirmYield() throws IOException {
+        Files.write(yieldedFile, new byte[0]);
     }
 }
--- a/src/main/java/juniperusher/core/UnavailableStatus.java
+++ b/src/main/java/juniperusher/core/UnavailableStatus.java
@@ -1,8 +1,8 @@
 package juniperusher.core;
 
 /**
- * A refusal.
+ * A temporary refusal of an RPC.
  *
- * @param retryAfter seconds after which the client may come again, 0 for no advice
+ * @param retryAfter seconds after which the client should retry, 0 for no advice
  */
 public record UnavailableStatus(double retryAfter) {}
