--- a/src/test/java/juniperusher/core/CallsTest.java
+++ b/src/test/java/juniperusher/core/CallsTest.java
@@ -168,11 +168,11 @@
 
     @Test
     public void aShorterWaitNeverCutsALongerOne() throws Exception {
-        Guards guards = new Guards();
-        guards.learn(listed(TARGET));
+        CallPreconditions guards = new CallPreconditions();
+        guards.updateMembers(listed(TARGET));
         assertTrue(guards.mayCall(5, 7));
-        guards.wait(7, 0.3);
-        guards.wait(7, 0.01);
+        guards.delayCalls(7, 0.3);
+        guards.delayCalls(7, 0.01);
         Thread.sleep(50);
         assertFalse(guards.mayCall(5, 7), "the wait was cut short");
         Thread.sleep(300);
@@ -181,23 +181,23 @@
 
     @Test
     public void aWaitWithoutEndIsKept() {
-        Guards guards = new Guards();
-        guards.learn(listed(TARGET));
-        guards.wait(7, 1e300);
+        CallPreconditions guards = new CallPreconditions();
+        guards.updateMembers(listed(TARGET));
+        guards.delayCalls(7, 1e300);
         assertFalse(guards.mayCall(5, 7), "the clock's nanoseconds have run over");
     }
 
     @Test
     public void nothingGoesToAnEndpointThatDrainsOrIsGoneOrIsOfAnotherDestination() {
-        Guards guards = new Guards();
-        guards.learn(listed(TARGET));
+        CallPreconditions guards = new CallPreconditions();
+        guards.updateMembers(listed(TARGET));
         assertFalse(guards.mayCall(5, 8), "another destination");
         assertFalse(guards.mayCall(6, 7), "never listed");
-        guards.learn(listed(new Target(5, 7, 1, 0, 10, Phase.DRAINING)));
+        guards.updateMembers(listed(new Target(5, 7, 1, 0, 10, Phase.DRAINING)));
         assertFalse(guards.mayCall(5, 7), "draining");
-        guards.learn(listed(TARGET));
+        guards.updateMembers(listed(TARGET));
         assertTrue(guards.mayCall(5, 7));
-        guards.learn(listed(TARGET.gone()));
+        guards.updateMembers(listed(TARGET.gone()));
         assertFalse(guards.mayCall(5, 7), "gone");
         assertEquals(guards.target(5).phase(), Phase.GONE);
         assertNull(guards.target(6));
@@ -255,10 +255,10 @@
             Thread.sleep(1);
         }
         Thread.sleep(20);
-        call.callOff(one);
-        call.callOff(one);
+        call.cancel(one);
+        call.cancel(one);
         assertEquals(abandoned, List.of(), "called off twice by one of them");
-        call.callOff(two);
+        call.cancel(two);
         assertEquals(first.get(1, TimeUnit.SECONDS).end(), CallEnd.CALLED_OFF);
     }
 
@@ -267,12 +267,12 @@
         SharedCall call = shared();
         Rpc sound = rpc(1, 0, 5_000);
         Rpc unknown = rpc(2, 0, 5_000); // the journal holds no such number: it cannot write the attempt down
-        unknown.live();
+        unknown.start();
         call.add(sound, 1);
         call.add(unknown, 1);
         CompletableFuture<CallResult> result = join(call, sound);
         assertEquals(out.size(), 0, "not all have joined");
-        unknown.choose(call);
+        unknown.applyDecision(call);
         assertEquals(out.size(), 1, "the other was kept waiting");
         assertEquals(result.get(5, TimeUnit.SECONDS).end(), CallEnd.TIMED_OUT);
     }
@@ -307,8 +307,8 @@
             Thread.sleep(1);
         }
         assertTrue(stated > 1 && stated < 2, "stated " + stated + " s");
-        call.callOff(brief);
-        call.callOff(patient);
+        call.cancel(brief);
+        call.cancel(patient);
     }
 
     @Test
--- a/src/test/java/juniperusher/core/DecisionLoopTest.java
+++ b/src/test/java/juniperusher/core/DecisionLoopTest.java
@@ -16,7 +16,7 @@
         var settings = Config.read(CallsTest.config()).settings().settings();
         DecisionLoop loop = new DecisionLoop(new Control(settings, 1), null, 0.005, actions -> {});
         CompletableFuture<Long> read = new CompletableFuture<>();
-        loop.postLate(() -> {
+        loop.postDeferred(() -> {
             read.complete(System.nanoTime());
             return new Woken(-5);
         });
--- a/src/test/java/juniperusher/core/JournalSegmentsTest.java
+++ b/src/test/java/juniperusher/core/JournalSegmentsTest.java
@@ -64,7 +64,7 @@
         journal.outcome(number, true);
         Journal.Owed left = new Journal(folder, ROOM, 10).recovered().get(0);
         assertTrue(left.mayHaveRun());
-        assertEquals(left.ran(), first);
+        assertEquals(left.firstPossibleRun(), first);
     }
 
     /** At an upgrade two processes write snapshots into one folder: neither stands for the other's. */
--- a/src/test/java/juniperusher/core/JournalTest.java
+++ b/src/test/java/juniperusher/core/JournalTest.java
@@ -166,8 +166,8 @@
             journal.acknowledged(number);
         }
         for (Journal each : List.of(journal, new Journal(folder, ROOM, 10), new Journal(folder, ROOM, 10))) {
-            assertTrue(each.lately("http done"));
-            assertFalse(each.lately("http back"), "what never ran may come again");
+            assertTrue(each.endedRecently("http done"));
+            assertFalse(each.endedRecently("http back"), "what never ran may come again");
         }
     }
 
--- a/src/test/java/juniperusher/core/OrderTest.java
+++ b/src/test/java/juniperusher/core/OrderTest.java
@@ -406,14 +406,14 @@
     public void keyAndTenantAndTimeOutliveTheProcess() throws Exception {
         Journal before = new Journal(folder, DISK, 10);
         int number = before.taken(request("m1"), "keyed");
-        long takenAt = before.takenAt(number);
+        long takenAt = before.acceptedAtMicros(number);
         assertTrue(takenAt > 0);
         before.close();
         Journal after = new Journal(folder, DISK, 10);
         Journal.Owed left = after.recovered().get(0);
         assertEquals(left.request().orderKey(), KEY);
         assertEquals(left.request().tenant(), "named");
-        assertEquals(left.takenAt(), takenAt);
+        assertEquals(left.acceptedAtMicros(), takenAt);
         after.close();
     }
 
@@ -444,13 +444,13 @@
     public void anOwnerTakesItsOrderBackFromASuccessorThatHasDied() throws Exception {
         Relay owner = started(false);
         SuccessorMark mark = new SuccessorMark(folder);
-        mark.raise();
-        assertTrue(mark.awaitYielded(SOON * 1_000));
+        mark.set();
+        assertTrue(mark.awaitYield(SOON * 1_000));
         takeOn(owner, request("m1"));
         nothingIsSent();
-        mark.lower();
+        mark.clear();
         nextCall("m1").ends(CallEnd.DELIVERED);
-        assertFalse(mark.raised());
+        assertFalse(mark.isSet());
     }
 
     @Test
--- a/src/test/java/juniperusher/core/SharedWaitsTest.java
+++ b/src/test/java/juniperusher/core/SharedWaitsTest.java
@@ -19,16 +19,16 @@
     @Test
     public void aWaitToldJustBeforeOnesOwnIsStillHandedOn() throws Exception {
         Path folder = Files.createTempDirectory("waits");
-        SharedWaits old = new SharedWaits(folder);
-        SharedWaits next = new SharedWaits(folder);
-        old.told(4, UNTIL);
-        next.told(7, UNTIL); // before it has looked
-        assertEquals(next.changed(), Map.of(4, UNTIL, 7, UNTIL));
-        assertNull(next.changed());
-        old.told(4, UNTIL - 1); // a shorter one
-        assertNull(next.changed());
-        old.told(4, UNTIL + 1);
-        assertEquals(next.changed().get(4), Long.valueOf(UNTIL + 1));
+        SharedRetryDelays old = new SharedRetryDelays(folder);
+        SharedRetryDelays next = new SharedRetryDelays(folder);
+        old.add(4, UNTIL);
+        next.add(7, UNTIL); // before it has looked
+        assertEquals(next.pollChanges(), Map.of(4, UNTIL, 7, UNTIL));
+        assertNull(next.pollChanges());
+        old.add(4, UNTIL - 1); // a shorter one
+        assertNull(next.pollChanges());
+        old.add(4, UNTIL + 1);
+        assertEquals(next.pollChanges().get(4), Long.valueOf(UNTIL + 1));
     }
 
     @Test
@@ -40,18 +40,18 @@
             Future<?>[] told = new Future<?>[2];
             for (int who = 0; who < 2; who++) {
                 int first = who * 100;
-                SharedWaits one = new SharedWaits(folder);
+                SharedRetryDelays one = new SharedRetryDelays(folder);
                 told[who] = two.submit(() -> {
                     start.await();
                     for (int i = 0; i < 100; i++) {
-                        one.told(first + i, UNTIL);
+                        one.add(first + i, UNTIL);
                     }
                     return null;
                 });
             }
             told[0].get();
             told[1].get();
-            assertEquals(new SharedWaits(folder).changed().size(), 200);
+            assertEquals(new SharedRetryDelays(folder).pollChanges().size(), 200);
         } finally {
             two.shutdownNow();
         }
--- a/src/test/java/juniperusher/core/TakeOverTest.java
+++ b/src/test/java/juniperusher/core/TakeOverTest.java
@@ -33,12 +33,12 @@
         old.acknowledged(delivered);
 
         Journal next = new Journal(folder, ROOM, 100, true);
-        assertTrue(next.successor());
+        assertTrue(next.isSuccessor());
         assertEquals(next.recovered(), List.of(), "the successor took up what the owner still sends");
         int own = next.taken(request("own", false), "c");
         CompletableFuture<List<Journal.Owed>> taken = CompletableFuture.supplyAsync(() -> {
             try {
-                return next.adopt();
+                return next.takeOverFromPredecessor();
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -53,7 +53,7 @@
         assertFalse(taken.isDone(), "taken over while the owner lives");
         old.close();
         List<Journal.Owed> over = taken.get(10, TimeUnit.SECONDS);
-        assertFalse(next.successor());
+        assertFalse(next.isSuccessor());
         assertEquals(
                 over.stream().map(one -> one.request().id()).sorted().toList(), List.of("late", "sent", "waiting"));
         Journal.Owed mayHaveRun = over.stream()
@@ -76,17 +76,17 @@
     @Test
     public void aWaitToldToOneProcessHoldsTheOtherAndIsNeverCutShort() throws Exception {
         Path folder = Files.createTempDirectory("waits");
-        SharedWaits one = new SharedWaits(folder);
-        SharedWaits other = new SharedWaits(folder);
-        assertNull(other.changed());
+        SharedRetryDelays one = new SharedRetryDelays(folder);
+        SharedRetryDelays other = new SharedRetryDelays(folder);
+        assertNull(other.pollChanges());
         long now = System.currentTimeMillis();
-        one.told(3, now + 5_000);
-        Map<Integer, Long> seen = other.changed();
+        one.add(3, now + 5_000);
+        Map<Integer, Long> seen = other.pollChanges();
         assertEquals(seen, Map.of(3, now + 5_000));
-        other.told(3, now + 1_000); // shorter: the longer one stands
-        other.told(4, now - 1); // over: dropped
+        other.add(3, now + 1_000); // shorter: the longer one stands
+        other.add(4, now - 1); // over: dropped
         Thread.sleep(20); // the file system's clock must move for a change to be seen again
-        one.told(5, now + 2_000);
-        assertEquals(other.changed(), Map.of(3, now + 5_000, 5, now + 2_000));
+        one.add(5, now + 2_000);
+        assertEquals(other.pollChanges(), Map.of(3, now + 5_000, 5, now + 2_000));
     }
 }
