--- a/src/test/java/juniperusher/core/CallsTest.java
+++ b/src/test/java/juniperusher/core/CallsTest.java
@@ -27,19 +27,19 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** How calls end, what is asked before they start, and what RPCs that share one see of it. */
+/** Ends of calls, the checks before a call starts, and calls that several RPCs share. */
 public class CallsTest {
     private static final Target TARGET = new Target(5, 7, 1, 0, 10, Phase.READY);
 
-    private final List<Subchannels.Results> out = new ArrayList<>();
+    private final List<Subchannels.Results> startedCalls = new ArrayList<>();
     private final List<CallEnd> abandoned = new ArrayList<>();
     private final ScheduledExecutorService timers = Executors.newSingleThreadScheduledExecutor();
-    private final List<CallResult> heard = new CopyOnWriteArrayList<>();
+    private final List<CallResult> listenedResults = new CopyOnWriteArrayList<>();
     private Relay relay;
-    private boolean cleared;
-    private volatile double stated; // the time-out of the last call, in s
+    private boolean mayStart;
+    private volatile double timeoutSeconds; // timeout given to the last call
 
-    /** Subchannels of which nothing but calls is asked. */
+    /** Subchannels for tests that expect calls only. */
     private abstract static class CallsOnly implements Subchannels {
         @Override
         public void probe(Target subchannel, Probed probed) {
@@ -52,14 +52,14 @@
         }
     }
 
-    /** Calls that stay out until the test ends them. */
-    private final Subchannels stuck = new CallsOnly() {
+    /** Calls that stay in flight until the test or a timeout ends them. */
+    private final Subchannels unendingSubchannels = new CallsOnly() {
         @Override
         public Call call(
                 Target subchannel, List<RpcRequest> rpcs, double timeout, Clearance clearance, Results results) {
-            cleared = clearance.mayStart();
-            stated = timeout;
-            out.add(results);
+            mayStart = clearance.mayStart();
+            timeoutSeconds = timeout;
+            startedCalls.add(results);
             return why -> {
                 abandoned.add(why);
                 for (int i = 0; i < rpcs.size(); i++) {
@@ -69,7 +69,7 @@
         }
     };
 
-    static java.nio.file.Path config() throws java.io.IOException {
+    static java.nio.file.Path configFile() throws java.io.IOException {
         var folder = Files.createTempDirectory("calls");
         String json = Files.readString(java.nio.file.Path.of("src/main/resources/selftest.json"))
                 .replace("\"listen\": \"\"", "\"listen\": \"127.0.0.1:1\"")
@@ -78,11 +78,11 @@
     }
 
     @BeforeMethod
-    public void fresh() throws Exception {
-        out.clear();
+    public void createRelay() throws Exception {
+        startedCalls.clear();
         abandoned.clear();
-        heard.clear();
-        var file = config();
+        listenedResults.clear();
+        var file = configFile();
         relay = new Relay(
                 Config.read(file).settings().settings(),
                 1,
@@ -90,35 +90,44 @@
                 file.resolveSibling("state"),
                 3 << 20,
                 new Counters(),
-                stuck,
+                unendingSubchannels,
                 (to, note) -> {},
                 null);
     }
 
-    private Rpc rpc(int number, int messageClass, long left) {
+    private Rpc rpc(int number, int messageClass, long millisLeft) {
         return new Rpc(
                 number,
                 new RpcRequest(
-                        "m" + number, "http", messageClass, 7, SteadyClock.millis() + left, "", false, new byte[0]),
+                        "m" + number,
+                        "http",
+                        messageClass,
+                        7,
+                        SteadyClock.millis() + millisLeft,
+                        "",
+                        false,
+                        new byte[0]),
                 LabSettings.NOTICE,
                 relay);
     }
 
-    private SharedCall shared() {
-        return new SharedCall(TARGET, stuck, () -> true, timers, heard::add);
+    private SharedCall sharedCall() {
+        return new SharedCall(TARGET, unendingSubchannels, () -> true, timers, listenedResults::add);
     }
 
-    /** Guards against an RPC that nobody answers for: only the last to join starts the call. */
+    /**
+     * Only the last RPC to join starts the call, so an exception at the start would leave the others without an end.
+     */
     @Test
-    public void aCallThatFailsAtItsStartEndsForAllThatShareIt() {
+    public void callThatFailsToStartEndsForEveryRpc() {
         Subchannels broken = new CallsOnly() {
             @Override
             public Call call(
                     Target subchannel, List<RpcRequest> rpcs, double timeout, Clearance clearance, Results results) {
-                throw new IllegalStateException("as the test wants");
+                throw new IllegalStateException("thrown by the test");
             }
         };
-        SharedCall call = new SharedCall(TARGET, broken, () -> true, timers, heard::add);
+        SharedCall call = new SharedCall(TARGET, broken, () -> true, timers, listenedResults::add);
         Rpc first = rpc(1, 0, 5_000);
         Rpc second = rpc(2, 1, 5_000);
         call.add(first, 1);
@@ -133,21 +142,21 @@
         return call.join(rpc);
     }
 
-    private static Snapshot listed(Target... targets) {
+    private static Snapshot snapshotOf(Target... targets) {
         return new Membership(Timing.USUAL, List.of(), 7)
                 .known(new Update(true, 1, List.of(), Set.of()), List.of(targets), 0);
     }
 
     @Test
-    public void onlyWhatProvesThatItNeverRanSaysSo() {
-        Set<CallEnd> never = EnumSet.noneOf(CallEnd.class);
+    public void onlyConclusiveEndsCountAsNeverRan() {
+        Set<CallEnd> neverRan = EnumSet.noneOf(CallEnd.class);
         for (CallEnd end : CallEnd.values()) {
             if (end.outcome().neverRan()) {
-                never.add(end);
+                neverRan.add(end);
             }
         }
         assertEquals(
-                never,
+                neverRan,
                 EnumSet.of(
                         CallEnd.TURNED_AWAY,
                         CallEnd.NO_SLOT,
@@ -156,164 +165,167 @@
                         CallEnd.HELD_BACK,
                         CallEnd.NOT_CONNECTED,
                         CallEnd.UNROUTABLE));
-        for (CallEnd cut : List.of(CallEnd.BROKEN, CallEnd.TIMED_OUT, CallEnd.CALLED_OFF)) {
-            assertEquals(cut.given(false), CallEnd.NOT_CONNECTED);
-            assertEquals(cut.given(true), cut);
+        for (CallEnd interruption : List.of(CallEnd.BROKEN, CallEnd.TIMED_OUT, CallEnd.CALLED_OFF)) {
+            assertEquals(interruption.given(false), CallEnd.NOT_CONNECTED);
+            assertEquals(interruption.given(true), interruption);
         }
-        assertEquals(CallEnd.FAILED.given(false), CallEnd.FAILED, "an answer outranks what was written");
-        assertEquals(CallEnd.SPOILT.afterFirstLine(200, 1), CallEnd.DELIVERED, "that much was said");
-        assertEquals(CallEnd.SPOILT.afterFirstLine(200, 2), CallEnd.SPOILT, "which of the two is unknown");
+        assertEquals(CallEnd.FAILED.given(false), CallEnd.FAILED, "an answer counts whatever was written");
+        assertEquals(
+                CallEnd.SPOILT.afterFirstLine(200, 1), CallEnd.DELIVERED, "the status line confirmed the delivery");
+        assertEquals(
+                CallEnd.SPOILT.afterFirstLine(200, 2), CallEnd.SPOILT, "it is unknown which of the two was delivered");
         assertEquals(CallEnd.BROKEN.afterFirstLine(500, 1), CallEnd.BROKEN);
     }
 
     @Test
-    public void aShorterWaitNeverCutsALongerOne() throws Exception {
-        CallPreconditions guards = new CallPreconditions();
-        guards.updateMembers(listed(TARGET));
-        assertTrue(guards.mayCall(5, 7));
-        guards.delayCalls(7, 0.3);
-        guards.delayCalls(7, 0.01);
+    public void shorterDelayDoesNotEndLongerOne() throws Exception {
+        CallPreconditions preconditions = new CallPreconditions();
+        preconditions.updateMembers(snapshotOf(TARGET));
+        assertTrue(preconditions.mayCall(5, 7));
+        preconditions.delayCalls(7, 0.3);
+        preconditions.delayCalls(7, 0.01);
         Thread.sleep(50);
-        assertFalse(guards.mayCall(5, 7), "the wait was cut short");
+        assertFalse(preconditions.mayCall(5, 7), "the longer delay was ended early");
         Thread.sleep(300);
-        assertTrue(guards.mayCall(5, 7), "the wait is over");
+        assertTrue(preconditions.mayCall(5, 7), "the delay has expired");
     }
 
     @Test
-    public void aWaitWithoutEndIsKept() {
-        CallPreconditions guards = new CallPreconditions();
-        guards.updateMembers(listed(TARGET));
-        guards.delayCalls(7, 1e300);
-        assertFalse(guards.mayCall(5, 7), "the clock's nanoseconds have run over");
+    public void veryLongDelayDoesNotOverflow() {
+        CallPreconditions preconditions = new CallPreconditions();
+        preconditions.updateMembers(snapshotOf(TARGET));
+        preconditions.delayCalls(7, 1e300);
+        assertFalse(preconditions.mayCall(5, 7), "the nanoseconds overflowed");
     }
 
     @Test
-    public void nothingGoesToAnEndpointThatDrainsOrIsGoneOrIsOfAnotherDestination() {
-        CallPreconditions guards = new CallPreconditions();
-        guards.updateMembers(listed(TARGET));
-        assertFalse(guards.mayCall(5, 8), "another destination");
-        assertFalse(guards.mayCall(6, 7), "never listed");
-        guards.updateMembers(listed(new Target(5, 7, 1, 0, 10, Phase.DRAINING)));
-        assertFalse(guards.mayCall(5, 7), "draining");
-        guards.updateMembers(listed(TARGET));
-        assertTrue(guards.mayCall(5, 7));
-        guards.updateMembers(listed(TARGET.gone()));
-        assertFalse(guards.mayCall(5, 7), "gone");
-        assertEquals(guards.target(5).phase(), Phase.GONE);
-        assertNull(guards.target(6));
+    public void noCallToDrainingGoneOrForeignEndpoint() {
+        CallPreconditions preconditions = new CallPreconditions();
+        preconditions.updateMembers(snapshotOf(TARGET));
+        assertFalse(preconditions.mayCall(5, 8), "endpoint of another destination");
+        assertFalse(preconditions.mayCall(6, 7), "endpoint that was never listed");
+        preconditions.updateMembers(snapshotOf(new Target(5, 7, 1, 0, 10, Phase.DRAINING)));
+        assertFalse(preconditions.mayCall(5, 7), "draining endpoint");
+        preconditions.updateMembers(snapshotOf(TARGET));
+        assertTrue(preconditions.mayCall(5, 7));
+        preconditions.updateMembers(snapshotOf(TARGET.gone()));
+        assertFalse(preconditions.mayCall(5, 7), "endpoint that is gone");
+        assertEquals(preconditions.target(5).phase(), Phase.GONE);
+        assertNull(preconditions.target(6));
     }
 
     @Test
-    public void aSharedCallStartsWhenAllHaveJoinedAndEachHasItsOwnResult() throws Exception {
-        SharedCall call = shared();
+    public void sharedCallStartsWhenAllJoinedAndHasOneResultPerRpc() throws Exception {
+        SharedCall call = sharedCall();
         Rpc one = rpc(1, 0, 5_000);
         Rpc two = rpc(2, 1, 5_000);
         call.add(one, 4);
         call.add(two, 4);
         CompletableFuture<CallResult> first = join(call, one);
         Thread.sleep(50);
-        assertEquals(out.size(), 0, "begun before the second had its attempt written down");
+        assertEquals(startedCalls.size(), 0, "started before the journal had the second attempt");
         CompletableFuture<CallResult> second = join(call, two);
-        while (out.isEmpty()) {
+        while (startedCalls.isEmpty()) {
             Thread.sleep(1);
         }
-        assertTrue(cleared);
-        out.get(0).ended(0, CallResult.of(CallEnd.DELIVERED));
-        out.get(0).ended(1, CallResult.of(CallEnd.FAILED));
+        assertTrue(mayStart);
+        startedCalls.get(0).ended(0, CallResult.of(CallEnd.DELIVERED));
+        startedCalls.get(0).ended(1, CallResult.of(CallEnd.FAILED));
         assertEquals(first.get(1, TimeUnit.SECONDS).end(), CallEnd.DELIVERED);
         assertEquals(second.get(1, TimeUnit.SECONDS).end(), CallEnd.FAILED);
         assertEquals(abandoned, List.of());
-        assertEquals(heard.size(), 2, "a told wait has to be heard before the RPCs go on");
+        assertEquals(listenedResults.size(), 2, "results passed to the listener");
     }
 
     @Test
-    public void anRpcStaysWithItsCallWhileTheCallIsOutForAnother() throws Exception {
-        SharedCall call = shared();
-        Rpc hasty = rpc(1, 0, 5_000);
-        Rpc patient = rpc(2, 1, 5_000);
-        call.add(hasty, 0.05);
-        call.add(patient, 0.4);
-        CompletableFuture<CallResult> first = join(call, hasty);
-        CompletableFuture<CallResult> second = join(call, patient);
+    public void rpcHasNoResultWhileItsCallIsInFlight() throws Exception {
+        SharedCall call = sharedCall();
+        Rpc shortTimeout = rpc(1, 0, 5_000);
+        Rpc longTimeout = rpc(2, 1, 5_000);
+        call.add(shortTimeout, 0.05);
+        call.add(longTimeout, 0.4);
+        CompletableFuture<CallResult> first = join(call, shortTimeout);
+        CompletableFuture<CallResult> second = join(call, longTimeout);
         Thread.sleep(200);
-        assertFalse(first.isDone(), "it could be sent a second time while this call is out");
+        assertFalse(first.isDone(), "it could be sent again while this call is in flight");
         assertEquals(second.get(2, TimeUnit.SECONDS).end(), CallEnd.TIMED_OUT);
         assertEquals(first.get(2, TimeUnit.SECONDS).end(), CallEnd.TIMED_OUT);
         assertEquals(abandoned.get(0), CallEnd.TIMED_OUT, "the connection is closed");
     }
 
     @Test
-    public void callingOffOneOfTwoLeavesTheCallOut() throws Exception {
-        SharedCall call = shared();
+    public void cancellingOneOfTwoKeepsTheCallInFlight() throws Exception {
+        SharedCall call = sharedCall();
         Rpc one = rpc(1, 0, 5_000);
         Rpc two = rpc(2, 0, 5_000);
         call.add(one, 4);
         call.add(two, 4);
         CompletableFuture<CallResult> first = join(call, one);
         join(call, two);
-        while (out.isEmpty()) {
+        while (startedCalls.isEmpty()) {
             Thread.sleep(1);
         }
         Thread.sleep(20);
         call.cancel(one);
         call.cancel(one);
-        assertEquals(abandoned, List.of(), "called off twice by one of them");
+        assertEquals(abandoned, List.of(), "one RPC cancelled twice ended the call");
         call.cancel(two);
         assertEquals(first.get(1, TimeUnit.SECONDS).end(), CallEnd.CALLED_OFF);
     }
 
     @Test
-    public void oneThatFailsBeforeItJoinsKeepsNobodyWaiting() throws Exception {
-        SharedCall call = shared();
-        Rpc sound = rpc(1, 0, 5_000);
-        Rpc unknown = rpc(2, 0, 5_000); // the journal holds no such number: it cannot write the attempt down
-        unknown.start();
-        call.add(sound, 1);
-        call.add(unknown, 1);
-        CompletableFuture<CallResult> result = join(call, sound);
-        assertEquals(out.size(), 0, "not all have joined");
-        unknown.applyDecision(call);
-        assertEquals(out.size(), 1, "the other was kept waiting");
+    public void rpcThatFailsBeforeJoiningDoesNotBlockTheOthers() throws Exception {
+        SharedCall call = sharedCall();
+        Rpc recorded = rpc(1, 0, 5_000);
+        // the journal does not know this number, so it cannot record the attempt
+        Rpc unrecorded = rpc(2, 0, 5_000);
+        unrecorded.start();
+        call.add(recorded, 1);
+        call.add(unrecorded, 1);
+        CompletableFuture<CallResult> result = join(call, recorded);
+        assertEquals(startedCalls.size(), 0, "not all have joined");
+        unrecorded.applyDecision(call);
+        assertEquals(startedCalls.size(), 1, "the call did not start without the failed RPC");
         assertEquals(result.get(5, TimeUnit.SECONDS).end(), CallEnd.TIMED_OUT);
     }
 
-    /** Guards against an end that is told while a call with the message is still out. */
+    /** The end of a message must not be reported while a call with it is in flight. */
     @Test
-    public void aCallEndsWholeBeforeTheEarliestDeadlineOfThoseThatShareIt() throws Exception {
-        SharedCall call = shared();
-        Rpc brief = rpc(1, 0, 300);
-        Rpc patient = rpc(2, 0, 60_000);
-        call.add(brief, 50);
-        call.add(patient, 50);
-        long from = System.nanoTime();
-        CompletableFuture<CallResult> first = join(call, brief);
-        CompletableFuture<CallResult> second = join(call, patient);
+    public void sharedCallEndsBeforeTheEarliestDeadline() throws Exception {
+        SharedCall call = sharedCall();
+        Rpc earlyDeadline = rpc(1, 0, 300);
+        Rpc lateDeadline = rpc(2, 0, 60_000);
+        call.add(earlyDeadline, 50);
+        call.add(lateDeadline, 50);
+        long startedNanos = System.nanoTime();
+        CompletableFuture<CallResult> first = join(call, earlyDeadline);
+        CompletableFuture<CallResult> second = join(call, lateDeadline);
         assertEquals(first.get(5, TimeUnit.SECONDS).end(), CallEnd.TIMED_OUT);
         assertEquals(second.get(5, TimeUnit.SECONDS).end(), CallEnd.TIMED_OUT);
-        assertEquals(abandoned, List.of(CallEnd.TIMED_OUT), "the connection is closed before any end is told");
-        assertTrue(System.nanoTime() - from < 300_000_000L, "not before the deadline of the first");
+        assertEquals(abandoned, List.of(CallEnd.TIMED_OUT), "the connection is closed before any end is reported");
+        assertTrue(System.nanoTime() - startedNanos < 300_000_000L, "the call ended after the earlier deadline");
     }
 
     @Test
-    public void aCallOfSeveralStatesTheEarliestDeadlineAsItsTimeOut() throws Exception {
-        SharedCall call = shared();
-        Rpc brief = rpc(1, 0, 2_000);
-        Rpc patient = rpc(2, 0, 60_000);
-        call.add(brief, 50);
-        call.add(patient, 50);
-        join(call, brief);
-        join(call, patient);
-        while (out.isEmpty()) {
+    public void sharedCallUsesTheEarliestDeadlineAsItsTimeout() throws Exception {
+        SharedCall call = sharedCall();
+        Rpc earlyDeadline = rpc(1, 0, 2_000);
+        Rpc lateDeadline = rpc(2, 0, 60_000);
+        call.add(earlyDeadline, 50);
+        call.add(lateDeadline, 50);
+        join(call, earlyDeadline);
+        join(call, lateDeadline);
+        while (startedCalls.isEmpty()) {
             Thread.sleep(1);
         }
-        assertTrue(stated > 1 && stated < 2, "stated " + stated + " s");
-        call.cancel(brief);
-        call.cancel(patient);
+        assertTrue(timeoutSeconds > 1 && timeoutSeconds < 2, "timeout of " + timeoutSeconds + " s");
+        call.cancel(earlyDeadline);
+        call.cancel(lateDeadline);
     }
 
     @Test
-    public void whatFailsInThisRelayWhileItsCallIsOutEndsTheCallFirst() throws Exception {
-        SharedCall call = shared();
+    public void internalFailureEndsTheCallInFlight() throws Exception {
+        SharedCall call = sharedCall();
         Rpc one = rpc(1, 0, 5_000);
         Rpc two = rpc(2, 0, 5_000);
         call.add(one, 4);
@@ -327,11 +339,11 @@
     }
 
     @Test
-    public void noUnsafeCallStartsOnceTheEndIsNear() {
+    public void noUnsafeCallStartsAfterItsStopTime() {
         assertTrue(rpc(1, 1, 5_000).mayStart());
-        assertFalse(rpc(1, 1, -1).mayStart(), "its time is up");
+        assertFalse(rpc(1, 1, -1).mayStart(), "its deadline has passed");
         relay.noCallsAfter(SteadyClock.millis() - 1, Long.MAX_VALUE);
-        assertFalse(rpc(1, 1, 5_000).mayStart(), "an order could be cut off by the end of the process");
-        assertTrue(rpc(2, 0, 5_000).mayStart(), "a notice may be repeated");
+        assertFalse(rpc(1, 1, 5_000).mayStart(), "an unsafe call could be interrupted by the end of the process");
+        assertTrue(rpc(2, 0, 5_000).mayStart(), "its class may be repeated");
     }
 }
--- a/src/test/java/juniperusher/core/DecisionLoopTest.java
+++ b/src/test/java/juniperusher/core/DecisionLoopTest.java
@@ -9,24 +9,24 @@
 import juniperusher.http.Config;
 import org.testng.annotations.Test;
 
-/** What the decision loop does with time. */
+/** Timing of the decision loop. */
 public class DecisionLoopTest {
     @Test
-    public void whatIsLeftOfAnRpcsTimeIsReadWhenTheRoundTakesIt() throws Exception {
-        var settings = Config.read(CallsTest.config()).settings().settings();
+    public void deferredEventIsCreatedWhenTheRoundStarts() throws Exception {
+        var settings = Config.read(CallsTest.configFile()).settings().settings();
         DecisionLoop loop = new DecisionLoop(new Control(settings, 1), null, 0.005, actions -> {});
-        CompletableFuture<Long> read = new CompletableFuture<>();
+        CompletableFuture<Long> createdNanos = new CompletableFuture<>();
         loop.postDeferred(() -> {
-            read.complete(System.nanoTime());
+            createdNanos.complete(System.nanoTime());
             return new Woken(-5);
         });
-        Thread.sleep(30); // the core is busy elsewhere
-        long from = System.nanoTime();
+        Thread.sleep(30); // the decision thread is busy
+        long startedNanos = System.nanoTime();
         Thread thread = new Thread(loop);
         thread.start();
-        assertTrue(read.get(2, TimeUnit.SECONDS) - from >= 0, "read when posted: the answer would be late");
+        assertTrue(createdNanos.get(2, TimeUnit.SECONDS) - startedNanos >= 0, "created when it was posted");
         loop.stop();
         thread.join(2_000);
-        assertTrue(!thread.isAlive(), "it does not stop");
+        assertTrue(!thread.isAlive(), "the loop did not stop");
     }
 }
--- a/src/test/java/juniperusher/core/JournalSegmentsTest.java
+++ b/src/test/java/juniperusher/core/JournalSegmentsTest.java
@@ -10,71 +10,81 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Segments of a journal that are cut off in the middle of a compaction, or that stay where they should go. */
+/** Recovery from incomplete snapshots, from old segments that were not removed and from lost outcomes. */
 public class JournalSegmentsTest {
-    private static final long ROOM = 3 << 20;
+    private static final long DISK_BYTES = 3 << 20;
 
     private static RpcRequest request(String id) {
         return new RpcRequest(id, "http", 1, 7, 1_900_000_000_000L, "to", false, new byte[10]);
     }
 
-    private static List<String> owed(Path folder) throws IOException {
+    private static List<String> unfinishedIds(Path folder) throws IOException {
         return Journal.read(folder).stream().map(owed -> owed.request().id()).toList();
     }
 
-    private static Path newest(Path folder) throws IOException {
+    private static Path newestSegment(Path folder) throws IOException {
         List<Path> segments = JournalSegments.all(folder);
         return segments.get(segments.size() - 1);
     }
 
-    /** Whatever part of a compaction is there at a kill, a message that is over does not come back. */
+    /**
+     * A kill may leave any part of a new snapshot. A finished message must not be resumed, and an unfinished one must
+     * not be lost.
+     */
     @Test
-    public void aCompactionCutAtAnyByteBringsNothingBackAndLosesNothing() throws IOException {
+    public void snapshotCutAtAnyByteNeitherRevivesNorLosesMessages() throws IOException {
         Path folder = Files.createTempDirectory("segments");
-        Journal before = new Journal(folder, ROOM, 10);
-        int over = before.taken(request("over"), "c");
+        Journal before = new Journal(folder, DISK_BYTES, 10);
+        int finished = before.taken(request("over"), "c");
         before.taken(request("owed"), "c");
-        Path old = newest(folder);
-        byte[] early = Files.readAllBytes(old);
-        before.acknowledged(over);
-        byte[] late = Files.readAllBytes(old);
+        Path oldSegment = newestSegment(folder);
+        byte[] withoutEnd = Files.readAllBytes(oldSegment);
+        before.acknowledged(finished);
+        byte[] withEnd = Files.readAllBytes(oldSegment);
         before.close();
-        new Journal(folder, ROOM, 10).close(); // a snapshot in a new segment, the old one gone
-        byte[] snapshot = Files.readAllBytes(newest(folder));
+        // writes a snapshot to a new segment and removes the old one
+        new Journal(folder, DISK_BYTES, 10).close();
+        byte[] snapshot = Files.readAllBytes(newestSegment(folder));
         for (int cut = 0; cut <= snapshot.length; cut++) {
-            assertEquals(found(late, Arrays.copyOf(snapshot, cut)), List.of("owed"), "cut at byte " + cut);
+            assertEquals(idsAfterCut(withEnd, Arrays.copyOf(snapshot, cut)), List.of("owed"), "cut at byte " + cut);
         }
-        assertEquals(found(early, snapshot), List.of("owed"), "the old segment stayed, and lacks the end");
+        assertEquals(
+                idsAfterCut(withoutEnd, snapshot),
+                List.of("owed"),
+                "the old segment was not removed and lacks the end");
     }
 
-    private static List<String> found(byte[] old, byte[] next) throws IOException {
+    private static List<String> idsAfterCut(byte[] old, byte[] next) throws IOException {
         Path folder = Files.createTempDirectory("cut");
         Files.write(folder.resolve("journal-00000001"), old);
         Files.write(folder.resolve("journal-00000002"), next);
-        return owed(folder);
+        return unfinishedIds(folder);
     }
 
     @Test
-    public void anAttemptWithoutItsOutcomeMayHaveRunThoughALaterOneNeverDid() throws IOException {
+    public void attemptWithoutOutcomeMayHaveRunAfterALaterAttempt() throws IOException {
         Path folder = Files.createTempDirectory("segments");
-        Journal journal = new Journal(folder, ROOM, 10);
+        Journal journal = new Journal(folder, DISK_BYTES, 10);
         int number = journal.taken(request("a"), "c");
         Journal.Attempt first = journal.attempt(number, 0);
-        journal.attempt(number, 1); // the first one's outcome could not be written down
+        journal.attempt(number, 1); // the outcome of the first attempt was not recorded
         journal.outcome(number, true);
-        Journal.Owed left = new Journal(folder, ROOM, 10).recovered().get(0);
-        assertTrue(left.mayHaveRun());
-        assertEquals(left.firstPossibleRun(), first);
+        Journal.Owed recovered = new Journal(folder, DISK_BYTES, 10).recovered().get(0);
+        assertTrue(recovered.mayHaveRun());
+        assertEquals(recovered.firstPossibleRun(), first);
     }
 
-    /** At an upgrade two processes write snapshots into one folder: neither stands for the other's. */
+    /**
+     * At an upgrade two processes write snapshots into one folder. Neither snapshot may replace the messages of the
+     * other process.
+     */
     @Test
-    public void aSuccessorsSnapshotLeavesWhatTheOwnerOwes() throws IOException {
+    public void successorSnapshotKeepsTheOwnersMessages() throws IOException {
         Path folder = Files.createTempDirectory("segments");
-        Journal owner = new Journal(folder, ROOM, 10);
+        Journal owner = new Journal(folder, DISK_BYTES, 10);
         owner.taken(request("owners"), "c");
-        Journal successor = new Journal(folder, ROOM, 10, true);
+        Journal successor = new Journal(folder, DISK_BYTES, 10, true);
         successor.taken(request("successors"), "c");
-        assertEquals(owed(folder), List.of("owners", "successors"));
+        assertEquals(unfinishedIds(folder), List.of("owners", "successors"));
     }
 }
--- a/src/test/java/juniperusher/core/JournalTest.java
+++ b/src/test/java/juniperusher/core/JournalTest.java
@@ -15,17 +15,17 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** What a process finds of what an earlier one wrote, wherever that one was cut off. */
+/** What a process recovers from the journal of an earlier one, wherever that one was cut off. */
 public class JournalTest {
-    private static final long ROOM = 3 << 20;
+    private static final long DISK_BYTES = 3 << 20;
 
-    private static RpcRequest request(String id, boolean once, int body) {
-        return new RpcRequest(id, "http", 1, 7, 1_900_000_000_000L, "to", once, new byte[body]);
+    private static RpcRequest request(String id, boolean once, int bodyBytes) {
+        return new RpcRequest(id, "http", 1, 7, 1_900_000_000_000L, "to", once, new byte[bodyBytes]);
     }
 
-    private static Path segment(Path folder) throws IOException {
+    private static Path onlySegment(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
-            // The lock file of the folder's owner stands beside the segments.
+            // The folder also holds the owner's lock file.
             List<Path> all = files.filter(path -> path.getFileName().toString().startsWith("journal-"))
                     .toList();
             assertEquals(all.size(), 1, "segments: " + all);
@@ -33,15 +33,15 @@
         }
     }
 
-    /** Each step of an RPC's life, and what a restart must find after it. */
-    private static List<String> life(Journal journal, boolean write) {
+    /** Records each step of an RPC and returns the state that a restart has to recover after each. */
+    private static List<String> recordLifeCycle(Journal journal, boolean write) {
         List<String> states = new ArrayList<>(List.of("nothing"));
         int number = write ? journal.taken(request("a", true, 100), "c") : 0;
         states.add("0 attempts, ran=false, end=null");
         if (write) {
             journal.attempt(number, 0);
         }
-        states.add("1 attempts, ran=true, end=null"); // out with no outcome: it may have run
+        states.add("1 attempts, ran=true, end=null"); // in flight without an outcome: it may have run
         if (write) {
             journal.outcome(number, true);
         }
@@ -65,89 +65,92 @@
         return states;
     }
 
-    private static String found(Journal journal) {
+    private static String recoveredState(Journal journal) {
         if (journal.recovered().isEmpty()) {
             return "nothing";
         }
-        Journal.Owed owed = journal.recovered().get(0);
-        return owed.attempts() + " attempts, ran=" + owed.mayHaveRun() + ", end="
-                + (owed.end() == null ? null : owed.end().kind());
+        Journal.Owed entry = journal.recovered().get(0);
+        return entry.attempts() + " attempts, ran=" + entry.mayHaveRun() + ", end="
+                + (entry.end() == null ? null : entry.end().kind());
     }
 
     @Test
-    public void aCutAtAndInsideEveryRecordLeavesWhatWasWholeBefore() throws IOException {
+    public void segmentCutAtAnyByteKeepsTheCompleteRecords() throws IOException {
         Path folder = Files.createTempDirectory("journal");
-        List<String> states = life(new Journal(folder, ROOM, 10), true);
-        byte[] all = Files.readAllBytes(segment(folder));
+        List<String> states = recordLifeCycle(new Journal(folder, DISK_BYTES, 10), true);
+        byte[] all = Files.readAllBytes(onlySegment(folder));
         List<Integer> ends = new ArrayList<>(List.of(0));
         while (ends.get(ends.size() - 1) < all.length) {
             int at = ends.get(ends.size() - 1);
             ends.add(at + 8 + ByteBuffer.wrap(all).getInt(at));
         }
-        // A segment begins with a snapshot, of which a fresh journal's holds nothing between its two records.
+        // A segment begins with a snapshot; that of a new journal has no records between its first and last one.
         states.addAll(0, List.of("nothing", "nothing"));
         assertEquals(ends.size(), states.size(), "records");
         for (int cut = 0; cut <= all.length; cut++) {
-            int whole = 0;
-            while (whole + 1 < ends.size() && ends.get(whole + 1) <= cut) {
-                whole++;
+            int completeRecords = 0;
+            while (completeRecords + 1 < ends.size() && ends.get(completeRecords + 1) <= cut) {
+                completeRecords++;
             }
             Path copy = Files.createTempDirectory("cut");
             Files.write(copy.resolve("journal-00000001"), Arrays.copyOf(all, cut));
-            assertEquals(found(new Journal(copy, ROOM, 10)), states.get(whole), "cut at byte " + cut);
+            assertEquals(
+                    recoveredState(new Journal(copy, DISK_BYTES, 10)),
+                    states.get(completeRecords),
+                    "cut at byte " + cut);
         }
     }
 
     @Test
-    public void aDamagedRecordEndsItsSegment() throws IOException {
+    public void damagedRecordEndsItsSegment() throws IOException {
         Path folder = Files.createTempDirectory("journal");
-        Journal journal = new Journal(folder, ROOM, 10);
+        Journal journal = new Journal(folder, DISK_BYTES, 10);
         journal.taken(request("a", false, 10), "c");
-        int whole = (int) Files.size(segment(folder));
+        int completeBytes = (int) Files.size(onlySegment(folder));
         journal.taken(request("b", false, 10), "c");
-        byte[] all = Files.readAllBytes(segment(folder));
-        for (int at = whole; at < all.length; at++) {
+        byte[] all = Files.readAllBytes(onlySegment(folder));
+        for (int at = completeBytes; at < all.length; at++) {
             byte[] damaged = all.clone();
             damaged[at] ^= 0x10;
             Path copy = Files.createTempDirectory("damaged");
             Files.write(copy.resolve("journal-00000001"), damaged);
-            assertEquals(new Journal(copy, ROOM, 10).recovered().size(), 1, "damage at byte " + at);
+            assertEquals(new Journal(copy, DISK_BYTES, 10).recovered().size(), 1, "damage at byte " + at);
         }
     }
 
     @Test
-    public void itRefusesBeforeTakingWhenBothCopiesWouldNotFit() throws IOException {
+    public void refusesMessagesWithoutRoomForBothCopies() throws IOException {
         Path folder = Files.createTempDirectory("journal");
-        Journal journal = new Journal(folder, ROOM, 100);
-        int taken = 0;
-        while (journal.taken(request("m" + taken, false, 64 * 1024), "c") > 0) {
-            taken++;
-            assertTrue(size(folder) <= ROOM, "over the room");
-        }
-        assertTrue(taken >= 15, "only " + taken + " taken");
-        for (int number = 1; number <= taken; number++) {
+        Journal journal = new Journal(folder, DISK_BYTES, 100);
+        int accepted = 0;
+        while (journal.taken(request("m" + accepted, false, 64 * 1024), "c") > 0) {
+            accepted++;
+            assertTrue(folderBytes(folder) <= DISK_BYTES, "more bytes than allowed");
+        }
+        assertTrue(accepted >= 15, "only " + accepted + " accepted");
+        for (int number = 1; number <= accepted; number++) {
             journal.attempt(number, 0);
             journal.outcome(number, true);
-            assertTrue(size(folder) <= ROOM, "over the room");
+            assertTrue(folderBytes(folder) <= DISK_BYTES, "more bytes than allowed");
         }
-        assertEquals(new Journal(folder, ROOM, 100).recovered().size(), taken);
-        assertTrue(size(folder) <= ROOM, "over the room after a restart");
+        assertEquals(new Journal(folder, DISK_BYTES, 100).recovered().size(), accepted);
+        assertTrue(folderBytes(folder) <= DISK_BYTES, "more bytes than allowed after a restart");
     }
 
     @Test
-    public void roomComesBackWhenRpcsEnd() throws IOException {
+    public void finishedMessagesFreeRoom() throws IOException {
         Path folder = Files.createTempDirectory("journal");
-        Journal journal = new Journal(folder, ROOM, 100);
+        Journal journal = new Journal(folder, DISK_BYTES, 100);
         for (int i = 0; i < 400; i++) {
             int number = journal.taken(request("m" + i, false, 64 * 1024), "c");
             assertTrue(number > 0, "refused at " + i);
             journal.ended(number, new RpcEnd("m" + i, "", RpcEnd.Kind.DELIVERED, 0));
             journal.acknowledged(number);
-            assertTrue(size(folder) <= ROOM, "over the room");
+            assertTrue(folderBytes(folder) <= DISK_BYTES, "more bytes than allowed");
         }
     }
 
-    private static long size(Path folder) throws IOException {
+    private static long folderBytes(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.mapToLong(path -> (path.toFile().length() + 511) / 512 * 512)
                     .sum();
@@ -155,9 +158,9 @@
     }
 
     @Test
-    public void anIdThatIsTakenOnceIsKnownAfterItsEndAndAfterARestart() throws IOException {
+    public void keyAcceptedOnceIsRememberedAfterItsEndAndARestart() throws IOException {
         Path folder = Files.createTempDirectory("journal");
-        Journal journal = new Journal(folder, ROOM, 10);
+        Journal journal = new Journal(folder, DISK_BYTES, 10);
         for (String id : List.of("done", "back")) {
             int number = journal.taken(request(id, true, 1), "c");
             journal.ended(
@@ -165,25 +168,26 @@
                     new RpcEnd(id, "to", id.equals("done") ? RpcEnd.Kind.DELIVERED : RpcEnd.Kind.HANDED_BACK, 0));
             journal.acknowledged(number);
         }
-        for (Journal each : List.of(journal, new Journal(folder, ROOM, 10), new Journal(folder, ROOM, 10))) {
+        for (Journal each :
+                List.of(journal, new Journal(folder, DISK_BYTES, 10), new Journal(folder, DISK_BYTES, 10))) {
             assertTrue(each.endedRecently("http done"));
-            assertFalse(each.endedRecently("http back"), "what never ran may come again");
+            assertFalse(each.endedRecently("http back"), "a returned message may be resubmitted");
         }
     }
 
     @Test
-    public void compactionKeepsThatAnAttemptIsOut() throws IOException {
+    public void snapshotKeepsTheAttemptInFlight() throws IOException {
         Path folder = Files.createTempDirectory("journal");
-        Journal journal = new Journal(folder, ROOM, 10);
+        Journal journal = new Journal(folder, DISK_BYTES, 10);
         int number = journal.taken(request("a", false, 10), "c");
         journal.attempt(number, 0);
         for (int i = 0; i < 100; i++) {
             int other = journal.taken(request("m" + i, false, 64 * 1024), "c");
             journal.acknowledged(other);
         }
-        Journal.Owed owed = new Journal(folder, ROOM, 10).recovered().get(0);
-        assertEquals(owed.attempts(), 1);
-        assertTrue(owed.mayHaveRun());
-        assertNull(owed.end());
+        Journal.Owed entry = new Journal(folder, DISK_BYTES, 10).recovered().get(0);
+        assertEquals(entry.attempts(), 1);
+        assertTrue(entry.mayHaveRun());
+        assertNull(entry.end());
     }
 }
--- a/src/test/java/juniperusher/core/OrderTest.java
+++ b/src/test/java/juniperusher/core/OrderTest.java
@@ -32,49 +32,52 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Messages of one key are delivered one at a time, as taken on, whatever ends, restarts or is upgraded. */
+/**
+ * Messages with the same order key are delivered one at a time in the order of acceptance, also across failures,
+ * restarts and upgrades.
+ */
 public class OrderTest {
-    private static final long SOON = 5; // s for what has to happen
-    private static final long QUIET = 300; // ms in which what must not happen would have happened
-    private static final long DISK = 3 << 20;
+    private static final long TIMEOUT_SECONDS = 5; // limit for events that have to happen
+    private static final long NO_CALL_MILLIS = 300; // how long to wait for events that must not happen
+    private static final long DISK_BYTES = 3 << 20;
     private static final int DESTINATION = 7;
-    private static final int KEYED = 0;
-    private static final int ONCE = 1;
-    private static final double WINDOW = 60;
-    private static final double KEY_QUIET = 0.5; // s, longer than a restart takes here
-    private static final String KEY = "booking-1";
-
-    /** A call that stays out until the test ends it, or the relay gives it up. */
-    private record Out(List<RpcRequest> requests, Subchannels.Results results, AtomicBoolean given) {
+    private static final int KEYED_CLASS = 0;
+    private static final int UNSAFE_CLASS = 1;
+    private static final double REPEAT_WINDOW_SECONDS = 60;
+    private static final double KEY_QUIET_SECONDS = 0.5; // longer than a restart takes here
+    private static final String ORDER_KEY = "booking-1";
+
+    /** A call that stays in flight until the test ends it or the relay abandons it. */
+    private record StartedCall(List<RpcRequest> requests, Subchannels.Results results, AtomicBoolean abandoned) {
         List<String> ids() {
             return requests.stream().map(RpcRequest::id).toList();
         }
 
-        void ends(CallEnd end) {
+        void end(CallEnd end) {
             for (int place = 0; place < requests.size(); place++) {
                 results.ended(place, CallResult.of(end));
             }
         }
     }
 
-    /** An end that is told, and the acknowledgement that the test gives. */
-    private record Told(RpcEnd end, Runnable acknowledged) {}
+    /** A reported end, and the acknowledgement that the test gives. */
+    private record ReportedEnd(RpcEnd end, Runnable acknowledged) {}
 
-    private final BlockingQueue<Out> calls = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<StartedCall> calls = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ReportedEnd> reportedEnds = new LinkedBlockingQueue<>();
     private final List<Relay> relays = new ArrayList<>();
     private Path folder;
 
     @BeforeMethod
-    public void fresh() throws Exception {
+    public void createFolder() throws Exception {
         folder = Files.createTempDirectory("order");
         calls.clear();
-        told.clear();
+        reportedEnds.clear();
         relays.clear();
     }
 
     @AfterMethod(alwaysRun = true)
-    public void end() throws Exception {
+    public void stopRelays() throws Exception {
         for (Relay relay : relays) {
             stop(relay);
         }
@@ -85,20 +88,20 @@
         relay.closeJournal();
     }
 
-    private static MessageClass ordered(String name, Effect effect) {
-        return new MessageClass(name, effect, false, WINDOW, true, 3, 20, 1, 0.5);
+    private static MessageClass orderedClass(String name, Effect effect) {
+        return new MessageClass(name, effect, false, REPEAT_WINDOW_SECONDS, true, 3, 20, 1, 0.5);
     }
 
     private static Settings settings() throws Exception {
-        Settings file = Config.read(CallsTest.config()).settings().settings();
+        Settings file = Config.read(CallsTest.configFile()).settings().settings();
         Rules rules = file.rules();
-        Rules quiet = new Rules(
+        Rules shortKeyQuiet = new Rules(
                 rules.drainGrace(),
                 rules.coldFrom(),
                 rules.warmWithin(),
                 rules.tipMultiple(),
                 rules.tipAfter(),
-                KEY_QUIET,
+                KEY_QUIET_SECONDS,
                 rules.askWithin());
         return new Settings(
                 file.senders(),
@@ -109,17 +112,17 @@
                 file.halving(),
                 file.crossZoneFee(),
                 file.routeFees(),
-                quiet,
+                shortKeyQuiet,
                 file.allowed(),
-                List.of(ordered("keyed", Effect.KEYED), ordered("once", Effect.UNSAFE)),
+                List.of(orderedClass("keyed", Effect.KEYED), orderedClass("once", Effect.UNSAFE)),
                 List.of(new Kind(5, false)),
                 List.of(new Tenant("named", 10), new Tenant("", 0)));
     }
 
-    /** A relay on the folder; the second of an upgrade while the first one's process lives. */
+    /** A relay on the folder. With {@code successor} it acts as the second process of an upgrade. */
     private Relay relay(boolean successor) throws Exception {
         Settings settings = settings();
-        Journal journal = new Journal(folder, DISK, 50, successor);
+        Journal journal = new Journal(folder, DISK_BYTES, 50, successor);
         Relay relay = new Relay(
                 settings,
                 1,
@@ -135,11 +138,11 @@
                             double timeout,
                             Clearance clearance,
                             Results results) {
-                        Out out = new Out(requests, results, new AtomicBoolean());
-                        calls.add(out);
+                        StartedCall call = new StartedCall(requests, results, new AtomicBoolean());
+                        calls.add(call);
                         return why -> {
-                            out.given().set(true);
-                            out.ends(why);
+                            call.abandoned().set(true);
+                            call.end(why);
                         };
                     }
 
@@ -168,14 +171,14 @@
 
             @Override
             public void report(RpcEnd end, boolean again, Runnable acknowledged) {
-                told.add(new Told(end, acknowledged));
+                reportedEnds.add(new ReportedEnd(end, acknowledged));
             }
         });
         relays.add(relay);
         return relay;
     }
 
-    private Relay started(boolean successor) throws Exception {
+    private Relay startedRelay(boolean successor) throws Exception {
         Relay relay = relay(successor);
         relay.shareWaits();
         start(relay);
@@ -190,31 +193,31 @@
                         0));
     }
 
-    private static RpcRequest request(String id, int messageClass, long left) {
+    private static RpcRequest request(String id, int messageClass, long millisLeft) {
         return new RpcRequest(
                 id,
                 "test",
                 messageClass,
                 DESTINATION,
-                SteadyClock.millis() + left,
+                SteadyClock.millis() + millisLeft,
                 "",
                 false,
                 new byte[0],
                 false,
                 "",
-                KEY,
+                ORDER_KEY,
                 "named");
     }
 
     private static RpcRequest request(String id) {
-        return request(id, KEYED, 15_000);
+        return request(id, KEYED_CLASS, 15_000);
     }
 
-    private static void takeOn(Relay relay, RpcRequest request) {
+    private static void submit(Relay relay, RpcRequest request) {
         relay.offer(request, new Channel() {
             @Override
             public void takenOn() {
-                // its client hears of it
+                // nothing to do
             }
 
             @Override
@@ -224,50 +227,50 @@
         });
     }
 
-    private Out nextCall(String id) throws InterruptedException {
-        Out out = calls.poll(SOON, TimeUnit.SECONDS);
-        assertEquals(out == null ? null : out.ids(), List.of(id));
-        return out;
+    private StartedCall nextCall(String id) throws InterruptedException {
+        StartedCall call = calls.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertEquals(call == null ? null : call.ids(), List.of(id));
+        return call;
     }
 
-    private Told nextTold(String id) throws InterruptedException {
-        Told one = told.poll(SOON, TimeUnit.SECONDS);
-        assertEquals(one == null ? null : one.end().id(), id);
-        return one;
+    private ReportedEnd nextReportedEnd(String id) throws InterruptedException {
+        ReportedEnd reported = reportedEnds.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertEquals(reported == null ? null : reported.end().id(), id);
+        return reported;
     }
 
-    private void nothingIsSent() throws InterruptedException {
-        Out out = calls.poll(QUIET, TimeUnit.MILLISECONDS);
-        assertNull(out, "sent out of its turn: " + (out == null ? "" : out.ids()));
+    private void assertNoCall() throws InterruptedException {
+        StartedCall call = calls.poll(NO_CALL_MILLIS, TimeUnit.MILLISECONDS);
+        assertNull(call, "sent too early: " + (call == null ? "" : call.ids()));
     }
 
-    // ---- taking on ----
+    // ---- acceptance ----
 
     @Test
-    public void twoHandedInAtOnceAreSentInTheOrderOfTheirAnswers() throws Exception {
-        Relay relay = started(false);
+    public void concurrentSubmissionsAreSentInTheOrderOfTheirAnswers() throws Exception {
+        Relay relay = startedRelay(false);
         CountDownLatch firstAnswered = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch finishFirst = new CountDownLatch(1);
         List<String> answers = java.util.Collections.synchronizedList(new ArrayList<>());
-        Thread first = new Thread(() -> relay.offer(request("m1"), answering(() -> {
+        Thread first = new Thread(() -> relay.offer(request("m1"), channelRunning(() -> {
             answers.add("m1");
             firstAnswered.countDown();
-            await(goOn); // between its answer and the module's hearing of it
+            await(finishFirst); // between the client's answer and the arrival at the decision module
         })));
         first.start();
         await(firstAnswered);
-        Thread second = new Thread(() -> relay.offer(request("m2"), answering(() -> answers.add("m2"))));
+        Thread second = new Thread(() -> relay.offer(request("m2"), channelRunning(() -> answers.add("m2"))));
         second.start();
-        nothingIsSent();
-        goOn.countDown();
+        assertNoCall();
+        finishFirst.countDown();
         first.join();
         second.join();
         assertEquals(answers, List.of("m1", "m2"));
-        nextCall("m1").ends(CallEnd.DELIVERED);
-        nextCall("m2").ends(CallEnd.DELIVERED);
+        nextCall("m1").end(CallEnd.DELIVERED);
+        nextCall("m2").end(CallEnd.DELIVERED);
     }
 
-    private static Channel answering(Runnable takenOn) {
+    private static Channel channelRunning(Runnable takenOn) {
         return new Channel() {
             @Override
             public void takenOn() {
@@ -283,182 +286,186 @@
 
     private static void await(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(SOON, TimeUnit.SECONDS));
+            assertTrue(latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
     }
 
     @Test
-    public void othersOfNoKeyOrAnotherAreFreeAndNoCallHoldsTwoOfOneKey() throws Exception {
-        Relay relay = started(false);
-        takeOn(relay, request("m1"));
-        takeOn(relay, request("m2"));
-        Out first = nextCall("m1");
-        RpcRequest free = new RpcRequest(
-                "free", "test", KEYED, DESTINATION, SteadyClock.millis() + 9_000, "", false, new byte[0]);
-        takeOn(relay, free);
-        nextCall("free").ends(CallEnd.DELIVERED);
-        nothingIsSent();
-        first.ends(CallEnd.DELIVERED);
-        nextCall("m2").ends(CallEnd.DELIVERED);
+    public void messagesWithoutThatKeyDoNotWait() throws Exception {
+        Relay relay = startedRelay(false);
+        submit(relay, request("m1"));
+        submit(relay, request("m2"));
+        StartedCall first = nextCall("m1");
+        RpcRequest withoutKey = new RpcRequest(
+                "free", "test", KEYED_CLASS, DESTINATION, SteadyClock.millis() + 9_000, "", false, new byte[0]);
+        submit(relay, withoutKey);
+        nextCall("free").end(CallEnd.DELIVERED);
+        assertNoCall();
+        first.end(CallEnd.DELIVERED);
+        nextCall("m2").end(CallEnd.DELIVERED);
     }
 
-    // ---- ends ----
+    // ---- ends of messages ----
 
     @Test
-    public void theNextWaitsUntilTheStatusReportIsAcknowledged() throws Exception {
-        Relay relay = started(false);
-        takeOn(relay, request("m1", ONCE, 15_000));
-        takeOn(relay, request("m2", ONCE, 15_000));
-        nextCall("m1").ends(CallEnd.BROKEN); // it may have run: given up
-        Told end = nextTold("m1");
+    public void nextMessageWaitsUntilTheEndIsAcknowledged() throws Exception {
+        Relay relay = startedRelay(false);
+        submit(relay, request("m1", UNSAFE_CLASS, 15_000));
+        submit(relay, request("m2", UNSAFE_CLASS, 15_000));
+        nextCall("m1").end(CallEnd.BROKEN); // it may have run, so it fails
+        ReportedEnd end = nextReportedEnd("m1");
         assertEquals(end.end().kind(), RpcEnd.Kind.GIVEN_UP);
-        nothingIsSent();
+        assertNoCall();
         end.acknowledged().run();
-        nextCall("m2").ends(CallEnd.DELIVERED);
+        nextCall("m2").end(CallEnd.DELIVERED);
     }
 
-    /** A shared call ends whole before the end of one of its messages is told; then the next of its key may go. */
+    /**
+     * A shared call ends for all its messages before the end of one of them is reported; only then the next message of
+     * the key is sent.
+     */
     @Test
-    public void theNextWaitsUntilTheSharedCallOfTheFirstHasEnded() throws Exception {
+    public void nextMessageWaitsForTheEndOfASharedCall() throws Exception {
         Relay relay = relay(false);
         RpcRequest other = new RpcRequest(
-                "other", "test", KEYED, DESTINATION, SteadyClock.millis() + 15_000, "", false, new byte[0]);
-        takeOn(relay, request("m1", KEYED, 1_200));
-        takeOn(relay, other);
-        takeOn(relay, request("m2"));
-        start(relay); // one round decides on all of them
-        Out shared = calls.poll(SOON, TimeUnit.SECONDS);
+                "other", "test", KEYED_CLASS, DESTINATION, SteadyClock.millis() + 15_000, "", false, new byte[0]);
+        submit(relay, request("m1", KEYED_CLASS, 1_200));
+        submit(relay, other);
+        submit(relay, request("m2"));
+        start(relay); // one round decides on all three
+        StartedCall shared = calls.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertEquals(shared.ids(), List.of("m1", "other"));
-        Told end = nextTold("m1"); // its own time is up
-        assertTrue(shared.given().get(), "its end is told while the call with it is out");
-        Out again = calls.poll(SOON, TimeUnit.SECONDS);
-        assertEquals(again.ids(), List.of("other"), "the next of the key has to wait for the acknowledgement");
-        again.ends(CallEnd.DELIVERED);
-        nothingIsSent();
+        ReportedEnd end = nextReportedEnd("m1"); // its deadline has passed
+        assertTrue(shared.abandoned().get(), "its end is reported while its call is in flight");
+        StartedCall otherCall = calls.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertEquals(
+                otherCall.ids(), List.of("other"), "the next message of the key was sent before the acknowledgement");
+        otherCall.end(CallEnd.DELIVERED);
+        assertNoCall();
         end.acknowledged().run();
-        nextCall("m2").ends(CallEnd.DELIVERED);
+        nextCall("m2").end(CallEnd.DELIVERED);
     }
 
     // ---- restarts ----
 
     @Test
-    public void aRestartKeepsTheOrderAndARestThatIsOwed() throws Exception {
-        Relay before = started(false);
+    public void restartKeepsTheOrder() throws Exception {
+        Relay before = startedRelay(false);
         for (int i = 1; i <= 3; i++) {
-            takeOn(before, request("m" + i));
+            submit(before, request("m" + i));
         }
-        nextCall("m1"); // out as the process ends
+        nextCall("m1"); // in flight when the process ends
         stop(before);
-        started(false);
-        nextCall("m1").ends(CallEnd.DELIVERED);
-        nextCall("m2").ends(CallEnd.DELIVERED);
-        nextCall("m3").ends(CallEnd.DELIVERED);
+        startedRelay(false);
+        nextCall("m1").end(CallEnd.DELIVERED);
+        nextCall("m2").end(CallEnd.DELIVERED);
+        nextCall("m3").end(CallEnd.DELIVERED);
     }
 
     @Test
-    public void theKeyRestsAfterARestartThatFindsAnAttemptOut() throws Exception {
-        Relay before = started(false);
-        takeOn(before, request("m1"));
-        takeOn(before, request("m2"));
+    public void keyStaysQuietAfterARestartWithAnAttemptInFlight() throws Exception {
+        Relay before = startedRelay(false);
+        submit(before, request("m1"));
+        submit(before, request("m2"));
         nextCall("m1");
         stop(before);
-        long restarted = System.nanoTime();
-        started(false);
-        nextCall("m1").ends(CallEnd.DELIVERED);
-        nextCall("m2").ends(CallEnd.DELIVERED);
-        double rested = (System.nanoTime() - restarted) / 1e9;
-        assertTrue(rested >= KEY_QUIET, "s after the restart: " + rested);
+        long restartedNanos = System.nanoTime();
+        startedRelay(false);
+        nextCall("m1").end(CallEnd.DELIVERED);
+        nextCall("m2").end(CallEnd.DELIVERED);
+        double quietSeconds = (System.nanoTime() - restartedNanos) / 1e9;
+        assertTrue(quietSeconds >= KEY_QUIET_SECONDS, "seconds after the restart: " + quietSeconds);
     }
 
     @Test
-    public void aRestartBetweenAnEndAndItsAcknowledgementKeepsTheNextWaiting() throws Exception {
-        Relay before = started(false);
-        takeOn(before, request("m1", ONCE, 15_000));
-        takeOn(before, request("m2", ONCE, 15_000));
-        nextCall("m1").ends(CallEnd.BROKEN);
-        nextTold("m1"); // never acknowledged
+    public void nextMessageWaitsForTheAcknowledgementAfterARestart() throws Exception {
+        Relay before = startedRelay(false);
+        submit(before, request("m1", UNSAFE_CLASS, 15_000));
+        submit(before, request("m2", UNSAFE_CLASS, 15_000));
+        nextCall("m1").end(CallEnd.BROKEN);
+        nextReportedEnd("m1"); // not acknowledged
         stop(before);
-        started(false);
-        Told again = nextTold("m1");
-        nothingIsSent();
-        again.acknowledged().run();
-        nextCall("m2").ends(CallEnd.DELIVERED);
+        startedRelay(false);
+        ReportedEnd repeatedReport = nextReportedEnd("m1");
+        assertNoCall();
+        repeatedReport.acknowledged().run();
+        nextCall("m2").end(CallEnd.DELIVERED);
     }
 
     @Test
-    public void whatARestartGivesUpHoldsTheNextUntilThatIsAcknowledged() throws Exception {
-        Relay before = started(false);
-        takeOn(before, request("m1", ONCE, 15_000));
-        takeOn(before, request("m2", ONCE, 15_000));
+    public void nextMessageWaitsForTheEndThatARestartReports() throws Exception {
+        Relay before = startedRelay(false);
+        submit(before, request("m1", UNSAFE_CLASS, 15_000));
+        submit(before, request("m2", UNSAFE_CLASS, 15_000));
         nextCall("m1");
         stop(before);
-        started(false);
-        Told end = nextTold("m1");
+        startedRelay(false);
+        ReportedEnd end = nextReportedEnd("m1");
         assertEquals(end.end().kind(), RpcEnd.Kind.GIVEN_UP);
-        nothingIsSent();
+        assertNoCall();
         end.acknowledged().run();
-        nextCall("m2").ends(CallEnd.DELIVERED);
+        nextCall("m2").end(CallEnd.DELIVERED);
     }
 
     @Test
-    public void keyAndTenantAndTimeOutliveTheProcess() throws Exception {
-        Journal before = new Journal(folder, DISK, 10);
+    public void journalKeepsOrderKeyTenantAndAcceptanceTime() throws Exception {
+        Journal before = new Journal(folder, DISK_BYTES, 10);
         int number = before.taken(request("m1"), "keyed");
-        long takenAt = before.acceptedAtMicros(number);
-        assertTrue(takenAt > 0);
+        long acceptedAtMicros = before.acceptedAtMicros(number);
+        assertTrue(acceptedAtMicros > 0);
         before.close();
-        Journal after = new Journal(folder, DISK, 10);
-        Journal.Owed left = after.recovered().get(0);
-        assertEquals(left.request().orderKey(), KEY);
-        assertEquals(left.request().tenant(), "named");
-        assertEquals(left.acceptedAtMicros(), takenAt);
+        Journal after = new Journal(folder, DISK_BYTES, 10);
+        Journal.Owed recovered = after.recovered().get(0);
+        assertEquals(recovered.request().orderKey(), ORDER_KEY);
+        assertEquals(recovered.request().tenant(), "named");
+        assertEquals(recovered.acceptedAtMicros(), acceptedAtMicros);
         after.close();
     }
 
     // ---- upgrades ----
 
     @Test
-    public void aSuccessorSendsNothingInOrderBeforeTheOwnerHasEndedAndThenAllInTheOrderTaken() throws Exception {
-        Relay owner = started(false);
-        takeOn(owner, request("m1"));
-        Out first = nextCall("m1");
-        Relay successor = started(true); // returns once the owner has yielded
-        takeOn(successor, request("m2"));
-        takeOn(owner, request("m3")); // on a connection that is still open there
-        takeOn(successor, request("m4"));
-        first.ends(CallEnd.DELIVERED);
-        nothingIsSent();
-        assertEquals(owner.held(), 0, "the owner waits for what its successor sends");
+    public void successorSendsOrderedMessagesInAcceptanceOrderAfterTheOwnersEnd() throws Exception {
+        Relay owner = startedRelay(false);
+        submit(owner, request("m1"));
+        StartedCall first = nextCall("m1");
+        Relay successor = startedRelay(true); // returns once the owner has yielded
+        submit(successor, request("m2"));
+        submit(owner, request("m3")); // on a connection that the owner still has open
+        submit(successor, request("m4"));
+        first.end(CallEnd.DELIVERED);
+        assertNoCall();
+        assertEquals(owner.held(), 0, "the owner still counts messages that its successor sends");
         relays.remove(owner);
         stop(owner);
         for (int i = 2; i <= 4; i++) {
-            nextCall("m" + i).ends(CallEnd.DELIVERED);
+            nextCall("m" + i).end(CallEnd.DELIVERED);
         }
-        takeOn(successor, request("m5"));
-        nextCall("m5").ends(CallEnd.DELIVERED);
+        submit(successor, request("m5"));
+        nextCall("m5").end(CallEnd.DELIVERED);
     }
 
     @Test
-    public void anOwnerTakesItsOrderBackFromASuccessorThatHasDied() throws Exception {
-        Relay owner = started(false);
+    public void ownerSendsOrderedMessagesAgainAfterTheSuccessorsDeath() throws Exception {
+        Relay owner = startedRelay(false);
         SuccessorMark mark = new SuccessorMark(folder);
         mark.set();
-        assertTrue(mark.awaitYield(SOON * 1_000));
-        takeOn(owner, request("m1"));
-        nothingIsSent();
+        assertTrue(mark.awaitYield(TIMEOUT_SECONDS * 1_000));
+        submit(owner, request("m1"));
+        assertNoCall();
         mark.clear();
-        nextCall("m1").ends(CallEnd.DELIVERED);
+        nextCall("m1").end(CallEnd.DELIVERED);
         assertFalse(mark.isSet());
     }
 
     @Test
-    public void aMessageHeldBackAtAnUpgradeIsStillAnsweredInTime() throws Exception {
-        started(false);
-        Relay successor = started(true);
-        takeOn(successor, request("m1", KEYED, 800));
-        Told end = nextTold("m1");
+    public void messageHeldBackAtAnUpgradeEndsInTime() throws Exception {
+        startedRelay(false);
+        Relay successor = startedRelay(true);
+        submit(successor, request("m1", KEYED_CLASS, 800));
+        ReportedEnd end = nextReportedEnd("m1");
         assertEquals(end.end().kind(), RpcEnd.Kind.HANDED_BACK);
         assertTrue(calls.isEmpty());
     }
--- a/src/test/java/juniperusher/core/LastResortTest.java
+++ b/src/test/java/juniperusher/core/OverdueMessageTest.java
@@ -20,14 +20,15 @@
 import juniperusher.membership.Update;
 import org.testng.annotations.Test;
 
-/** A message gets its one final answer though its call never says how it ended. */
-public class LastResortTest {
+/** A message ends at its deadline although its call never reports a result. */
+public class OverdueMessageTest {
     private static final int DESTINATION = 7;
-    private static final long LEFT = 2_500; // ms, beyond the time after a start in which nothing is expired
-    private static final long SOON = 1_000; // ms
+    // longer than the time after a start in which overdue messages are not checked
+    private static final long TIMEOUT_MILLIS = 2_500;
+    private static final long MARGIN_MILLIS = 1_000;
 
-    /** Calls of which nothing is heard any more, not even when they are given up. */
-    private static final Subchannels DEAF = new Subchannels() {
+    /** Calls that never report a result, not even after they are abandoned. */
+    private static final Subchannels UNRESPONSIVE_SUBCHANNELS = new Subchannels() {
         @Override
         public Call call(
                 Target target, List<RpcRequest> requests, double timeout, Clearance clearance, Results results) {
@@ -46,9 +47,9 @@
     };
 
     @Test
-    public void aCallOfWhichNothingIsHeardKeepsNoMessageFromItsEnd() throws Exception {
-        Settings settings = Config.read(CallsTest.config()).settings().settings();
-        BlockingQueue<RpcEnd> told = new LinkedBlockingQueue<>();
+    public void messageEndsThoughItsCallNeverReportsAResult() throws Exception {
+        Settings settings = Config.read(CallsTest.configFile()).settings().settings();
+        BlockingQueue<RpcEnd> reportedEnds = new LinkedBlockingQueue<>();
         Counters counters = new Counters();
         Relay relay = new Relay(
                 settings,
@@ -57,23 +58,23 @@
                 Files.createTempDirectory("last-resort"),
                 3 << 20,
                 counters,
-                DEAF,
+                UNRESPONSIVE_SUBCHANNELS,
                 (to, note) -> {},
                 null);
-        relay.add(front(told));
+        relay.add(front(reportedEnds));
         relay.start(new Membership(Timing.USUAL, List.of(), DESTINATION)
                 .known(
                         new Update(true, 1, List.of(), Set.of()),
                         List.of(new Target(5, DESTINATION, 1, 0, 100, Phase.READY)),
                         0));
         try {
-            relay.offer(request(), accepted());
-            RpcEnd end = told.poll(LEFT + SOON, TimeUnit.MILLISECONDS);
-            assertNotNull(end, "no end was told");
+            relay.offer(request(), channelExpectingAcceptance());
+            RpcEnd end = reportedEnds.poll(TIMEOUT_MILLIS + MARGIN_MILLIS, TimeUnit.MILLISECONDS);
+            assertNotNull(end, "no end was reported");
             assertEquals(end.kind(), RpcEnd.Kind.GIVEN_UP);
             assertEquals(counters.get("expired_total", "class", "0"), 1);
             assertEquals(relay.held(), 0);
-            assertNull(told.poll(SOON, TimeUnit.MILLISECONDS), "a second end was told");
+            assertNull(reportedEnds.poll(MARGIN_MILLIS, TimeUnit.MILLISECONDS), "a second end was reported");
         } finally {
             relay.close();
             relay.closeJournal();
@@ -81,14 +82,15 @@
     }
 
     private static RpcRequest request() {
-        return new RpcRequest("m", "test", 0, DESTINATION, SteadyClock.millis() + LEFT, "", false, new byte[0]);
+        return new RpcRequest(
+                "m", "test", 0, DESTINATION, SteadyClock.millis() + TIMEOUT_MILLIS, "", false, new byte[0]);
     }
 
-    private static Channel accepted() {
+    private static Channel channelExpectingAcceptance() {
         return new Channel() {
             @Override
             public void takenOn() {
-                // as wanted
+                // expected
             }
 
             @Override
@@ -98,7 +100,7 @@
         };
     }
 
-    private static Front front(BlockingQueue<RpcEnd> told) {
+    private static Front front(BlockingQueue<RpcEnd> reportedEnds) {
         return new Front() {
             @Override
             public String name() {
@@ -112,7 +114,7 @@
 
             @Override
             public void report(RpcEnd end, boolean again, Runnable acknowledged) {
-                told.add(end);
+                reportedEnds.add(end);
                 acknowledged.run();
             }
         };
--- a/src/test/java/juniperusher/core/RecoveryTest.java
+++ b/src/test/java/juniperusher/core/RecoveryTest.java
@@ -25,47 +25,48 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a process that comes back does with what the one before it may have sent. */
+/** What a new process does with messages that the previous one may have sent. */
 public class RecoveryTest {
-    private static final int ZONE = 1; // of the attempt that was out when the process ended
-    private static final long SOON = 5; // s for what has to happen
-    private static final MessageClass ONCE = kind("once", Effect.UNSAFE, false, 5);
+    private static final int ATTEMPT_ZONE = 1; // zone of the attempt in flight when the process ended
+    private static final long TIMEOUT_SECONDS = 5; // limit for events that have to happen
+    private static final MessageClass UNSAFE_CLASS = messageClass("once", Effect.UNSAFE, false, 5);
 
     private final BlockingQueue<Subchannels.Clearance> calls = new LinkedBlockingQueue<>();
     private final BlockingQueue<RpcEnd> ends = new LinkedBlockingQueue<>();
     private Path folder;
     private Relay relay;
 
-    private static MessageClass kind(String name, Effect effect, boolean zoneOnly, double window) {
-        return new MessageClass(name, effect, zoneOnly, window, false, 3, 20, 1, 0.5);
+    private static MessageClass messageClass(String name, Effect effect, boolean zoneOnly, double repeatWindowSeconds) {
+        return new MessageClass(name, effect, zoneOnly, repeatWindowSeconds, false, 3, 20, 1, 0.5);
     }
 
     @BeforeMethod
-    public void fresh() throws Exception {
+    public void createFolder() throws Exception {
         folder = Files.createTempDirectory("recovery");
         calls.clear();
         ends.clear();
     }
 
     @AfterMethod
-    public void over() throws Exception {
+    public void stopRelay() throws Exception {
         relay.close();
         relay.closeJournal();
     }
 
-    /** A process takes one on, as of the class at that place, has it out or not, and is gone. */
-    private void before(String className, int place, boolean out, long left) throws Exception {
+    /** Writes the journal of a process that accepted one message, started an attempt if {@code inFlight}, and ended. */
+    private void writeJournal(String className, int classIndex, boolean inFlight, long millisLeft) throws Exception {
         Journal journal = new Journal(folder, 3 << 20, 10);
         int number = journal.taken(
-                new RpcRequest("m", "test", place, 7, SteadyClock.millis() + left, "", false, new byte[0]), className);
-        if (out) {
-            journal.attempt(number, ZONE);
+                new RpcRequest("m", "test", classIndex, 7, SteadyClock.millis() + millisLeft, "", false, new byte[0]),
+                className);
+        if (inFlight) {
+            journal.attempt(number, ATTEMPT_ZONE);
         }
         journal.close();
     }
 
-    private void comesBack(int zone, MessageClass... classes) throws Exception {
-        Settings file = Config.read(CallsTest.config()).settings().settings();
+    private void restart(int zone, MessageClass... classes) throws Exception {
+        Settings file = Config.read(CallsTest.configFile()).settings().settings();
         Settings settings = new Settings(
                 file.senders(),
                 file.zone(),
@@ -135,82 +136,83 @@
                         0));
     }
 
-    private void ends(RpcEnd.Kind kind) throws Exception {
-        RpcEnd end = ends.poll(SOON, TimeUnit.SECONDS);
+    private void assertEnd(RpcEnd.Kind kind) throws Exception {
+        RpcEnd end = ends.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertEquals(end == null ? null : end.kind(), kind);
-        assertTrue(calls.isEmpty(), "it was sent again");
+        assertTrue(calls.isEmpty(), "the message was sent again");
     }
 
-    private static void waitUntil(long wallClock) throws InterruptedException {
-        while (SteadyClock.millis() <= wallClock) {
+    private static void waitUntil(long untilMillis) throws InterruptedException {
+        while (SteadyClock.millis() <= untilMillis) {
             Thread.sleep(1);
         }
     }
 
     @Test
-    public void withinItsWindowItIsSentAgain() throws Exception {
-        before("keyed", 0, true, 20_000);
-        comesBack(0, kind("keyed", Effect.KEYED, false, 60));
-        assertTrue(calls.poll(SOON, TimeUnit.SECONDS).mayStart());
+    public void keyedMessageIsRepeatedWithinItsWindow() throws Exception {
+        writeJournal("keyed", 0, true, 20_000);
+        restart(0, messageClass("keyed", Effect.KEYED, false, 60));
+        assertTrue(calls.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS).mayStart());
     }
 
     @Test
-    public void theWindowRunsOnOverTheEndOfTheProcess() throws Exception {
-        before("keyed", 0, true, 20_000);
+    public void repeatWindowContinuesAcrossARestart() throws Exception {
+        writeJournal("keyed", 0, true, 20_000);
         waitUntil(SteadyClock.millis() + 50);
-        comesBack(0, kind("keyed", Effect.KEYED, false, 0.05));
-        ends(RpcEnd.Kind.HANDED_BACK); // its clients' repeats are dropped too, if within the window
+        restart(0, messageClass("keyed", Effect.KEYED, false, 0.05));
+        // the destination drops the client's repeat too if it comes within the window
+        assertEnd(RpcEnd.Kind.HANDED_BACK);
     }
 
     @Test
-    public void aConnectionThatComesUpAfterTheWindowCarriesNothing() throws Exception {
-        before("keyed", 0, true, 20_000);
+    public void callDoesNotStartAfterTheRepeatWindow() throws Exception {
+        writeJournal("keyed", 0, true, 20_000);
         long sent = SteadyClock.millis();
-        comesBack(0, kind("keyed", Effect.KEYED, false, 2));
-        Subchannels.Clearance late = calls.poll(SOON, TimeUnit.SECONDS);
+        restart(0, messageClass("keyed", Effect.KEYED, false, 2));
+        Subchannels.Clearance late = calls.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         waitUntil(sent + 2_000);
         assertFalse(late.mayStart());
     }
 
     @Test
-    public void whereOnlyItsZoneDropsRepeatsNoOtherGetsOneAndItIsNotHandedBack() throws Exception {
-        before("keyed", 0, true, 300);
-        comesBack(0, kind("keyed", Effect.KEYED, true, 60));
-        ends(RpcEnd.Kind.GIVEN_UP);
+    public void zoneKeyedMessageIsNotRepeatedInAnotherZone() throws Exception {
+        writeJournal("keyed", 0, true, 300);
+        restart(0, messageClass("keyed", Effect.KEYED, true, 60));
+        assertEnd(RpcEnd.Kind.GIVEN_UP);
     }
 
     @Test
-    public void whereOnlyItsZoneDropsRepeatsItsTimeBeingOverGivesItUp() throws Exception {
-        before("keyed", 0, true, -1);
-        comesBack(ZONE, kind("keyed", Effect.KEYED, true, 60));
-        ends(RpcEnd.Kind.GIVEN_UP);
+    public void overdueZoneKeyedMessageFails() throws Exception {
+        writeJournal("keyed", 0, true, -1);
+        restart(ATTEMPT_ZONE, messageClass("keyed", Effect.KEYED, true, 60));
+        assertEnd(RpcEnd.Kind.GIVEN_UP);
     }
 
     @Test
-    public void aClassThatStandsElsewhereInTheNewSettingsIsStillItself() throws Exception {
-        before("once", 0, true, 20_000);
-        comesBack(0, kind("often", Effect.SAFE, false, 0), ONCE);
-        ends(RpcEnd.Kind.GIVEN_UP);
+    public void classIsFoundByNameWhenItsIndexChanged() throws Exception {
+        writeJournal("once", 0, true, 20_000);
+        restart(0, messageClass("often", Effect.SAFE, false, 0), UNSAFE_CLASS);
+        assertEnd(RpcEnd.Kind.GIVEN_UP);
     }
 
     @Test
-    public void whatIsOfAClassThatIsGoneIsHandedBackIfItNeverRan() throws Exception {
-        before("gone", 7, false, 20_000);
-        comesBack(0, kind("often", Effect.SAFE, false, 0));
-        ends(RpcEnd.Kind.HANDED_BACK);
+    public void messageOfARemovedClassIsReturnedIfItNeverRan() throws Exception {
+        writeJournal("gone", 7, false, 20_000);
+        restart(0, messageClass("often", Effect.SAFE, false, 0));
+        assertEnd(RpcEnd.Kind.HANDED_BACK);
     }
 
     @Test
-    public void whatIsOfAClassThatIsGoneAndMayHaveRunIsGivenUp() throws Exception {
-        before("gone", 0, true, 20_000);
-        comesBack(0, kind("often", Effect.SAFE, false, 0));
-        ends(RpcEnd.Kind.GIVEN_UP);
+    public void messageOfARemovedClassFailsIfItMayHaveRun() throws Exception {
+        writeJournal("gone", 0, true, 20_000);
+        restart(0, messageClass("often", Effect.SAFE, false, 0));
+        assertEnd(RpcEnd.Kind.GIVEN_UP);
     }
 
     @Test
-    public void whatWasFoundUntriedIsTried() throws Exception {
-        before("once", 3, false, 20_000);
-        comesBack(0, ONCE);
-        assertTrue(calls.poll(SOON, TimeUnit.SECONDS).mayStart());
+    public void messageWithoutAnAttemptIsSent() throws Exception {
+        writeJournal("once", 3, false, 20_000);
+        restart(0, UNSAFE_CLASS);
+        assertTrue(calls.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS).mayStart());
     }
 }
--- a/src/test/java/juniperusher/core/SharedWaitsTest.java
+++ b/src/test/java/juniperusher/core/SharedRetryDelaysTest.java
@@ -12,48 +12,48 @@
 import java.util.concurrent.Future;
 import org.testng.annotations.Test;
 
-/** Waits that two processes of an upgrade tell each other. */
-public class SharedWaitsTest {
-    private static final long UNTIL = 4_000_000_000_000L; // far ahead
+/** Retry-after delays that the two processes of an upgrade share. */
+public class SharedRetryDelaysTest {
+    private static final long UNTIL_MILLIS = 4_000_000_000_000L; // far in the future
 
     @Test
-    public void aWaitToldJustBeforeOnesOwnIsStillHandedOn() throws Exception {
+    public void delayReadWhileAddingIsStillReturned() throws Exception {
         Path folder = Files.createTempDirectory("waits");
         SharedRetryDelays old = new SharedRetryDelays(folder);
         SharedRetryDelays next = new SharedRetryDelays(folder);
-        old.add(4, UNTIL);
-        next.add(7, UNTIL); // before it has looked
-        assertEquals(next.pollChanges(), Map.of(4, UNTIL, 7, UNTIL));
+        old.add(4, UNTIL_MILLIS);
+        next.add(7, UNTIL_MILLIS); // before its first poll
+        assertEquals(next.pollChanges(), Map.of(4, UNTIL_MILLIS, 7, UNTIL_MILLIS));
         assertNull(next.pollChanges());
-        old.add(4, UNTIL - 1); // a shorter one
+        old.add(4, UNTIL_MILLIS - 1); // a shorter delay
         assertNull(next.pollChanges());
-        old.add(4, UNTIL + 1);
-        assertEquals(next.pollChanges().get(4), Long.valueOf(UNTIL + 1));
+        old.add(4, UNTIL_MILLIS + 1);
+        assertEquals(next.pollChanges().get(4), Long.valueOf(UNTIL_MILLIS + 1));
     }
 
     @Test
-    public void noneIsLostWhereBothTellAtOnce() throws Exception {
+    public void concurrentAddsLoseNothing() throws Exception {
         Path folder = Files.createTempDirectory("waits");
-        ExecutorService two = Executors.newFixedThreadPool(2);
+        ExecutorService threads = Executors.newFixedThreadPool(2);
         try {
             CyclicBarrier start = new CyclicBarrier(2);
-            Future<?>[] told = new Future<?>[2];
-            for (int who = 0; who < 2; who++) {
-                int first = who * 100;
-                SharedRetryDelays one = new SharedRetryDelays(folder);
-                told[who] = two.submit(() -> {
+            Future<?>[] writers = new Future<?>[2];
+            for (int writer = 0; writer < 2; writer++) {
+                int first = writer * 100;
+                SharedRetryDelays delays = new SharedRetryDelays(folder);
+                writers[writer] = threads.submit(() -> {
                     start.await();
                     for (int i = 0; i < 100; i++) {
-                        one.add(first + i, UNTIL);
+                        delays.add(first + i, UNTIL_MILLIS);
                     }
                     return null;
                 });
             }
-            told[0].get();
-            told[1].get();
+            writers[0].get();
+            writers[1].get();
             assertEquals(new SharedRetryDelays(folder).pollChanges().size(), 200);
         } finally {
-            two.shutdownNow();
+            threads.shutdownNow();
         }
     }
 }
--- a/src/test/java/juniperusher/core/TakeOverTest.java
+++ b/src/test/java/juniperusher/core/TakeOverTest.java
@@ -13,68 +13,69 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Two processes of an upgrade on one folder: the journal's take-over and the waits that both keep. */
+/** The two processes of an upgrade on one folder: taking over the journal and sharing retry-after delays. */
 public class TakeOverTest {
-    private static final long ROOM = 3L << 20;
+    private static final long DISK_BYTES = 3L << 20;
 
     private static RpcRequest request(String id, boolean once) {
         return new RpcRequest(id, "http", 1, 7, 1_900_000_000_000L, "to", once, new byte[40]);
     }
 
     @Test
-    public void aSuccessorLeavesTheOwnersJournalAloneUntilItEndsAndThenTakesUpWhatIsOwed() throws Exception {
+    public void successorTakesOverOnlyAfterTheOwnersEnd() throws Exception {
         Path folder = Files.createTempDirectory("take-over");
-        Journal old = new Journal(folder, ROOM, 100);
-        int sent = old.taken(request("sent", true), "c");
-        old.attempt(sent, 0); // out when the old one ends: may have run
-        int waiting = old.taken(request("waiting", false), "c");
-        int delivered = old.taken(request("delivered", false), "c");
-        old.ended(delivered, new RpcEnd("delivered", "to", RpcEnd.Kind.DELIVERED, 0));
-        old.acknowledged(delivered);
+        Journal owner = new Journal(folder, DISK_BYTES, 100);
+        int sent = owner.taken(request("sent", true), "c");
+        owner.attempt(sent, 0); // in flight when the owner ends: it may have run
+        int waiting = owner.taken(request("waiting", false), "c");
+        int delivered = owner.taken(request("delivered", false), "c");
+        owner.ended(delivered, new RpcEnd("delivered", "to", RpcEnd.Kind.DELIVERED, 0));
+        owner.acknowledged(delivered);
 
-        Journal next = new Journal(folder, ROOM, 100, true);
-        assertTrue(next.isSuccessor());
-        assertEquals(next.recovered(), List.of(), "the successor took up what the owner still sends");
-        int own = next.taken(request("own", false), "c");
-        CompletableFuture<List<Journal.Owed>> taken = CompletableFuture.supplyAsync(() -> {
+        Journal successor = new Journal(folder, DISK_BYTES, 100, true);
+        assertTrue(successor.isSuccessor());
+        assertEquals(successor.recovered(), List.of(), "the successor resumed messages that the owner still sends");
+        int own = successor.taken(request("own", false), "c");
+        CompletableFuture<List<Journal.Owed>> takeOver = CompletableFuture.supplyAsync(() -> {
             try {
-                return next.takeOverFromPredecessor();
+                return successor.takeOverFromPredecessor();
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
         });
-        // The owner goes on writing, and compacts, while the successor waits.
-        int late = old.taken(request("late", false), "c");
+        // The owner continues to write, also snapshots, while the successor waits.
+        int late = owner.taken(request("late", false), "c");
         for (int i = 0; i < 2_000; i++) {
-            int brief = old.taken(request("brief-" + i, false), "c");
-            old.ended(brief, new RpcEnd("brief-" + i, "to", RpcEnd.Kind.DELIVERED, 0));
-            old.acknowledged(brief);
+            int brief = owner.taken(request("brief-" + i, false), "c");
+            owner.ended(brief, new RpcEnd("brief-" + i, "to", RpcEnd.Kind.DELIVERED, 0));
+            owner.acknowledged(brief);
         }
-        assertFalse(taken.isDone(), "taken over while the owner lives");
-        old.close();
-        List<Journal.Owed> over = taken.get(10, TimeUnit.SECONDS);
-        assertFalse(next.isSuccessor());
+        assertFalse(takeOver.isDone(), "taken over while the owner is running");
+        owner.close();
+        List<Journal.Owed> takenOver = takeOver.get(10, TimeUnit.SECONDS);
+        assertFalse(successor.isSuccessor());
         assertEquals(
-                over.stream().map(one -> one.request().id()).sorted().toList(), List.of("late", "sent", "waiting"));
-        Journal.Owed mayHaveRun = over.stream()
+                takenOver.stream().map(one -> one.request().id()).sorted().toList(),
+                List.of("late", "sent", "waiting"));
+        Journal.Owed mayHaveRun = takenOver.stream()
                 .filter(one -> one.request().id().equals("sent"))
                 .findAny()
                 .orElseThrow();
-        assertTrue(mayHaveRun.mayHaveRun(), "an attempt out at the end may have run");
-        assertTrue(over.stream().noneMatch(one -> one.number() == own), "numbers of the two met");
+        assertTrue(mayHaveRun.mayHaveRun(), "an attempt in flight at the end may have run");
+        assertTrue(takenOver.stream().noneMatch(one -> one.number() == own), "both processes used the same number");
         assertTrue(waiting > 0 && late > 0);
-        next.close();
+        successor.close();
 
-        // A restart after the take-over finds both its own and what it took over, once each.
-        List<String> after = Journal.read(folder).stream()
+        // A restart after the take-over recovers each message of both processes once.
+        List<String> idsAfterRestart = Journal.read(folder).stream()
                 .map(one -> one.request().id())
                 .sorted()
                 .toList();
-        assertEquals(after, List.of("late", "own", "sent", "waiting"));
+        assertEquals(idsAfterRestart, List.of("late", "own", "sent", "waiting"));
     }
 
     @Test
-    public void aWaitToldToOneProcessHoldsTheOtherAndIsNeverCutShort() throws Exception {
+    public void delaysAreSharedAndNeverShortened() throws Exception {
         Path folder = Files.createTempDirectory("waits");
         SharedRetryDelays one = new SharedRetryDelays(folder);
         SharedRetryDelays other = new SharedRetryDelays(folder);
@@ -83,9 +84,9 @@
         one.add(3, now + 5_000);
         Map<Integer, Long> seen = other.pollChanges();
         assertEquals(seen, Map.of(3, now + 5_000));
-        other.add(3, now + 1_000); // shorter: the longer one stands
-        other.add(4, now - 1); // over: dropped
-        Thread.sleep(20); // the file system's clock must move for a change to be seen again
+        other.add(3, now + 1_000); // shorter: the longer delay stays
+        other.add(4, now - 1); // expired: dropped
+        Thread.sleep(20); // so that the modification time of the file changes
         one.add(5, now + 2_000);
         assertEquals(other.pollChanges(), Map.of(3, now + 5_000, 5, now + 2_000));
     }
