--- a/src/main/java/juniperusher/core/Companion.java
+++ b/src/main/java/juniperusher/core/Companion.java
@@ -15,7 +15,7 @@
      *
      * @param now time of the round in seconds
      */
-    List<Event> before(double now, List<Event> events);
+    List<Event> before(double nowSeconds, List<Event> events);
 
     /**
      * Called when an accepted RPC becomes a message, in the round of its arrival and before {@link #before}. Returns
@@ -33,5 +33,5 @@
      *
      * @param now time of the round in seconds
      */
-    List<Action> after(double now, List<Action> actions);
+    List<Action> after(double nowSeconds, List<Action> actions);
 }
--- a/src/main/java/juniperusher/core/Front.java
+++ b/src/main/java/juniperusher/core/Front.java
@@ -13,7 +13,7 @@
      *
      * @param again whether an earlier process may have reported it already
      */
-    void report(RpcEnd end, boolean again, Runnable acknowledged);
+    void report(RpcEnd end, boolean maybeRepeated, Runnable acknowledged);
 
     /**
      * Whether later messages with the same order key wait until the receiver has acknowledged this end. If false, they
--- a/src/main/java/juniperusher/core/Relay.java
+++ b/src/main/java/juniperusher/core/Relay.java
@@ -707,14 +707,14 @@
         }
     }
 
-    private void reportEnd(Rpc rpc, RpcEnd end, boolean repeated) {
+    private void reportEnd(Rpc rpc, RpcEnd end, boolean maybeRepeated) {
         Front front = fronts.get(rpc.request().front());
         if (front == null || !front.tells(end)) {
             onAcknowledged(rpc);
         } else if (front.overOnceAcknowledged()) {
-            front.report(end, repeated, () -> onAcknowledged(rpc));
+            front.report(end, maybeRepeated, () -> onAcknowledged(rpc));
         } else {
-            front.report(end, repeated, () -> {
+            front.report(end, maybeRepeated, () -> {
                 MessageLog.reported(rpc.request());
                 journal.acknowledged(rpc.number());
             });
--- a/src/main/java/juniperusher/core/RoutedSubchannels.java
+++ b/src/main/java/juniperusher/core/RoutedSubchannels.java
@@ -26,8 +26,9 @@
     }
 
     @Override
-    public Call call(Target subchannel, List<RpcRequest> rpcs, double timeout, Clearance clearance, Results results) {
-        return subchannelsFor(subchannel).call(subchannel, rpcs, timeout, clearance, results);
+    public Call call(
+            Target subchannel, List<RpcRequest> rpcs, double timeoutSeconds, Clearance clearance, Results results) {
+        return subchannelsFor(subchannel).call(subchannel, rpcs, timeoutSeconds, clearance, results);
     }
 
     @Override
--- a/src/main/java/juniperusher/core/Subchannels.java
+++ b/src/main/java/juniperusher/core/Subchannels.java
@@ -12,7 +12,7 @@
      * @param timeout seconds for which the caller waits; the endpoint may be informed of it, but the caller ends the
      *     call
      */
-    Call call(Target subchannel, List<RpcRequest> rpcs, double timeout, Clearance clearance, Results results);
+    Call call(Target subchannel, List<RpcRequest> rpcs, double timeoutSeconds, Clearance clearance, Results results);
 
     /** Checks the health of an endpoint. */
     void probe(Target subchannel, Probed probed);
@@ -35,7 +35,7 @@
     /** Receives the results of a call. */
     interface Results {
         /** The RPC at index {@code place} of the call's list has ended. */
-        void ended(int place, CallResult result);
+        void ended(int index, CallResult result);
     }
 
     /** Receives the result of a probe. */
@@ -47,6 +47,6 @@
          * @param full whether it answered that it has no capacity left
          * @param elapsed duration of the probe in seconds
          */
-        void probed(boolean ok, boolean full, double elapsed);
+        void probed(boolean ok, boolean full, double elapsedSeconds);
     }
 }
