--- a/src/main/java/juniperusher/core/CallPreconditions.java
+++ b/src/main/java/juniperusher/core/CallPreconditions.java
@@ -11,7 +11,7 @@
  * established, takes effect through this class. Safe for threads.
  */
 final class CallPreconditions {
-    // so that a delay fits into the nanoseconds of System.nanoTime
+    // Bounds a delay so that it fits into the nanoseconds of System.nanoTime.
     private static final double MAX_DELAY_SECONDS = 1e6;
 
     private final Map<Integer, Long> delayedUntilNanos = new ConcurrentHashMap<>();
--- a/src/main/java/juniperusher/core/Companion.java
+++ b/src/main/java/juniperusher/core/Companion.java
@@ -13,7 +13,7 @@
      * Returns the events that the decision module receives instead of {@code events}. Events that answer an action of
      * this companion, such as the result of its own probe, may be left out.
      *
-     * @param now time of the round in seconds
+     * @param nowSeconds time of the round, on the clock of the decision loop
      */
     List<Event> before(double nowSeconds, List<Event> events);
 
@@ -31,7 +31,7 @@
     /**
      * Returns further actions, which are carried out after {@code actions}.
      *
-     * @param now time of the round in seconds
+     * @param nowSeconds time of the round, on the clock of the decision loop
      */
     List<Action> after(double nowSeconds, List<Action> actions);
 }
--- a/src/main/java/juniperusher/core/Front.java
+++ b/src/main/java/juniperusher/core/Front.java
@@ -11,7 +11,7 @@
     /**
      * Reports the end, repeatedly until the receiver acknowledges it, then runs {@code acknowledged} once.
      *
-     * @param again whether an earlier process may have reported it already
+     * @param maybeRepeated whether an earlier process may have reported it already
      */
     void report(RpcEnd end, boolean maybeRepeated, Runnable acknowledged);
 
--- a/src/main/java/juniperusher/core/MessageLog.java
+++ b/src/main/java/juniperusher/core/MessageLog.java
@@ -71,7 +71,7 @@
                 .log("attempt ended");
     }
 
-    /** The message has its end. */
+    /** The message has ended. */
     static void ended(Rpc rpc, RpcEnd end) {
         LOG.atDebug()
                 .addKeyValue("id", end.id())
--- a/src/main/java/juniperusher/core/OrderKeys.java
+++ b/src/main/java/juniperusher/core/OrderKeys.java
@@ -14,7 +14,7 @@
     private OrderKeys() {}
 
     /**
-     * Order key of a request, or 0 if its messages are not ordered.
+     * Returns the order key of a request, or 0 if its messages are not ordered.
      *
      * @param messageClass class of the request, null if it is unknown
      */
--- a/src/main/java/juniperusher/core/Subchannels.java
+++ b/src/main/java/juniperusher/core/Subchannels.java
@@ -9,8 +9,7 @@
      * Starts one call that carries all the RPCs. {@code clearance} is asked once, immediately before the first byte; if
      * it denies the call, nothing is sent. {@code results} receives the result of each RPC exactly once.
      *
-     * @param timeout seconds for which the caller waits; the endpoint may be informed of it, but the caller ends the
-     *     call
+     * @param timeoutSeconds how long the caller waits, for the endpoint's information; the caller ends the call itself
      */
     Call call(Target subchannel, List<RpcRequest> rpcs, double timeoutSeconds, Clearance clearance, Results results);
 
@@ -34,7 +33,7 @@
 
     /** Receives the results of a call. */
     interface Results {
-        /** The RPC at index {@code place} of the call's list has ended. */
+        /** The RPC at index {@code index} of the call's list has ended. */
         void ended(int index, CallResult result);
     }
 
@@ -45,7 +44,7 @@
          *
          * @param ok whether the endpoint answered in good health
          * @param full whether it answered that it has no capacity left
-         * @param elapsed duration of the probe in seconds
+         * @param elapsedSeconds duration of the probe
          */
         void probed(boolean ok, boolean full, double elapsedSeconds);
     }
--- a/src/test/java/juniperusher/core/JournalSegmentsTest.java
+++ b/src/test/java/juniperusher/core/JournalSegmentsTest.java
@@ -19,7 +19,7 @@
     }
 
     private static List<String> unfinishedIds(Path folder) throws IOException {
-        return Journal.read(folder).stream().map(owed -> owed.request().id()).toList();
+        return Journal.read(folder).stream().map(entry -> entry.request().id()).toList();
     }
 
     private static Path newestSegment(Path folder) throws IOException {
