--- a/src/main/java/juniperusher/clock/SteadyClock.java
+++ b/src/main/java/juniperusher/clock/SteadyClock.java
@@ -5,12 +5,12 @@
 import java.nio.file.Path;
 
 /**
- * Milliseconds for deadlines and windows that have to outlive a process. It begins at the wall clock's time and
- * then runs by the monotonic clock alone, so that a step of the wall clock moves no deadline. A process resumes the
- * clock of the one before by a {@link Mark} that it left: Linux's monotonic clock runs on over processes until the
- * machine starts again. Where that cannot be known, the wall clock decides.
+ * Clock for deadlines and time windows that have to survive a restart of the process. It is set from the wall clock
+ * once and then advances with the monotonic clock, so that a step of the wall clock moves no deadline. A process
+ * resumes the clock of its predecessor from a stored {@link Mark}: Linux's monotonic clock is shared by all processes
+ * until the machine reboots. If a reboot cannot be excluded, the clock is set from the wall clock again.
  *
- * <p>One clock for the process; safe for threads.
+ * <p>There is one clock per process. Thread-safe.
  */
 public final class SteadyClock {
     private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
@@ -20,11 +20,11 @@
     private static volatile Mark origin = new Mark(bootId(), System.nanoTime(), System.currentTimeMillis());
 
     /**
-     * One moment by both clocks.
+     * The same moment on both clocks. Immutable.
      *
-     * @param boot   identity of the machine's start, empty if it is not known
-     * @param nanos  of the monotonic clock
-     * @param millis of the steady clock
+     * @param boot   id of the machine's current boot, empty if it is unknown
+     * @param nanos  monotonic clock, as of {@link System#nanoTime}
+     * @param millis this clock, in milliseconds since the Unix epoch
      */
     public record Mark(String boot, long nanos, long millis) {}
 
@@ -34,41 +34,43 @@
         try {
             return Files.readString(BOOT_ID).strip();
         } catch (IOException | RuntimeException e) {
-            return ""; // no such system: the wall clock decides at each start
+            return ""; // not Linux: every process sets its clock from the wall clock
         }
     }
 
-    /** Milliseconds since the Unix epoch as the first process of the machine's start saw it. */
+    /** Milliseconds since the Unix epoch, by the wall clock at the time at which the clock was set. */
     public static long millis() {
-        Mark from = origin;
-        return from.millis() + (System.nanoTime() - from.nanos()) / NANOS_PER_MILLI;
+        Mark base = origin;
+        return base.millis() + (System.nanoTime() - base.nanos()) / NANOS_PER_MILLI;
     }
 
-    /** The same in microseconds. */
+    /** The time of {@link #millis} in microseconds. */
     public static long micros() {
-        Mark from = origin;
-        return from.millis() * (NANOS_PER_MILLI / NANOS_PER_MICRO)
-                + (System.nanoTime() - from.nanos()) / NANOS_PER_MICRO;
+        Mark base = origin;
+        return base.millis() * (NANOS_PER_MILLI / NANOS_PER_MICRO)
+                + (System.nanoTime() - base.nanos()) / NANOS_PER_MICRO;
     }
 
-    /** This moment to a whole millisecond of the clock, for the next process. */
+    /** The present moment, rounded down to a whole millisecond, to be stored for the next process. */
     public static Mark mark() {
-        Mark from = origin;
-        long passed = (System.nanoTime() - from.nanos()) / NANOS_PER_MILLI;
-        return new Mark(from.boot(), from.nanos() + passed * NANOS_PER_MILLI, from.millis() + passed);
+        Mark base = origin;
+        long elapsedMillis = (System.nanoTime() - base.nanos()) / NANOS_PER_MILLI;
+        return new Mark(base.boot(), base.nanos() + elapsedMillis * NANOS_PER_MILLI, base.millis() + elapsedMillis);
     }
 
     /**
-     * Goes on with the clock of an earlier process; whether it can. Guards against a machine that has started again
-     * since, whose monotonic clock began anew.
+     * Resumes the clock of an earlier process. This is only possible if the machine has not rebooted since, because its
+     * monotonic clock starts again at a reboot.
+     *
+     * @return whether the clock was resumed; otherwise it is unchanged
      */
     public static boolean resume(Mark earlier) {
-        boolean same = !earlier.boot().isEmpty()
+        boolean resumable = !earlier.boot().isEmpty()
                 && earlier.boot().equals(origin.boot())
                 && System.nanoTime() - earlier.nanos() >= 0;
-        if (same) {
+        if (resumable) {
             origin = earlier;
         }
-        return same;
+        return resumable;
     }
 }
--- a/src/main/java/juniperusher/clock/package-info.java
+++ b/src/main/java/juniperusher/clock/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The relay's clock: steady through steps of the wall clock, and over the processes of one start of the machine. It
- * knows nothing of the other packages.
+ * The relay's clock, which is unaffected by steps of the wall clock and continues over restarts of the process until
+ * the machine reboots. It depends on no other package.
  */
 package juniperusher.clock;
--- a/src/main/java/juniperusher/files/ReplacedFile.java
+++ b/src/main/java/juniperusher/files/ReplacedFile.java
@@ -8,27 +8,32 @@
 import java.nio.file.StandardCopyOption;
 
 /**
- * A file that is only ever replaced as a whole: it is written under a name of its own beside the target and
- * moved into place, so that a reader finds the old content or the new, never half of one. Several processes
- * may write at the same moment, the last move wins. Nothing is forced to disk.
+ * Atomic replacement of a file: the content is written to a temporary file in the same folder, which is then moved over
+ * the target, so a reader finds either the old or the new content. Processes may write concurrently, since the name
+ * of the temporary file contains the process id; the last move wins. Two threads of one process must not write the same
+ * file at once. The data is not synced to disk, so a crash of the machine may lose it.
  */
 public final class ReplacedFile {
     private ReplacedFile() {}
 
-    /** Replaces the target's content by the text in UTF-8. Before this returns, a reader finds it. */
+    /**
+     * Replaces the content of the target by the text in UTF-8. Readers see the new content once this returns.
+     *
+     * @throws IOException if the file cannot be written or moved; the target is then unchanged
+     */
     public static void write(Path target, String text) throws IOException {
-        long writer = ProcessHandle.current().pid();
-        Path beside = target.resolveSibling(target.getFileName() + ".new-" + writer);
+        long processId = ProcessHandle.current().pid();
+        Path temporary = target.resolveSibling(target.getFileName() + ".new-" + processId);
         try {
-            Files.writeString(beside, text, StandardCharsets.UTF_8);
+            Files.writeString(temporary, text, StandardCharsets.UTF_8);
         } catch (IOException e) {
-            Files.deleteIfExists(beside); // half of it would only take room
+            Files.deleteIfExists(temporary); // an incomplete file is of no use
             throw e;
         }
         try {
-            Files.move(beside, target, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(temporary, target, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (AtomicMoveNotSupportedException e) {
-            Files.move(beside, target, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(temporary, target, StandardCopyOption.REPLACE_EXISTING);
         }
     }
 }
--- a/src/main/java/juniperusher/files/package-info.java
+++ b/src/main/java/juniperusher/files/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Files that several processes or several lives of one process read. The door is
+ * Files that are shared between processes or read again after a restart. The entry point is
  * {@link juniperusher.files.ReplacedFile}.
  *
- * <p>Must not know: what the files hold, sockets, relays, the wire.
+ * <p>Must not depend on: the content of the files, sockets, relays, wire formats.
  */
 package juniperusher.files;
--- a/src/main/java/juniperusher/maintenance/Maintenance.java
+++ b/src/main/java/juniperusher/maintenance/Maintenance.java
@@ -12,82 +12,83 @@
 import org.pcollections.PMap;
 
 /**
- * The endpoints held out by the operators, by the id that discovery gives them. While held, an endpoint is
- * told to the module as draining, whatever discovery says of it; a gone one stays gone. The value never
- * changes: {@link #enter} and {@link #exit} give a new one.
+ * Set of the endpoints that operators have put under maintenance, by their ids at discovery. Such an endpoint is passed
+ * to the decision module as draining even if discovery lists it as ready; one that is gone stays gone. Immutable:
+ * {@link #enter} and {@link #exit} return a new value.
  */
 public final class Maintenance {
-    /** Nothing held. */
+    /** No endpoint under maintenance. */
     public static final Maintenance NONE = new Maintenance(new TreeSet<>());
 
-    private static final String HEAD = "juniperusher maintenance 1";
-    private static final String TAIL = "end";
+    private static final String HEADER = "juniperusher maintenance 1";
+    private static final String FOOTER = "end";
 
-    private final TreeSet<String> held;
+    private final TreeSet<String> endpointIds;
 
-    private Maintenance(TreeSet<String> held) {
-        this.held = held;
+    private Maintenance(TreeSet<String> endpointIds) {
+        this.endpointIds = endpointIds;
     }
 
-    /** This with {@code id} held; holding it twice is holding it once, so that one exit undoes both. */
+    /** Returns this set with {@code id}. Entering is idempotent, so a single exit undoes any number of entries. */
     public Maintenance enter(String id) {
-        TreeSet<String> more = new TreeSet<>(held);
-        more.add(id);
-        return new Maintenance(more);
+        TreeSet<String> extended = new TreeSet<>(endpointIds);
+        extended.add(id);
+        return new Maintenance(extended);
     }
 
-    /** This without {@code id}. */
+    /** Returns this set without {@code id}. */
     public Maintenance exit(String id) {
-        TreeSet<String> fewer = new TreeSet<>(held);
-        fewer.remove(id);
-        return new Maintenance(fewer);
+        TreeSet<String> reduced = new TreeSet<>(endpointIds);
+        reduced.remove(id);
+        return new Maintenance(reduced);
     }
 
-    /** Whether {@code id} is held. */
+    /** Whether {@code id} is under maintenance. */
     public boolean holds(String id) {
-        return held.contains(id);
+        return endpointIds.contains(id);
     }
 
-    /** The ids held, in order. */
+    /** The ids under maintenance in ascending order; unmodifiable. */
     public Set<String> held() {
-        return java.util.Collections.unmodifiableSet(held);
+        return java.util.Collections.unmodifiableSet(endpointIds);
     }
 
-    /** The snapshot that guards and the module go by: discovery's, with every held endpoint draining. */
-    public Snapshot over(Snapshot told) {
-        PMap<Integer, Endpoint> endpoints = told.endpoints();
-        for (Map.Entry<Integer, Endpoint> one : told.endpoints().entrySet()) {
-            Endpoint endpoint = one.getValue();
-            if (held.contains(endpoint.id()) && endpoint.target().phase() == Phase.READY) {
+    /** Returns the snapshot of discovery with every ready endpoint under maintenance changed to draining. */
+    public Snapshot over(Snapshot discovered) {
+        PMap<Integer, Endpoint> endpoints = discovered.endpoints();
+        for (Map.Entry<Integer, Endpoint> numbered : discovered.endpoints().entrySet()) {
+            Endpoint endpoint = numbered.getValue();
+            if (endpointIds.contains(endpoint.id()) && endpoint.target().phase() == Phase.READY) {
                 endpoints = endpoints.plus(
-                        one.getKey(),
+                        numbered.getKey(),
                         new Endpoint(endpoint.id(), draining(endpoint.target()), endpoint.address(), endpoint.since()));
             }
         }
-        return endpoints == told.endpoints()
-                ? told
+        return endpoints == discovered.endpoints()
+                ? discovered
                 : new Snapshot(
-                        told.serial(),
-                        told.source(),
-                        told.version(),
-                        told.confirmed(),
-                        told.toldAt(),
+                        discovered.serial(),
+                        discovered.source(),
+                        discovered.version(),
+                        discovered.confirmed(),
+                        discovered.toldAt(),
                         endpoints,
-                        told.destinations());
+                        discovered.destinations());
     }
 
-    /** A target as the module is to be told of it under this maintenance. */
+    /** Returns the target, changed to draining if it is ready and its endpoint {@code id} is under maintenance. */
     public Target over(String id, Target target) {
-        return held.contains(id) && target.phase() == Phase.READY ? draining(target) : target;
+        return endpointIds.contains(id) && target.phase() == Phase.READY ? draining(target) : target;
     }
 
     /**
-     * What the module is to be told when maintenance goes from {@code before} to this one over discovery's
-     * snapshot {@code told}: the targets whose phase changes, as they are now.
+     * Returns the targets whose phase differs between the maintenance {@code before} and this one, as they are now.
+     *
+     * @param discovered current snapshot of discovery, without maintenance applied
      */
-    public List<Target> changedFrom(Maintenance before, Snapshot told) {
+    public List<Target> changedFrom(Maintenance before, Snapshot discovered) {
         List<Target> changed = new ArrayList<>();
-        for (Endpoint endpoint : told.endpoints().values()) {
+        for (Endpoint endpoint : discovered.endpoints().values()) {
             Target now = over(endpoint.id(), endpoint.target());
             if (now.phase() != before.over(endpoint.id(), endpoint.target()).phase()) {
                 changed.add(now);
@@ -96,36 +97,40 @@
         return changed;
     }
 
-    /** Whether any endpoint of the snapshot has that id. */
-    public static boolean known(String id, Snapshot told) {
-        return told.endpoints().values().stream()
+    /** Whether the snapshot contains an endpoint with the id. */
+    public static boolean known(String id, Snapshot discovered) {
+        return discovered.endpoints().values().stream()
                 .anyMatch(endpoint -> endpoint.id().equals(id));
     }
 
-    /** The form in which the file keeps it: a head, one id a line, and a last line that says it is whole. */
+    /** Content of the maintenance file: a header line, one id per line, and a footer that marks it as complete. */
     public String text() {
-        StringBuilder out = new StringBuilder(HEAD).append('\n');
-        held.forEach(id -> out.append(id).append('\n'));
-        return out.append(TAIL).append('\n').toString();
+        StringBuilder out = new StringBuilder(HEADER).append('\n');
+        endpointIds.forEach(id -> out.append(id).append('\n'));
+        return out.append(FOOTER).append('\n').toString();
     }
 
-    /** Reads {@link #text()}; an {@link IllegalArgumentException} says what is wrong with it. */
+    /**
+     * Parses the result of {@link #text()}.
+     *
+     * @throws IllegalArgumentException if the text is incomplete or malformed
+     */
     public static Maintenance parse(String text) {
         List<String> lines = List.of(text.split("\n", -1));
         if (lines.size() < 3
-                || !lines.get(0).equals(HEAD)
-                || !lines.get(lines.size() - 2).equals(TAIL)
+                || !lines.get(0).equals(HEADER)
+                || !lines.get(lines.size() - 2).equals(FOOTER)
                 || !lines.get(lines.size() - 1).isEmpty()) {
-            throw new IllegalArgumentException("expected '" + HEAD + "', ids one a line, and '" + TAIL + "'");
+            throw new IllegalArgumentException("expected '" + HEADER + "', one id per line, and '" + FOOTER + "'");
         }
-        TreeSet<String> held = new TreeSet<>();
+        TreeSet<String> endpointIds = new TreeSet<>();
         for (String id : lines.subList(1, lines.size() - 2)) {
             if (id.isBlank()) {
-                throw new IllegalArgumentException("a blank line where an id was expected");
+                throw new IllegalArgumentException("blank line instead of an endpoint id");
             }
-            held.add(id);
+            endpointIds.add(id);
         }
-        return new Maintenance(held);
+        return new Maintenance(endpointIds);
     }
 
     private static Target draining(Target target) {
@@ -135,16 +140,16 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Maintenance that && that.held.equals(held);
+        return other instanceof Maintenance that && that.endpointIds.equals(endpointIds);
     }
 
     @Override
     public int hashCode() {
-        return held.hashCode();
+        return endpointIds.hashCode();
     }
 
     @Override
     public String toString() {
-        return "maintenance " + held;
+        return "maintenance " + endpointIds;
     }
 }
--- a/src/main/java/juniperusher/maintenance/MaintenanceFile.java
+++ b/src/main/java/juniperusher/maintenance/MaintenanceFile.java
@@ -7,22 +7,26 @@
 import juniperusher.files.ReplacedFile;
 
 /**
- * The maintenance in the folder that lasts, as the file {@code maintenance}. It is written whole beside and
- * moved over the old one, so that a reader (this process after a restart, or the other one at an upgrade)
- * finds the old or the new, never half of one.
+ * File {@code maintenance} in the persistent state folder, which stores a {@link Maintenance}. It is replaced
+ * atomically, so a reader (this process after a restart, or the other process during an upgrade) finds either the old
+ * or the new content and never a part.
  */
 public final class MaintenanceFile {
-    /** The file's name in the folder. */
+    /** File name in the folder. */
     public static final String NAME = "maintenance";
 
     private final Path folder;
 
-    /** The file in {@code folder}. */
+    /** Creates the file object for {@code folder}, which need not exist yet. */
     public MaintenanceFile(Path folder) {
         this.folder = folder;
     }
 
-    /** What the file holds; {@link Maintenance#NONE} where there is none. */
+    /**
+     * Reads the file; {@link Maintenance#NONE} if it does not exist.
+     *
+     * @throws IOException if the file cannot be read or its content is malformed
+     */
     public Maintenance read() throws IOException {
         try {
             return Maintenance.parse(Files.readString(folder.resolve(NAME)));
@@ -33,7 +37,7 @@
         }
     }
 
-    /** Writes it whole, then moves it into place: before this returns, a reader finds it. */
+    /** Replaces the file, creating the folder if need be. Readers see the new content once this returns. */
     public void write(Maintenance maintenance) throws IOException {
         Files.createDirectories(folder);
         ReplacedFile.write(folder.resolve(NAME), maintenance.text());
--- a/src/main/java/juniperusher/maintenance/package-info.java
+++ b/src/main/java/juniperusher/maintenance/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Endpoints that the operators hold out of service: which ones, and what the module is told of them in place
- * of discovery's word. The door is {@link juniperusher.maintenance.Maintenance}, a value that never changes;
- * {@link juniperusher.maintenance.MaintenanceFile} keeps it in the folder that lasts, so that a restart and a
- * second process at an upgrade find it.
+ * Endpoints that operators have taken out of service, and the phase that the decision module sees for them instead of
+ * discovery's. The entry point is {@link juniperusher.maintenance.Maintenance}, an immutable value;
+ * {@link juniperusher.maintenance.MaintenanceFile} stores it in the persistent state folder for a restart and for the
+ * second process during an upgrade.
  *
- * <p>Must not know: sockets, HTTP, the module's decisions, the journal of RPCs, threads.
+ * <p>Must not depend on: sockets, HTTP, the module's decisions, the journal of RPCs, threads.
  */
 package juniperusher.maintenance;
--- a/src/main/java/juniperusher/membership/Endpoint.java
+++ b/src/main/java/juniperusher/membership/Endpoint.java
@@ -4,11 +4,11 @@
 import juniperusher.Protocol.Target;
 
 /**
- * An endpoint as a snapshot has it.
+ * An endpoint in a {@link Snapshot}. Immutable.
  *
- * @param id      its name at the sources
- * @param target  its number and what the module is told of it
- * @param address where it is reached, or null if its subchannel knows by itself
- * @param since   when it came into its present phase, in seconds of the clock that events carry
+ * @param id      name of the endpoint at the sources; empty for a fixed endpoint that no source lists
+ * @param target  number, destination and phase of the endpoint, as the decision module receives them
+ * @param address network address, or null if the subchannel of the endpoint has its own address
+ * @param since   time at which the endpoint entered its present phase, in seconds of the events' clock
  */
 public record Endpoint(String id, Target target, InetSocketAddress address, double since) {}
--- a/src/main/java/juniperusher/membership/Entry.java
+++ b/src/main/java/juniperusher/membership/Entry.java
@@ -4,25 +4,27 @@
 import juniperusher.Protocol.Phase;
 
 /**
- * What one source says of one endpoint.
+ * One source's statement about one endpoint. Immutable.
  *
- * @param id          the endpoint's name, the same at every source
- * @param address     where it is reached from here, or null if the source did not say
- * @param destination number of the destination that it serves
- * @param kind        place of its kind in the settings
- * @param zone        place of its zone in the settings
- * @param weight      as the settings say, mostly a rate in calls a second
- * @param phase       what the source wants of it
+ * @param id          name of the endpoint, the same at every source
+ * @param address     network address as seen from this relay, or null if the source gives none
+ * @param destination number of the destination that the endpoint serves
+ * @param kind        index of the endpoint's kind in the settings
+ * @param zone        index of the endpoint's zone in the settings
+ * @param weight      weight in the unit that the settings define, usually a rate in calls per second
+ * @param phase       phase that the source requests for the endpoint
  */
 public record Entry(
         String id, InetSocketAddress address, int destination, int kind, int zone, double weight, Phase phase) {
-    /** The same endpoint, of which the source says no more. */
-    Entry gone() {
+    /** This entry with the phase {@code GONE}, for an endpoint that the source no longer lists. */
+    Entry asGone() {
         return new Entry(id, address, destination, kind, zone, weight, Phase.GONE);
     }
 
-    /** This word, at the address known before where it names none. */
-    Entry orAt(InetSocketAddress before) {
-        return address != null || before == null ? this : new Entry(id, before, destination, kind, zone, weight, phase);
+    /** This entry, with the given address if it has none of its own. */
+    Entry withDefaultAddress(InetSocketAddress defaultAddress) {
+        return address != null || defaultAddress == null
+                ? this
+                : new Entry(id, defaultAddress, destination, kind, zone, weight, phase);
     }
 }
--- a/src/main/java/juniperusher/membership/Membership.java
+++ b/src/main/java/juniperusher/membership/Membership.java
@@ -8,35 +8,47 @@
 import juniperusher.Protocol.TargetList;
 
 /**
- * The state machine of membership. One thread feeds it events, each with its time in seconds of a clock that
- * never goes back, and carries out the steps that each returns. Words on a watch that was left change
- * nothing. Words of a further source come by {@link #word}.
+ * State machine that maintains the list of endpoints from discovery and from additional sources. It performs no
+ * I/O: a single thread passes in events, each with its time in seconds of a monotonic clock, and carries out the
+ * returned steps in order. Data from an abandoned watch is ignored. Updates of additional sources arrive through
+ * {@link #word}. Not thread-safe.
  */
 public final class Membership {
-    /** The name of discovery among the sources. */
+    /** Source name of discovery. */
     public static final String DISCOVERY = "discovery";
 
-    private final Roster roster;
-    private final Watch watch;
-    private String at = "none";
-    private double heardAt;
-
-    /** Made of its times, the names of further sources, which rank behind discovery, and a seed. */
-    public Membership(Timing timing, List<String> further, long seed) {
+    private final EndpointRegistry registry;
+    private final DiscoveryWatch watch;
+    private String discoveryAddress = "none";
+    private double lastDataAt;
+
+    /**
+     * Creates a membership without endpoints.
+     *
+     * @param timing  timeouts and backoffs of the watch on discovery
+     * @param further names of additional sources in descending rank; discovery ranks above all of them
+     * @param seed    seed of the jitter of backoffs
+     */
+    public Membership(Timing timing, List<String> additionalSources, long seed) {
         List<String> sources = new ArrayList<>(List.of(DISCOVERY));
-        sources.addAll(further);
-        roster = new Roster(sources, timing.memory());
-        watch = new Watch(timing, new SplittableRandom(seed));
+        sources.addAll(additionalSources);
+        registry = new EndpointRegistry(sources, timing.goneRetentionSeconds());
+        watch = new DiscoveryWatch(timing, new SplittableRandom(seed));
     }
 
-    /** What was known before discovery says anything: an old list of its own, and endpoints that stay. */
-    public Snapshot known(Update old, List<Target> fixed, double now) {
-        roster.fixed(fixed, now);
-        heardAt = now;
-        return roster.apply(DISCOVERY, old, "known", false, now).snapshot();
+    /**
+     * Sets the initial state, before discovery has answered.
+     *
+     * @param old   list of discovery that an earlier process has saved; it may be empty
+     * @param fixed targets that no source lists and that stay as they are
+     */
+    public Snapshot known(Update savedList, List<Target> fixedTargets, double now) {
+        registry.addFixedTargets(fixedTargets, now);
+        lastDataAt = now;
+        return registry.apply(DISCOVERY, savedList, "known", false, now).snapshot();
     }
 
-    /** The whole of a snapshot, as the module is told it first. */
+    /** All targets of a snapshot in the order of their numbers, as the initial list for the decision module. */
     public static TargetList whole(Snapshot snapshot) {
         return new TargetList(
                 true,
@@ -46,86 +58,91 @@
                         .toList());
     }
 
-    /** Discovery is at this address, at the start and whenever it has moved. */
+    /** Sets the address of discovery, at the start and whenever it changes; an open watch is abandoned. */
     public List<Step> moved(InetSocketAddress address, double now) {
-        at = address.getAddress() == null
+        discoveryAddress = address.getAddress() == null
                 ? address.toString()
                 : address.getAddress().getHostAddress() + ':' + address.getPort();
-        return watch.moved(address, now);
+        return watch.addressChanged(address, now);
     }
 
-    /** Bytes came on a watch, be they an empty line. */
-    public List<Step> heard(int number, double now) {
-        if (watch.heard(number, now)) {
-            heardAt = now;
+    /** Data has arrived on a watch; an empty line counts. */
+    public List<Step> heard(int watchNumber, double now) {
+        if (watch.dataReceived(watchNumber, now)) {
+            lastDataAt = now;
         }
         return List.of();
     }
 
-    /** A watch has told something that could be read. */
-    public List<Step> told(int number, Update update, double now) {
-        if (!watch.heard(number, now) || !watch.counts(number, update.version())) {
+    /** A readable update has arrived on a watch. */
+    public List<Step> told(int watchNumber, Update update, double now) {
+        if (!watch.dataReceived(watchNumber, now) || !watch.accepts(watchNumber, update.version())) {
             return List.of();
         }
-        heardAt = now;
-        List<Step> steps = publish(roster.apply(DISCOVERY, update, at, true, now));
-        steps.addAll(watch.told(number, update.version(), now));
+        lastDataAt = now;
+        List<Step> steps = publish(registry.apply(DISCOVERY, update, discoveryAddress, true, now));
+        steps.addAll(watch.updateApplied(watchNumber, update.version(), now));
         return steps;
     }
 
-    /** A watch has told something that could not be read: the whole list is fetched beside it. */
-    public List<Step> damaged(int number, double now) {
-        return watch.damaged(number, now);
+    /** Unreadable data has arrived on a watch; the full list is fetched while the watch continues. */
+    public List<Step> damaged(int watchNumber, double now) {
+        return watch.unreadableDataReceived(watchNumber, now);
     }
 
-    /** Discovery refused a watch for want of room, and told to wait so many seconds, 0 for none. */
-    public List<Step> turnedAway(int number, double told, double now) {
-        return watch.turnedAway(number, told, now);
+    /** Discovery has refused a watch as overloaded, with a retry-after delay in seconds, 0 if it gave none. */
+    public List<Step> turnedAway(int watchNumber, double retryAfterSeconds, double now) {
+        return watch.refused(watchNumber, retryAfterSeconds, now);
     }
 
-    /** A watch has ended, for whatever reason. */
-    public List<Step> ended(int number, double now) {
-        return watch.ended(number, now);
+    /** A watch has ended for any reason. */
+    public List<Step> ended(int watchNumber, double now) {
+        return watch.ended(watchNumber, now);
     }
 
-    /** A further source has said something. */
+    /**
+     * An additional source has sent an update.
+     *
+     * @throws IllegalArgumentException if the source is unknown
+     */
     public List<Step> word(String source, Update update, double now) {
-        return publish(roster.apply(source, update, source, roster.snapshot().confirmed(), now));
+        return publish(
+                registry.apply(source, update, source, registry.snapshot().confirmed(), now));
     }
 
-    /** Time has passed; to be called at {@link #due} at the latest. */
+    /** Opens and replaces watches whose time has come; has to be called no later than {@link #due}. */
     public List<Step> tick(double now) {
         return watch.tick(now);
     }
 
-    /** The end: no watch is opened any more. */
+    /** Abandons all watches; no further watch is opened. */
     public List<Step> stop() {
         return watch.stop();
     }
 
-    private List<Step> publish(Roster.Change change) {
+    private List<Step> publish(EndpointRegistry.Change change) {
         List<Step> steps = new ArrayList<>();
-        steps.add(new Step.Publish(change.snapshot(), change.told(), change.left()));
+        steps.add(new Step.Publish(change.snapshot(), change.changedTargets(), change.vacatedEndpoints()));
         return steps;
     }
 
-    /** The state in force. */
+    /** The current state. */
     public Snapshot snapshot() {
-        return roster.snapshot();
+        return registry.snapshot();
     }
 
-    /** When discovery was last heard, be it an empty line, in seconds of the events' clock. */
+    /** Time at which data of discovery last arrived, in seconds of the events' clock; an empty line counts. */
     public double heardAt() {
-        return heardAt;
+        return lastDataAt;
     }
 
-    /** The watch in force, 0 for none. */
+    /** Number of the current watch, 0 for none. */
     public int watch() {
-        return watch.inForce();
+        return watch.current();
     }
 
-    /** When {@link #tick} has something to do next. */
+    /** Time of the next {@link #tick}, in seconds of the events' clock. */
     public double due() {
-        return watch.due();
+        return watch.nextTickAt();
     }
 }
--- a/src/main/java/juniperusher/membership/Snapshot.java
+++ b/src/main/java/juniperusher/membership/Snapshot.java
@@ -9,16 +9,17 @@
 import org.pcollections.PSet;
 
 /**
- * The resolver result at one moment. It never changes: a reader that holds one sees one whole state, and the
- * next state shares most of its structure.
+ * Resolver result at one moment. Immutable, so a reader always sees a consistent state; successive snapshots share
+ * most of their structure.
  *
- * @param serial       grows by one with each snapshot of this process
- * @param source       address of the discovery that said so last, or what else it comes from
- * @param version      the source's own number of its state
- * @param confirmed    whether the source in force has said so, not one before it or a file
- * @param toldAt       when a source last changed or confirmed it, in seconds of the clock that events carry
- * @param endpoints    by number; one that is gone stays for a while, since calls may still be out to it
- * @param destinations every destination that was ever named
+ * @param serial       number of the snapshot in this process, increased by one with each
+ * @param source       origin of the last update: address of discovery, name of another source, or {@code known} for
+ *                     the saved list
+ * @param version      version of its state that the source stated last
+ * @param confirmed    whether discovery has confirmed the list in this process, as opposed to a saved list
+ * @param toldAt       time of the last update from a source, in seconds of the events' clock
+ * @param endpoints    endpoints by number; one that is gone is kept for a while, since calls to it may be in flight
+ * @param destinations all destinations that were ever listed
  */
 public record Snapshot(
         long serial,
@@ -28,29 +29,29 @@
         double toldAt,
         PMap<Integer, Endpoint> endpoints,
         PSet<Integer> destinations) {
-    /** Before any source has said anything. */
+    /** The state before any update. */
     public static final Snapshot EMPTY =
             new Snapshot(0, "none", 0, false, 0, HashTreePMap.empty(), HashTreePSet.empty());
 
-    /** The endpoint of that number as the module knows it, or null. */
+    /** The endpoint of this number as the decision module sees it, or null if there is none. */
     public Target target(int number) {
         Endpoint endpoint = endpoints.get(number);
         return endpoint == null ? null : endpoint.target();
     }
 
-    /** Where the endpoint is reached, or null. */
+    /** Network address of the endpoint, or null if it is unknown. */
     public InetSocketAddress address(int number) {
         Endpoint endpoint = endpoints.get(number);
         return endpoint == null ? null : endpoint.address();
     }
 
-    /** Whether something new may go to the endpoint, as far as membership is concerned. */
+    /** Whether the endpoint serves the destination and accepts new calls by its phase; health is not considered. */
     public boolean ready(int number, int destination) {
         Target target = target(number);
         return target != null && target.phase() == Phase.READY && target.destination() == destination;
     }
 
-    /** How many endpoints are in the phase. */
+    /** Number of endpoints in the phase. */
     public int count(Phase phase) {
         return (int) endpoints.values().stream()
                 .filter(one -> one.target().phase() == phase)
--- a/src/main/java/juniperusher/membership/Step.java
+++ b/src/main/java/juniperusher/membership/Step.java
@@ -4,17 +4,28 @@
 import java.util.List;
 import juniperusher.Protocol.TargetList;
 
-/** Something that the adapter is to do; steps are carried out in their order. */
+/** Instruction of {@link Membership} to its adapter, which carries out steps in their order. */
 public sealed interface Step {
-    /** Open a watch: ask for the whole list once, or for all that changes after {@code index}. */
+    /**
+     * Open a watch.
+     *
+     * @param watch   number of the watch, unique in this process
+     * @param address address of discovery
+     * @param whole   request the full list once; otherwise request a stream of changes
+     * @param index   version of the list after which changes are requested
+     */
     record Open(int watch, InetSocketAddress address, boolean whole, long index) implements Step {}
 
-    /** Close the watch; nothing that it still says counts. */
+    /** Close the watch; data that still arrives on it is ignored. */
     record Abandon(int watch) implements Step {}
 
     /**
-     * The resolver result has changed: put the snapshot in force, then tell the module what is different in
-     * it, then close idle connections to the places that were left.
+     * Publish a new resolver result: make the snapshot current, then pass the changed targets to the decision
+     * module, then close idle connections to former addresses.
+     *
+     * @param snapshot the new state
+     * @param told     targets that are new or have changed
+     * @param left     former endpoints that are gone or have moved
      */
     record Publish(Snapshot snapshot, TargetList told, List<Endpoint> left) implements Step {}
 }
--- a/src/main/java/juniperusher/membership/Timing.java
+++ b/src/main/java/juniperusher/membership/Timing.java
@@ -1,31 +1,45 @@
 package juniperusher.membership;
 
 /**
- * Times of the watch, in seconds. A change counts as told {@link #CLOCK} after discovery had it and could be
- * reached, whatever became of the calls to it. So no pause and no patience with silence may be longer than
- * that, nor one of each behind the other; and what a silent watch misses counts from its last byte, so the
- * times from there to the third try have to stay under it too: {@code silent} and three times {@code
- * silentFirst}.
+ * Timeouts and backoffs of the watch on discovery, in seconds. The platform assumes that a relay knows a change
+ * {@link #NOTIFICATION_LIMIT_SECONDS} after discovery has it and is reachable, even if calls to discovery fail.
+ * Therefore no backoff and no silence timeout may exceed that limit, and neither may the sum of one of each. A silent
+ * watch may have missed changes since its last byte, so the time from that byte to the third attempt has to stay below
+ * the limit as well: one silence timeout and three first-byte timeouts.
  *
- * @param silent      without even an empty line, due every 2 s, a watch is broken and asked for anew
- * @param silentFirst the same before the first byte of an answer, whose head an agent sends at once; doubled
- *                    each time that none comes, and never longer than {@code silent}
- * @param again       base of the first pause before a watch that was refused or lost is opened anew; it
- *                    doubles with each failure in a row
- * @param most        the pause is never longer where discovery refuses, the wait that it tells included, or
- *                    tells what cannot be read
- * @param mostLost    the base is never longer where the watch has ended, so that a return is found soon
- * @param memory      for which an endpoint that is gone is remembered; no call is out to it after that
+ * @param silenceTimeoutSeconds time without data after which a watch is considered broken; discovery sends at least an
+ *     empty line every 2 s
+ * @param firstByteTimeoutSeconds the same until the first byte of an answer, whose header an agent sends immediately;
+ *     it is doubled each time that no byte arrives, up to the silence timeout
+ * @param firstBackoffSeconds base of the first backoff before a refused or lost watch is reopened; it doubles with each
+ *     consecutive failure
+ * @param maxBackoffSeconds upper bound of the backoff after a refusal, including the retry-after delay, or after
+ *     unreadable data
+ * @param maxBackoffAfterEndSeconds upper bound of the backoff after a watch has ended; it is short so that a recovery
+ *     of discovery is noticed soon
+ * @param goneRetentionSeconds time for which an endpoint that is gone is kept; no call to it is in flight after that
  */
-public record Timing(double silent, double silentFirst, double again, double most, double mostLost, double memory) {
-    /** Seconds after which what discovery has to tell counts as told. */
-    public static final double CLOCK = 6;
-    /** What fits the platform's agent. */
+public record Timing(
+        double silenceTimeoutSeconds,
+        double firstByteTimeoutSeconds,
+        double firstBackoffSeconds,
+        double maxBackoffSeconds,
+        double maxBackoffAfterEndSeconds,
+        double goneRetentionSeconds) {
+    /** Seconds after which the platform assumes that a relay knows a change of the list. */
+    public static final double NOTIFICATION_LIMIT_SECONDS = 6;
+    /** Defaults for the platform's discovery agent. */
     public static final Timing USUAL = new Timing(2.9, 0.9, 0.5, 2.4, 1, 30);
 
     public Timing {
-        if (!(silent > 0 && silentFirst > 0 && again > 0 && most >= again && mostLost >= again && memory >= 0)) {
-            throw new IllegalArgumentException("times of the watch must be above 0");
+        if (!(silenceTimeoutSeconds > 0
+                && firstByteTimeoutSeconds > 0
+                && firstBackoffSeconds > 0
+                && maxBackoffSeconds >= firstBackoffSeconds
+                && maxBackoffAfterEndSeconds >= firstBackoffSeconds
+                && goneRetentionSeconds >= 0)) {
+            throw new IllegalArgumentException(
+                    "times of the watch must be above 0, and each backoff bound at least the first backoff");
         }
     }
 }
--- a/src/main/java/juniperusher/membership/Update.java
+++ b/src/main/java/juniperusher/membership/Update.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 
 /**
- * One word of a source, taken as a whole or not at all.
+ * Update of the endpoint list from one source, applied completely or not at all. Immutable.
  *
- * @param whole   it names every endpoint that the source has; what it leaves out is gone
- * @param version the source's own number for the state that it describes
- * @param entries the endpoints that it names; of one named twice the last counts
- * @param unread  ids that it names without saying anything readable: for these its last word stands
+ * @param whole   whether it is the full list of the source; endpoints that are not in it are gone
+ * @param version version of the list that the source assigned to the resulting state
+ * @param entries listed endpoints; if an id occurs more than once, the last entry counts
+ * @param unread  ids of listed endpoints whose entry could not be read; their previous entry stays valid
  */
 public record Update(boolean whole, long version, List<Entry> entries, Set<String> unread) {
     public Update {
--- a/src/main/java/juniperusher/membership/package-info.java
+++ b/src/main/java/juniperusher/membership/package-info.java
@@ -1,12 +1,9 @@
 /**
- * Which endpoints there are and what is true of each just now. Owns the word of every source of endpoints,
- * the
- * numbers that endpoints go by, the watch on discovery (when it is opened, given up and opened again) and the
- * snapshot that all readers share. The door is {@link juniperusher.membership.Membership}: it is given events
- * with their time and gives steps to carry out.
+ * Endpoints of all destinations and their phases. Owns the entries of every source, the numbers of endpoints, the
+ * watch on discovery (when it is opened, abandoned and reopened) and the snapshot that all readers share. The entry
+ * point is {@link juniperusher.membership.Membership}: it receives events with their time and returns steps.
  *
- * <p>Must not know: sockets, threads, clocks, JSON, the configuration, the module's decisions, health.
- * Reading
- * what a source sends and carrying out steps is the part of the adapter, {@code http.Resolver} for discovery.
+ * <p>Must not depend on: sockets, threads, clocks, JSON, the configuration, the decision module's decisions, health.
+ * An adapter parses the data of a source and carries out the steps; for discovery it is {@code http.Resolver}.
  */
 package juniperusher.membership;
--- a/src/main/java/juniperusher/ownership/Holding.java
+++ b/src/main/java/juniperusher/ownership/Holding.java
@@ -4,13 +4,13 @@
 import juniperusher.store.Request;
 
 /**
- * That a process owns a thing.
+ * Ownership of a resource by one process. Immutable.
  *
- * @param key   the thing's key in the store
- * @param token the revision at which the holder's key came to be: any later holding has a greater one
+ * @param key   key of the resource in the store
+ * @param token fencing token: the revision at which the holder created the key; every later holding has a greater one
  */
 public record Holding(String key, long token) {
-    /** The transaction, done only while this holding is the thing's present one. */
+    /** Returns the transaction with the condition that this holding is still current at the store. */
     public Request.Txn fence(Request.Txn txn) {
         return txn.onlyIf(Compare.created(key, token));
     }
--- a/src/main/java/juniperusher/ownership/Lease.java
+++ b/src/main/java/juniperusher/ownership/Lease.java
@@ -12,238 +12,256 @@
 import juniperusher.store.Request;
 
 /**
- * One process's claim to one thing. The holder counts its lease from before its last renewal was sent, less a
- * margin: the store counts from when it heard of it, which is later. So the holder's own time is over first,
- * whatever was lost on the way, however late an answer comes and however long the process stood still. When
- * it is over the
- * holding is in doubt: nothing is begun, and only the store's word brings it back or ends it. That a lease
- * ended
- * early, by the store's fault, no clock can tell; there the token alone protects, see {@link Holding}.
+ * State machine by which one process acquires and keeps the ownership of one resource. It performs no I/O: the caller
+ * passes in events with their time and carries out the returned steps. Not thread-safe.
+ *
+ * <p>The holder counts its lease from the sending of the last renewal, less a margin, while the store counts from the
+ * receipt, which is later. The lease therefore ends first at the holder, even if messages are lost, an answer is late
+ * or the process is suspended. Then the holding is uncertain: no action may be begun, and only an answer or a watch of
+ * the store restores or ends the holding. If the store ends a lease too early by a fault, the holder cannot detect it
+ * by its clock; only the fencing token protects against that, see {@link Holding}.
  */
 public final class Lease {
-    /** What the process may do: nothing yet, act as the owner, only ask, nothing any more. */
+    /** Whether the process owns the resource. */
     public enum State {
+        /** Ownership was never requested. */
         IDLE,
-        ASKING,
+        /** Ownership is requested and another process may have it. */
+        ACQUIRING,
+        /** The process owns the resource until its lease ends. */
         HOLDING,
-        DOUBTFUL,
+        /** The lease has ended by the clock of this process; the store has not yet confirmed or ended the holding. */
+        UNCERTAIN,
+        /** The holding has ended or was released. */
         LOST
     }
 
     private static final double NEVER = Double.POSITIVE_INFINITY;
-    private static final int MOST_LATE = 8; // requests whose late answers still count
+    private static final int MAX_TRACKED_REQUESTS = 8; // requests whose late answers are still processed
 
     private final Terms terms;
     private final String key;
-    private final String name; // of this life of the process: another life is another holder
+    private final String holderName; // unique to this process; a restarted process has another name
     private final SplittableRandom random;
     private State state = State.IDLE;
-    private long lease; // 0 for none
+    private long leaseId; // 0 for none
     private Holding holding; // or null
-    private double validUntil; // by this process's clock
-    private int asked; // the number of the request that is waited for, 0 for none
-    private int last;
-    private double sentAt; // the last one
-    private final Map<Integer, Asked> out = new LinkedHashMap<>(); // all whose answers still count
-    private double nextAt = NEVER; // when something is to be asked
+    private double validUntil;
+    private int awaitedRequest; // number of the request whose answer is awaited, 0 for none
+    private int lastRequest;
+    private double lastSentAt;
+    private final Map<Integer, SentRequest> trackedRequests = new LinkedHashMap<>(); // by number, oldest first
+    private double nextRequestAt = NEVER;
     private boolean released;
     private double now = Double.NEGATIVE_INFINITY;
 
-    /** A request, when it was sent and under which lease. */
-    private record Asked(Request request, double at, long lease) {}
+    /** A request, the time of its sending and the lease at that time. */
+    private record SentRequest(Request request, double sentAt, long leaseId) {}
 
-    /** A claim to the thing under {@code key} by a holder of that name, which no other process ever has. */
-    public Lease(Terms terms, String key, String name, long seed) {
+    /**
+     * Creates a lease in the state IDLE.
+     *
+     * @param key        key of the resource in the store
+     * @param holderName name of the holder; no other process, and no restart of this one, may use the same
+     * @param seed       seed of the jitter of backoffs
+     */
+    public Lease(Terms terms, String key, String holderName, long seed) {
         this.terms = terms;
         this.key = key;
-        this.name = name;
+        this.holderName = holderName;
         random = new SplittableRandom(seed);
     }
 
-    /** The process wants the thing from now on, also again after it was lost. */
+    /** Starts to acquire the resource, if need be again after it was lost. */
     public List<Step> want(double time) {
         if (state == State.IDLE || state == State.LOST) {
-            state = State.ASKING;
+            state = State.ACQUIRING;
             released = false;
-            lease = 0;
+            leaseId = 0;
             holding = null;
-            asked = 0;
-            out.clear();
-            nextAt = time;
+            awaitedRequest = 0;
+            trackedRequests.clear();
+            nextRequestAt = time;
         }
         return tick(time);
     }
 
-    /**
-     * The process wants it no more: from now on nothing is begun, and the store is told, once if it hears.
-     */
+    /** Gives up the resource. A revocation of the lease is sent once; if it is lost, the lease ends by its ttl. */
     public List<Step> release(double time) {
-        pass(time);
+        advanceClock(time);
         List<Step> steps = new ArrayList<>();
         if (state != State.IDLE && state != State.LOST) {
-            lose(steps);
+            endHolding(steps);
             released = true;
-            if (lease != 0) {
-                ask(new Request.Revoke(lease), steps);
+            if (leaseId != 0) {
+                send(new Request.Revoke(leaseId), steps);
             }
         }
         return steps;
     }
 
-    /** Whether something may be begun as the owner, now. To be asked just before each thing that binds. */
+    /** Whether the process may act as the owner at this time. Has to be checked right before each binding action. */
     public boolean holds(double time) {
         return state == State.HOLDING && time < validUntil;
     }
 
-    /** The store has answered the request of that number, late perhaps: it counts from its own sending. */
+    /**
+     * Processes the store's answer to the request of that number. A late answer renews the lease from the time at which
+     * its own request was sent.
+     */
     public List<Step> answered(int number, Reply reply, double time) {
-        pass(time);
+        advanceClock(time);
         List<Step> steps = new ArrayList<>();
-        Asked to = out.remove(number);
-        asked = number == asked ? 0 : asked;
-        if (to == null || released || to.lease() != lease) {
-            return steps; // of an earlier claim, or of a lease that was given up
+        SentRequest request = trackedRequests.remove(number);
+        awaitedRequest = number == awaitedRequest ? 0 : awaitedRequest;
+        if (request == null || released || request.leaseId() != leaseId) {
+            return steps; // of an earlier acquisition or an abandoned lease
         }
         if (reply instanceof Reply.NoLease) {
-            lose(steps); // the store says that it is over; others may have the thing
-            state = State.ASKING;
-            lease = 0;
-            nextAt = time + pause();
+            endHolding(steps); // the lease has ended; another process may own the resource
+            state = State.ACQUIRING;
+            leaseId = 0;
+            nextRequestAt = time + backoff();
         } else if (reply instanceof Reply.Leased leased) {
-            renewed(leased, to.at(), time, steps);
+            leaseRenewed(leased, request.sentAt(), time, steps);
         } else if (reply instanceof Reply.Done done && holding == null) {
-            claimed(done, time, steps);
+            claimAnswered(done, time, steps);
         }
         steps.addAll(tick(time));
         return steps;
     }
 
-    private void renewed(Reply.Leased leased, double sent, double time, List<Step> steps) {
-        lease = leased.lease();
-        validUntil = Math.max(validUntil, sent + leased.ttl() - terms.margin());
+    private void leaseRenewed(Reply.Leased leased, double requestSentAt, double time, List<Step> steps) {
+        leaseId = leased.lease();
+        validUntil = Math.max(validUntil, requestSentAt + leased.ttl() - terms.margin());
         if (holding == null) {
-            nextAt = time; // the thing itself
+            nextRequestAt = time; // claim the resource with the new lease
             return;
         }
-        nextAt = sent + terms.renew();
-        if (state == State.DOUBTFUL && time < validUntil) {
-            state = State.HOLDING; // the lease never ended, so the key still stands
+        nextRequestAt = requestSentAt + terms.renewIntervalSeconds();
+        if (state == State.UNCERTAIN && time < validUntil) {
+            state = State.HOLDING; // the lease has not ended at the store, so the key still exists
             steps.add(new Step.Held(holding));
         }
     }
 
-    private void claimed(Reply.Done done, double time, List<Step> steps) {
+    private void claimAnswered(Reply.Done done, double time, List<Step> steps) {
         long token = done.revision();
         if (!done.succeeded()) {
-            List<Entry> found = done.reads().get(0);
-            Entry entry = found.isEmpty() ? null : found.get(0);
-            if (entry == null || !entry.value().equals(name) || entry.lease() != lease) {
-                nextAt = time + pause(); // another's, or an earlier life's: it ends with its lease
+            List<Entry> storedEntries = done.reads().get(0);
+            Entry entry = storedEntries.isEmpty() ? null : storedEntries.get(0);
+            if (entry == null || !entry.value().equals(holderName) || entry.lease() != leaseId) {
+                nextRequestAt =
+                        time + backoff(); // held by another process or an earlier run of this one, until its lease ends
                 return;
             }
-            token = entry.created(); // our own, of which the answer was lost
+            token = entry.created(); // claimed by a request of ours whose answer was lost
         }
         holding = new Holding(key, token);
-        nextAt = sentAt + terms.renew();
-        state = time < validUntil ? State.HOLDING : State.DOUBTFUL;
+        nextRequestAt = lastSentAt + terms.renewIntervalSeconds();
+        state = time < validUntil ? State.HOLDING : State.UNCERTAIN;
         steps.add(state == State.HOLDING ? new Step.Held(holding) : new Step.Doubted(holding));
     }
 
     /**
-     * The store's watch tells that the thing's key of that creation stands, or has gone: ahead of any
-     * answer, or long after it. What it says of a key before this holding's changes nothing.
+     * Processes a change of the key that the watch on the store reports; it may arrive before or long after the answers
+     * to requests. A report of a key older than the one of this holding has no effect.
+     *
+     * @param exists          whether the key exists, as opposed to deleted
+     * @param createdRevision revision at which that key was created
      */
-    public List<Step> changed(boolean stands, long created, double time) {
-        pass(time);
+    public List<Step> changed(boolean exists, long createdRevision, double time) {
+        advanceClock(time);
         List<Step> steps = new ArrayList<>();
-        if (holding != null && (stands ? created > holding.token() : created == holding.token())) {
-            lose(steps);
-            state = State.ASKING;
-            nextAt = time;
-        } else if (holding == null && state == State.ASKING && !stands && asked == 0) {
-            nextAt = Math.min(nextAt, time); // it is free
+        if (holding != null && (exists ? createdRevision > holding.token() : createdRevision == holding.token())) {
+            endHolding(steps);
+            state = State.ACQUIRING;
+            nextRequestAt = time;
+        } else if (holding == null && state == State.ACQUIRING && !exists && awaitedRequest == 0) {
+            nextRequestAt = Math.min(nextRequestAt, time); // the resource is free
         }
         steps.addAll(tick(time));
         return steps;
     }
 
-    /** Time has passed; to be called at {@link #due} at the latest, and before each {@link #holds}. */
+    /** Updates the state to the time; has to be called no later than {@link #due}, and before each {@link #holds}. */
     public List<Step> tick(double time) {
-        pass(time);
+        advanceClock(time);
         List<Step> steps = new ArrayList<>();
         if (state == State.HOLDING && now >= validUntil) {
-            state = State.DOUBTFUL;
+            state = State.UNCERTAIN;
             steps.add(new Step.Doubted(holding));
         }
-        if (asked != 0 && now >= sentAt + terms.patience()) {
-            asked = 0; // lost, or late: what it did is found out by asking again
-            nextAt = released ? NEVER : now;
+        if (awaitedRequest != 0 && now >= lastSentAt + terms.requestTimeoutSeconds()) {
+            awaitedRequest = 0; // lost or late; the next request finds out whether it took effect
+            nextRequestAt = released ? NEVER : now;
         }
-        if (asked == 0 && !released && now >= nextAt && state != State.IDLE && state != State.LOST) {
-            ask(next(), steps);
+        if (awaitedRequest == 0 && !released && now >= nextRequestAt && state != State.IDLE && state != State.LOST) {
+            send(nextRequest(), steps);
         }
         return steps;
     }
 
-    private Request next() {
-        if (lease == 0) {
+    private Request nextRequest() {
+        if (leaseId == 0) {
             validUntil = Double.NEGATIVE_INFINITY;
             return new Request.Grant(terms.ttl());
         }
-        // A lease that is about to end is renewed first: the thing would end with it.
-        if (holding != null || now >= validUntil - terms.renew()) {
-            return new Request.KeepAlive(lease);
+        // A lease that is about to end is renewed before the claim, since the key would be deleted with it.
+        if (holding != null || now >= validUntil - terms.renewIntervalSeconds()) {
+            return new Request.KeepAlive(leaseId);
         }
         return new Request.Txn(
                 List.of(Compare.created(key, 0)),
-                List.of(new Op.Put(key, name, lease)),
+                List.of(new Op.Put(key, holderName, leaseId)),
                 List.of(new Op.Read(key, false)));
     }
 
-    private void ask(Request next, List<Step> steps) {
-        asked = ++last;
-        sentAt = now;
-        out.put(asked, new Asked(next, now, lease));
-        if (out.size() > MOST_LATE) {
-            out.remove(out.keySet().iterator().next());
+    private void send(Request request, List<Step> steps) {
+        awaitedRequest = ++lastRequest;
+        lastSentAt = now;
+        trackedRequests.put(awaitedRequest, new SentRequest(request, now, leaseId));
+        if (trackedRequests.size() > MAX_TRACKED_REQUESTS) {
+            trackedRequests.remove(trackedRequests.keySet().iterator().next());
         }
-        nextAt = NEVER;
-        steps.add(new Step.Ask(asked, next));
+        nextRequestAt = NEVER;
+        steps.add(new Step.Ask(awaitedRequest, request));
     }
 
-    private void lose(List<Step> steps) {
+    private void endHolding(List<Step> steps) {
         if (holding != null) {
             steps.add(new Step.Lost(holding));
         }
         holding = null;
         state = State.LOST;
         validUntil = Double.NEGATIVE_INFINITY;
-        nextAt = NEVER;
+        nextRequestAt = NEVER;
     }
 
-    private double pause() {
-        return terms.again() / 2 + random.nextDouble() * terms.again() / 2;
+    private double backoff() {
+        return terms.retryBackoffSeconds() / 2 + random.nextDouble() * terms.retryBackoffSeconds() / 2;
     }
 
-    private void pass(double time) {
+    private void advanceClock(double time) {
         if (time < now) {
-            throw new IllegalArgumentException("a monotonic clock must not go back from " + now + " to " + time);
+            throw new IllegalArgumentException("time must not go back from " + now + " s to " + time);
         }
         now = time;
     }
 
-    /** When {@link #tick} has something to do next. */
+    /** Time of the next {@link #tick}, in seconds of the process's clock. */
     public double due() {
-        double due = asked != 0 ? sentAt + terms.patience() : released ? NEVER : nextAt;
+        double due =
+                awaitedRequest != 0 ? lastSentAt + terms.requestTimeoutSeconds() : released ? NEVER : nextRequestAt;
         return state == State.HOLDING ? Math.min(due, validUntil) : due;
     }
 
-    /** What the process may do, as of the last event. */
+    /** State as of the last event. */
     public State state() {
         return state;
     }
 
-    /** The holding, in force or in doubt; null for none. */
+    /** The current holding, which may be uncertain; null for none. */
     public Holding holding() {
         return holding;
     }
--- a/src/main/java/juniperusher/ownership/Step.java
+++ b/src/main/java/juniperusher/ownership/Step.java
@@ -2,17 +2,17 @@
 
 import juniperusher.store.Request;
 
-/** Something that the adapter is to do; steps are carried out in their order. */
+/** Instruction of a {@link Lease} to its adapter, which carries out steps in their order. */
 public sealed interface Step {
-    /** Ask the store; its answer comes back with the number, or none does. */
+    /** Send the request to the store and pass its answer, if any, to the lease with this number. */
     record Ask(int number, Request request) implements Step {}
 
-    /** This process owns the thing from now on, or does so again. */
+    /** This process owns the resource from now on, or again after {@link Doubted}. */
     record Held(Holding holding) implements Step {}
 
-    /** Nothing more may be begun under this holding for now; it may come back. */
+    /** The lease may have ended: begin no action under this holding until {@link Held} or {@link Lost}. */
     record Doubted(Holding holding) implements Step {}
 
-    /** The holding is over for good: another may have the thing by now. */
+    /** The holding has ended for good; another process may own the resource. */
     record Lost(Holding holding) implements Step {}
 }
--- a/src/main/java/juniperusher/ownership/Terms.java
+++ b/src/main/java/juniperusher/ownership/Terms.java
@@ -1,22 +1,33 @@
 package juniperusher.ownership;
 
 /**
- * Times of a lease, in seconds.
+ * Times of a {@link Lease}, in seconds.
  *
- * @param ttl      for which the store keeps it from when it hears of it
- * @param margin   by which the holder ends it earlier: two clocks may run apart by that much in {@code ttl},
- *                 and what is begun under it at its last moment takes time
- * @param renew    between the sending of two renewals
- * @param patience after which a request is taken to be lost and asked anew
- * @param again    base of the pause before a thing that another holds is asked for again; jittered by half
+ * @param ttl time for which the store keeps the lease after it has received a request for it
+ * @param margin time by which the holder ends the lease before the store does; it covers the drift between both clocks
+ *     during the ttl and the duration of an action that is begun at the last moment
+ * @param renewIntervalSeconds time between the sending of two renewals
+ * @param requestTimeoutSeconds time after which a request is considered lost and sent again
+ * @param retryBackoffSeconds base of the backoff before a key that another process holds is claimed again; up to half
+ *     of it is subtracted at random
  */
-public record Terms(double ttl, double margin, double renew, double patience, double again) {
-    /** Ten seconds, as the takeover from a dead owner may take; three renewals fit into them. */
+public record Terms(
+        double ttl,
+        double margin,
+        double renewIntervalSeconds,
+        double requestTimeoutSeconds,
+        double retryBackoffSeconds) {
+    /** Defaults: the ttl of ten seconds bounds the takeover from a crashed owner and has room for three renewals. */
     public static final Terms USUAL = new Terms(10, 1.5, 2.5, 1, 1);
 
     public Terms {
-        if (!(margin > 0 && renew > 0 && patience > 0 && again > 0 && renew + patience + margin < ttl)) {
-            throw new IllegalArgumentException("a renewal, its patience and the margin must fit into the" + " ttl");
+        if (!(margin > 0
+                && renewIntervalSeconds > 0
+                && requestTimeoutSeconds > 0
+                && retryBackoffSeconds > 0
+                && renewIntervalSeconds + requestTimeoutSeconds + margin < ttl)) {
+            throw new IllegalArgumentException(
+                    "times must be above 0, and renewal interval, request timeout and margin together below" + " ttl");
         }
     }
 }
--- a/src/main/java/juniperusher/status/ReportQueue.java
+++ b/src/main/java/juniperusher/status/ReportQueue.java
@@ -12,37 +12,38 @@
 import java.util.Set;
 
 /**
- * The reports that the platform has not acknowledged, as a state machine without I/O. A report may be sent
- * more than once, which does no harm, and is owed until a post that carried it is answered.
+ * Queue of the status reports that the platform has not acknowledged, as a state machine without I/O. A report may be
+ * sent more than once, which is harmless, and stays in the queue until a post with it is acknowledged.
  *
- * <p>While posts are answered, one is out at a time and carries all that has come meanwhile. Where one is not
- * answered within {@link ReportTiming#hedgeAfter}, the next goes on another connection while the first still
- * waits: first what has never been sent, then what was sent longest ago. The answers count in any order.
+ * <p>While posts are answered, one is in flight at a time and the next carries all reports that were added meanwhile.
+ * If a post is not answered within {@link ReportTiming#hedgeAfterMillis}, the next one is sent on another connection
+ * while the first stays in flight. It carries reports that were never sent, then those sent longest ago. Answers are
+ * accepted in any order.
  *
- * <p>Times are milliseconds of one monotonic clock. Not safe for use by several threads.
+ * <p>Times are milliseconds of one monotonic clock. Not thread-safe.
  *
- * @param <R> a report; two that are equal are still two
+ * @param <R> type of a report; equal reports are kept as separate ones
  */
 public final class ReportQueue<R> {
-    /** No time: there is nothing to wait for. */
+    /** Result of {@link #nextPostAt} if no post is due at any time. */
     public static final long NEVER = Long.MAX_VALUE;
 
-    private static final long LONG_AGO = Long.MIN_VALUE / 2;
+    private static final long LONG_AGO_MILLIS = Long.MIN_VALUE / 2;
 
     private final ReportTiming timing;
     private final Deque<Entry<R>> unsent = new ArrayDeque<>();
-    private final Set<Entry<R>> sent = new LinkedHashSet<>(); // owed, the one sent longest ago first
-    private final Map<Integer, Post<R>> out = new LinkedHashMap<>(); // by number, the oldest first
+    private final Set<Entry<R>> unacknowledged = new LinkedHashSet<>(); // sent, the one sent longest ago first
+    private final Map<Integer, Post<R>> postsInFlight = new LinkedHashMap<>(); // by number, oldest first
     private int lastNumber;
-    private int unanswered; // posts since the last answer
-    private long lastPostAt = LONG_AGO;
-    private long notBefore = LONG_AGO;
+    private int postsSinceAnswer;
+    private long lastPostAt = LONG_AGO_MILLIS;
+    private long earliestPostAt = LONG_AGO_MILLIS;
 
-    /** One report; compared by identity. */
+    /** A report in the queue; compared by identity. */
     private static final class Entry<R> {
         private final R report;
         private long sentAt;
-        private int postsOut;
+        private int postsInFlight;
         private boolean acknowledged;
 
         Entry(R report) {
@@ -50,7 +51,7 @@
         }
     }
 
-    /** A post without its answer. */
+    /** A post in flight. */
     private static final class Post<R> {
         private final List<Entry<R>> entries;
         private long sentAt;
@@ -60,28 +61,28 @@
             this.sentAt = sentAt;
         }
 
-        boolean owed() {
+        boolean hasUnacknowledged() {
             return entries.stream().anyMatch(entry -> !entry.acknowledged);
         }
     }
 
-    /** An empty queue. */
+    /** Creates an empty queue. */
     public ReportQueue(ReportTiming timing) {
         this.timing = timing;
     }
 
-    /** A report is owed from now on. */
+    /** Adds a report, to be sent until it is acknowledged. */
     public List<Step<R>> add(R report, long now) {
         unsent.add(new Entry<>(report));
         return tick(now);
     }
 
     /**
-     * The post has been handed to its connection. Its time counts from here: a process that has just started
-     * is slow itself, and a second post would make it slower.
+     * The post was written to its connection. Its hedging delay starts again here: a process that has just started may
+     * take long to get there, and an additional post would slow it down further.
      */
     public void posted(int number, long now) {
-        Post<R> post = out.get(number);
+        Post<R> post = postsInFlight.get(number);
         if (post != null) {
             post.sentAt = now;
             post.entries.forEach(entry -> entry.sentAt = now);
@@ -89,45 +90,45 @@
         }
     }
 
-    /** The platform has acknowledged what the post carried. */
+    /** The platform has acknowledged the reports of the post. */
     public List<Step<R>> answered(int number, long now) {
-        Post<R> post = out.remove(number);
+        Post<R> post = postsInFlight.remove(number);
         if (post == null) {
             return List.of();
         }
-        unanswered = 0;
-        lastPostAt = LONG_AGO;
-        notBefore = LONG_AGO;
+        postsSinceAnswer = 0;
+        lastPostAt = LONG_AGO_MILLIS;
+        earliestPostAt = LONG_AGO_MILLIS;
         List<Step<R>> steps = new ArrayList<>();
         for (Entry<R> entry : post.entries) {
             if (!entry.acknowledged) {
                 entry.acknowledged = true;
-                sent.remove(entry);
+                unacknowledged.remove(entry);
                 steps.add(new Step.Acknowledged<>(entry.report));
             }
         }
-        abandonNeedless(steps);
+        abandonAcknowledgedPosts(steps);
         steps.addAll(tick(now));
         return steps;
     }
 
     /** The post has ended without an acknowledgement. */
     public List<Step<R>> failed(int number, long now) {
-        Post<R> post = out.remove(number);
+        Post<R> post = postsInFlight.remove(number);
         if (post == null) {
             return List.of();
         }
-        post.entries.forEach(entry -> entry.postsOut--);
-        // One kept connection that has broken says nothing about a new one.
-        notBefore = unanswered <= 1 ? now : now + timing.retryPause();
+        post.entries.forEach(entry -> entry.postsInFlight--);
+        // The first failure may be due to an idle connection that was closed, so a new one is tried without a backoff.
+        earliestPostAt = postsSinceAnswer <= 1 ? now : now + timing.retryBackoffMillis();
         return tick(now);
     }
 
-    /** What is due by now; to be asked at {@link #nextPostAt}. */
+    /** Sends the posts that are due; has to be called at {@link #nextPostAt}. */
     public List<Step<R>> tick(long now) {
         List<Step<R>> steps = new ArrayList<>();
         while (now >= nextPostAt()) {
-            if (out.size() >= timing.posts()) {
+            if (postsInFlight.size() >= timing.maxPostsInFlight()) {
                 abandonOldest(steps);
             }
             steps.add(post(now));
@@ -135,66 +136,67 @@
         return steps;
     }
 
-    /** When the next post is due if nothing else happens, or {@link #NEVER}. */
+    /** Time of the next post if no event comes before it, or {@link #NEVER}. */
     public long nextPostAt() {
         if (waiting() == 0) {
             return NEVER;
         }
-        if (out.isEmpty()) {
-            return notBefore;
+        if (postsInFlight.isEmpty()) {
+            return earliestPostAt;
         }
-        long next = Math.max(notBefore, Math.min(firstSendingAt(), repeatAt()));
-        if (out.size() >= timing.posts()) {
-            next = Math.max(next, out.values().iterator().next().sentAt + timing.patience());
+        long next = Math.max(earliestPostAt, Math.min(nextFirstSendAt(), nextRepeatAt()));
+        if (postsInFlight.size() >= timing.maxPostsInFlight()) {
+            next = Math.max(next, postsInFlight.values().iterator().next().sentAt + timing.postTimeoutMillis());
         }
         return next;
     }
 
-    /** Reports that are owed. */
+    /** Number of reports that are not acknowledged. */
     public int waiting() {
-        return unsent.size() + sent.size();
+        return unsent.size() + unacknowledged.size();
     }
 
-    /** Whether the post is still waited for. */
+    /** Whether the post is in flight: neither answered, failed nor abandoned. */
     public boolean isOut(int number) {
-        return out.containsKey(number);
+        return postsInFlight.containsKey(number);
     }
 
-    private long firstSendingAt() {
-        return unsent.isEmpty() ? NEVER : lastPostAt + timing.hedgeAfter();
+    private long nextFirstSendAt() {
+        return unsent.isEmpty() ? NEVER : lastPostAt + timing.hedgeAfterMillis();
     }
 
-    private long repeatAt() {
-        if (sent.isEmpty()) {
+    private long nextRepeatAt() {
+        if (unacknowledged.isEmpty()) {
             return NEVER;
         }
-        // Guards a platform that is down or overloaded against repeats from all relays at full pace.
-        long pause = timing.hedgeAfter() << Math.max(0, Math.min(unanswered, 10) - 2);
-        long paced = lastPostAt + Math.min(pause, timing.slowestHedge());
-        return Math.max(paced, sent.iterator().next().sentAt + timing.hedgeAfter());
+        // The interval doubles up to its bound, so that not all relays repeat reports at the full rate to a platform
+        // that is down or overloaded.
+        long interval = timing.hedgeAfterMillis() << Math.max(0, Math.min(postsSinceAnswer, 10) - 2);
+        long earliestRepeatAt = lastPostAt + Math.min(interval, timing.maxRepeatIntervalMillis());
+        return Math.max(earliestRepeatAt, unacknowledged.iterator().next().sentAt + timing.hedgeAfterMillis());
     }
 
     private Step<R> post(long now) {
         List<Entry<R>> entries = new ArrayList<>();
-        while (!unsent.isEmpty() && entries.size() < timing.reportsPerPost()) {
+        while (!unsent.isEmpty() && entries.size() < timing.maxReportsPerPost()) {
             entries.add(unsent.poll());
         }
-        Iterator<Entry<R>> repeats = sent.iterator();
-        while (repeats.hasNext() && entries.size() < timing.reportsPerPost()) {
+        Iterator<Entry<R>> repeats = unacknowledged.iterator();
+        while (repeats.hasNext() && entries.size() < timing.maxReportsPerPost()) {
             Entry<R> entry = repeats.next();
-            if (entry.postsOut == 0 || now >= entry.sentAt + timing.hedgeAfter()) {
-                repeats.remove(); // it comes last now
+            if (entry.postsInFlight == 0 || now >= entry.sentAt + timing.hedgeAfterMillis()) {
+                repeats.remove(); // moved to the end of the queue
                 entries.add(entry);
             }
         }
         for (Entry<R> entry : entries) {
             entry.sentAt = now;
-            entry.postsOut++;
+            entry.postsInFlight++;
         }
-        sent.addAll(entries);
-        boolean newConnection = unanswered++ > 0;
+        unacknowledged.addAll(entries);
+        boolean newConnection = postsSinceAnswer++ > 0;
         lastPostAt = now;
-        out.put(++lastNumber, new Post<>(entries, now));
+        postsInFlight.put(++lastNumber, new Post<>(entries, now));
         return new Step.Post<>(lastNumber, reports(entries), newConnection);
     }
 
@@ -203,19 +205,19 @@
     }
 
     private void abandonOldest(List<Step<R>> steps) {
-        int oldest = out.keySet().iterator().next();
-        out.remove(oldest).entries.forEach(entry -> entry.postsOut--);
+        int oldest = postsInFlight.keySet().iterator().next();
+        postsInFlight.remove(oldest).entries.forEach(entry -> entry.postsInFlight--);
         steps.add(new Step.Abandon<>(oldest));
     }
 
-    /** Gives up the posts that carry nothing any more that is owed. */
-    private void abandonNeedless(List<Step<R>> steps) {
-        out.entrySet().removeIf(post -> {
-            boolean needless = !post.getValue().owed();
-            if (needless) {
+    /** Abandons the posts whose reports are all acknowledged by other posts. */
+    private void abandonAcknowledgedPosts(List<Step<R>> steps) {
+        postsInFlight.entrySet().removeIf(post -> {
+            boolean acknowledged = !post.getValue().hasUnacknowledged();
+            if (acknowledged) {
                 steps.add(new Step.Abandon<>(post.getKey()));
             }
-            return needless;
+            return acknowledged;
         });
     }
 }
--- a/src/main/java/juniperusher/status/ReportTiming.java
+++ b/src/main/java/juniperusher/status/ReportTiming.java
@@ -1,21 +1,26 @@
 package juniperusher.status;
 
 /**
- * Bounds of a {@link ReportQueue}, times in milliseconds.
+ * Limits of a {@link ReportQueue}; times are milliseconds.
  *
- * @param reportsPerPost reports that one post carries at most
- * @param posts          posts that may be out at once
- * @param hedgeAfter     time without an answer after which the next post may go on another connection
- * @param slowestHedge   the pause between repeats grows up to this while nothing is answered
- * @param patience       time for which a post is left out before another may take its place
- * @param retryPause     pause after a post that failed, from the second one in a row on
+ * @param maxReportsPerPost maximum number of reports in a post
+ * @param maxPostsInFlight maximum number of posts in flight
+ * @param hedgeAfterMillis time without an answer after which the next post may be sent on another connection
+ * @param maxRepeatIntervalMillis upper bound of the interval between repeats, which grows while no post is answered
+ * @param postTimeoutMillis time after which the oldest post may be abandoned for a new one
+ * @param retryBackoffMillis backoff after a failed post, from the second consecutive failure on
  */
 public record ReportTiming(
-        int reportsPerPost, int posts, long hedgeAfter, long slowestHedge, long patience, long retryPause) {
+        int maxReportsPerPost,
+        int maxPostsInFlight,
+        long hedgeAfterMillis,
+        long maxRepeatIntervalMillis,
+        long postTimeoutMillis,
+        long retryBackoffMillis) {
     /**
-     * What serves a platform that answers at once and wants each report within 300 ms. An answer takes up to
-     * 80 ms on a part of a core, and three silent connections cost 320 ms; 100 lines stay well below the limit
-     * of a body.
+     * Defaults for a platform that answers immediately and expects each report within 300 ms. An answer takes up to
+     * 80 ms if the platform has a part of a core; three unresponsive connections take 320 ms. A body of 100 lines stays
+     * well below the platform's limit.
      */
     public static final ReportTiming USUAL = new ReportTiming(100, 8, 80, 200, 640, 50);
 }
--- a/src/main/java/juniperusher/status/package-info.java
+++ b/src/main/java/juniperusher/status/package-info.java
@@ -1,10 +1,9 @@
 /**
- * When which status report goes to the platform. Owns the reports that are not yet acknowledged and the posts
- * that carry them: what goes now, what goes a second time on another connection (a hedged request) and which
- * post is given up for it. The door is {@link juniperusher.status.ReportQueue}: it is told events with their
- * time and gives steps to carry out.
+ * Schedule of status reports to the platform. Owns the reports that are not yet acknowledged and the posts that carry
+ * them: which reports are sent now, which again on another connection (hedged requests), and which post is abandoned.
+ * The entry point is {@link juniperusher.status.ReportQueue}: it receives events with their time and returns steps.
  *
- * <p>Must not know: sockets, threads, clocks, JSON, what a report says. Carrying out steps is the part of the
- * adapter, {@code http.StatusReporter}.
+ * <p>Must not depend on: sockets, threads, clocks, JSON, the content of reports. The adapter
+ * {@code http.StatusReporter} carries out the steps.
  */
 package juniperusher.status;
--- a/src/main/java/juniperusher/store/Change.java
+++ b/src/main/java/juniperusher/store/Change.java
@@ -1,4 +1,10 @@
 package juniperusher.store;
 
-/** What happened to a key: its entry since, or its last one where it no longer stands. */
+/**
+ * Change of a key in the store. Immutable.
+ *
+ * @param entry    new entry of the key, or its last one if the key was deleted
+ * @param deleted  whether the key was deleted
+ * @param revision revision of the store that made the change
+ */
 public record Change(Entry entry, boolean deleted, long revision) {}
--- a/src/main/java/juniperusher/store/Entry.java
+++ b/src/main/java/juniperusher/store/Entry.java
@@ -1,10 +1,10 @@
 package juniperusher.store;
 
 /**
- * What stands under a key.
+ * Key with its value. Immutable.
  *
- * @param created  the revision at which the key came to be; one that was deleted comes to be anew
- * @param modified the revision of its last change
- * @param lease    the lease that it ends with, 0 for none
+ * @param created  revision at which the key was created; a new one after a deletion
+ * @param modified revision of the last change
+ * @param lease    id of the lease whose end deletes the key, 0 for none
  */
 public record Entry(String key, String value, long created, long modified, long lease) {}
--- a/src/main/java/juniperusher/store/Op.java
+++ b/src/main/java/juniperusher/store/Op.java
@@ -1,13 +1,13 @@
 package juniperusher.store;
 
-/** One step of a transaction. */
+/** Operation of a transaction. */
 public sealed interface Op {
-    /** The key has this value from now on, and ends with the lease unless that is 0. */
+    /** Set the value of a key. The key is deleted when the lease with this id ends; 0 for no lease. */
     record Put(String key, String value, long lease) implements Op {}
 
-    /** The key no longer stands. */
+    /** Delete a key, if it exists. */
     record Delete(String key) implements Op {}
 
-    /** What stands under the key, or under all that begin with it. */
+    /** Read the entry of a key, or with {@code prefix} of all keys that begin with it. */
     record Read(String key, boolean prefix) implements Op {}
 }
--- a/src/main/java/juniperusher/store/Request.java
+++ b/src/main/java/juniperusher/store/Request.java
@@ -3,18 +3,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a client asks of the store. */
+/** Request of a client to the store. */
 public sealed interface Request {
-    /** A lease of so many seconds. */
+    /** Create a lease that ends after {@code ttl} seconds unless it is kept alive. */
     record Grant(double ttl) implements Request {}
 
-    /** The lease counts anew from when the store hears of it. */
+    /** Restart the time of a lease at the moment at which the store receives this. */
     record KeepAlive(long lease) implements Request {}
 
-    /** The lease ends, and all that ends with it. */
+    /** End a lease and delete its keys. */
     record Revoke(long lease) implements Request {}
 
-    /** All of {@code then} at one revision if all that is compared is so, else all of {@code otherwise}. */
+    /** Execute all of {@code then} at one revision if all conditions hold, else all of {@code otherwise}. */
     record Txn(List<Compare> compare, List<Op> then, List<Op> otherwise) implements Request {
         public Txn {
             compare = List.copyOf(compare);
@@ -22,7 +22,7 @@
             otherwise = List.copyOf(otherwise);
         }
 
-        /** The same, only if this is so as well. */
+        /** Returns this transaction with an additional condition. */
         public Txn onlyIf(Compare more) {
             List<Compare> all = new ArrayList<>(compare);
             all.add(more);
--- a/src/main/java/juniperusher/store/StoreState.java
+++ b/src/main/java/juniperusher/store/StoreState.java
@@ -7,36 +7,40 @@
 import java.util.TreeMap;
 
 /**
- * A store's inside: keys, leases, revisions and the changes that are still remembered. Free of I/O and of the
- * clock: its caller tells each request with the store's own time in seconds, which never goes back.
+ * State of a store: keys, leases, revisions and the history of changes since the last compaction. It performs no I/O
+ * and reads no clock: the caller passes the store's time in seconds, which must not go back. Not thread-safe.
  */
 public final class StoreState {
     private final TreeMap<String, Entry> keys = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
     private final List<Change> changes = new ArrayList<>();
     private long revision = 1;
-    private long compacted; // changes up to here are forgotten
-    private long lastLease;
+    private long compactedRevision; // changes up to this one are no longer available
+    private long lastLeaseId;
     private double now;
 
-    private record Lease(double ttl, double until) {}
+    private record Lease(double ttlSeconds, double expiresAt) {}
 
-    /** Answers a request. */
+    /**
+     * Executes a request and returns its answer.
+     *
+     * @throws IllegalArgumentException if the time goes back or the ttl of a lease is not above 0
+     */
     public Reply answer(Request request, double time) {
         tick(time);
         if (request instanceof Request.Grant grant) {
             if (!(grant.ttl() > 0)) {
-                throw new IllegalArgumentException("a lease of " + grant.ttl() + " s");
+                throw new IllegalArgumentException("lease ttl must be above 0, not " + grant.ttl() + " s");
             }
-            leases.put(++lastLease, new Lease(grant.ttl(), now + grant.ttl()));
-            return new Reply.Leased(lastLease, grant.ttl());
-        } else if (request instanceof Request.KeepAlive alive) {
-            Lease lease = leases.get(alive.lease());
+            leases.put(++lastLeaseId, new Lease(grant.ttl(), now + grant.ttl()));
+            return new Reply.Leased(lastLeaseId, grant.ttl());
+        } else if (request instanceof Request.KeepAlive keepAlive) {
+            Lease lease = leases.get(keepAlive.lease());
             if (lease == null) {
-                return new Reply.NoLease(alive.lease());
+                return new Reply.NoLease(keepAlive.lease());
             }
-            leases.put(alive.lease(), new Lease(lease.ttl(), now + lease.ttl()));
-            return new Reply.Leased(alive.lease(), lease.ttl());
+            leases.put(keepAlive.lease(), new Lease(lease.ttlSeconds(), now + lease.ttlSeconds()));
+            return new Reply.Leased(keepAlive.lease(), lease.ttlSeconds());
         } else if (request instanceof Request.Revoke revoke) {
             if (!leases.containsKey(revoke.lease())) {
                 return new Reply.NoLease(revoke.lease());
@@ -48,11 +52,12 @@
     }
 
     private Reply transact(Request.Txn txn) {
-        boolean holds = txn.compare().stream().allMatch(one -> one.holds(keys.get(one.key())));
-        List<Op> ops = holds ? txn.then() : txn.otherwise();
+        boolean succeeded =
+                txn.compare().stream().allMatch(comparison -> comparison.isSatisfiedBy(keys.get(comparison.key())));
+        List<Op> ops = succeeded ? txn.then() : txn.otherwise();
         for (Op op : ops) {
             if (op instanceof Op.Put put && put.lease() != 0 && !leases.containsKey(put.lease())) {
-                return new Reply.NoLease(put.lease()); // nothing of the transaction is done
+                return new Reply.NoLease(put.lease()); // the transaction is not executed at all
             }
         }
         boolean writes = ops.stream()
@@ -62,16 +67,20 @@
         List<List<Entry>> reads = new ArrayList<>();
         for (Op op : ops) {
             if (op instanceof Op.Put put) {
-                Entry before = keys.get(put.key());
+                Entry previous = keys.get(put.key());
                 put(new Entry(
-                        put.key(), put.value(), before == null ? revision : before.created(), revision, put.lease()));
+                        put.key(),
+                        put.value(),
+                        previous == null ? revision : previous.created(),
+                        revision,
+                        put.lease()));
             } else if (op instanceof Op.Delete delete) {
                 delete(delete.key());
             } else if (op instanceof Op.Read read) {
                 reads.add(read(read.key(), read.prefix()));
             }
         }
-        return new Reply.Done(holds, revision, reads);
+        return new Reply.Done(succeeded, revision, reads);
     }
 
     private void put(Entry entry) {
@@ -80,9 +89,9 @@
     }
 
     private void delete(String key) {
-        Entry gone = keys.remove(key);
-        if (gone != null) {
-            changes.add(new Change(gone, true, revision));
+        Entry deleted = keys.remove(key);
+        if (deleted != null) {
+            changes.add(new Change(deleted, true, revision));
         }
     }
 
@@ -96,7 +105,7 @@
                 .toList();
     }
 
-    /** Time passes: leases end, and with them what hangs on them. */
+    /** Sets the time, and ends the leases that have expired by it together with their keys. */
     public void tick(double time) {
         if (time < now) {
             throw new IllegalArgumentException("the store's time must not go back from " + now + " to " + time);
@@ -104,61 +113,62 @@
         now = time;
         List.copyOf(leases.keySet()).stream()
                 .sorted()
-                .filter(id -> leases.get(id).until() <= now)
+                .filter(id -> leases.get(id).expiresAt() <= now)
                 .forEach(this::end);
     }
 
-    /** Ends a lease now, in its time or, as a fault, before it. */
+    /** Ends a lease and deletes its keys; also used before it expires, to inject a fault. */
     public void end(long lease) {
         leases.remove(lease);
-        List<String> with = keys.values().stream()
+        List<String> attachedKeys = keys.values().stream()
                 .filter(entry -> entry.lease() == lease)
                 .map(Entry::key)
                 .toList();
-        revision += with.isEmpty() ? 0 : 1;
-        with.forEach(this::delete);
+        revision += attachedKeys.isEmpty() ? 0 : 1;
+        attachedKeys.forEach(this::delete);
     }
 
-    /** The leases that stand. */
+    /** Ids of the current leases in ascending order. */
     public List<Long> leases() {
         return leases.keySet().stream().sorted().toList();
     }
 
     /**
-     * The store was down from the last time that it was told until now. It cannot know what has passed, so it
-     * gives each lease its whole time anew.
+     * Restarts the store after an outage that ends now. The time of each lease starts again, since the store could not
+     * receive renewals meanwhile.
      */
     public void restarted(double time) {
         now = Math.max(now, time);
-        leases.replaceAll((id, lease) -> new Lease(lease.ttl(), now + lease.ttl()));
+        leases.replaceAll((id, lease) -> new Lease(lease.ttlSeconds(), now + lease.ttlSeconds()));
     }
 
-    /** The store's time, as it was told last. */
+    /** The store's time in seconds, as last passed in. */
     public double time() {
         return now;
     }
 
     /**
-     * What happened under a prefix from this revision on.
+     * Returns the changes of keys with a prefix from this revision on.
      *
-     * @throws IllegalStateException if some of that is forgotten: the keys have to be read anew
+     * @throws IllegalStateException if some of these revisions are compacted; the keys have to be read again
      */
     public List<Change> changes(String prefix, long from) {
-        if (from <= compacted) {
-            throw new IllegalStateException("revisions up to " + compacted + " are compacted");
+        if (from <= compactedRevision) {
+            throw new IllegalStateException("revisions up to " + compactedRevision + " are compacted");
         }
         return changes.stream()
-                .filter(one -> one.revision() >= from && one.entry().key().startsWith(prefix))
+                .filter(change ->
+                        change.revision() >= from && change.entry().key().startsWith(prefix))
                 .toList();
     }
 
-    /** Forgets the changes up to and with this revision. */
-    public void compact(long upTo) {
-        compacted = Math.min(upTo, revision);
-        changes.removeIf(one -> one.revision() <= compacted);
+    /** Drops the history of changes up to and including this revision. */
+    public void compact(long lastForgotten) {
+        compactedRevision = Math.min(lastForgotten, revision);
+        changes.removeIf(change -> change.revision() <= compactedRevision);
     }
 
-    /** The last revision. */
+    /** Revision of the last change. */
     public long revision() {
         return revision;
     }
--- a/src/main/java/juniperusher/storm/DestinationStorm.java
+++ b/src/main/java/juniperusher/storm/DestinationStorm.java
@@ -3,61 +3,74 @@
 import juniperusher.Protocol.Rules;
 
 /**
- * The state of one destination at this relay. It is told what arrives, goes and comes back; it says what the
- * destination takes from all relays together just now. Every change of state has a reason.
+ * Retry-storm state of one destination at this relay. It receives arrivals, call results and reports of other relays,
+ * and computes the rate that the destination accepts from all relays together. Not thread-safe; times are seconds of
+ * the rounds' clock.
  *
- * <p>Guards against overload that outlives its cause: while it lasts, no more than the stated rate leaves,
- * what
- * is held is bounded by what can still be delivered in time, and those that are refused return when there
- * will
- * be room. The outage's end is taken from the first success; the ramp starts there, so that a relay never
- * believes a destination to be warmer than it is.
+ * <p>This prevents an overload that outlasts its cause: during a storm the relays together send no more than the
+ * stated rate, the number of pending messages is bounded by what can be delivered before the deadline, and refused
+ * clients are told when there will be capacity. The recovery is dated to the first success and the slow start begins
+ * there, so a relay never assumes more warm-up than the destination has had.
  */
 final class DestinationStorm {
-    private static final double SPAN = 5; // s over which arrivals are counted
-    private static final double LEAST_ARRIVALS = 8; // in that span, before a share means anything
-    private static final int LEAST_OWED = 20; // messages, fewer are chance even where little is taken
-    private static final int LEAST_ROW = 6; // in a row before it means an outage: each call that failed is
-    private static final int FAILED = 2; // as much, each that was refused for want of room
-    private static final int REFUSED = 1; // as much
-    private static final double CUT = 0.7; // of the rate, at a refusal of a call sent since the last cut
-    private static final double CLIMB = 0.02; // of the cut won back by each success
-    private static final double CUT_SHARE = 0.15; // of the calls of CUT_SPAN failed or refused, and
-    private static final double LEAST_BAD = 1.5; // as many, before the rate is cut
-    private static final double CUT_SPAN = 2; // s
-    private static final double PROBE_LOST = 3; // s after which no result of a probe comes any more
-    private static final double USUAL_WEIGHT = 0.1; // of a new answer time in the usual one
-    private static final double LEAST_CUT = 0.3; // what is left of the rate however often it refuses
+    /** Time constant of the arrival counters. */
+    private static final double ARRIVAL_WINDOW_SECONDS = 5;
+    /** Fewer arrivals in the window than this give no meaningful share of resubmissions. */
+    private static final double MIN_ARRIVALS = 8;
+    /** Fewer pending messages are normal variation, even for a destination with a low rate. */
+    private static final int MIN_PENDING_FOR_STORM = 20;
+    /** Sum of the weights of consecutive failures and refusals from which on a destination may be in an outage. */
+    private static final int MIN_OUTAGE_WEIGHT = 6;
+
+    private static final int FAILURE_WEIGHT = 2;
+    /** A refusal as overloaded is weaker evidence of an outage than a failure. */
+    private static final int REFUSAL_WEIGHT = 1;
+    /** The rate is multiplied by this when calls that were sent since the last reduction fail. */
+    private static final double RATE_REDUCTION_FACTOR = 0.7;
+    /** Each success raises the rate factor by this. */
+    private static final double RATE_RECOVERY_STEP = 0.02;
+    /** The rate is only reduced if a larger share of recent calls has failed or was refused. */
+    private static final double MIN_FAILED_SHARE = 0.15;
+    /** The rate is only reduced if more recent calls have failed; a single one may be chance. */
+    private static final double MIN_FAILED_CALLS = 1.5;
+    /** Time constant of the counters of recent calls and failures. */
+    private static final double CALL_WINDOW_SECONDS = 2;
+    /** After this time a probe's result is no longer expected. */
+    private static final double PROBE_TIMEOUT_SECONDS = 3;
+    /** Weight of a new sample in the moving average of the response time. */
+    private static final double RESPONSE_TIME_WEIGHT = 0.1;
+    /** Lower bound of the rate factor, however often calls are refused. */
+    private static final double MIN_RATE_FACTOR = 0.3;
 
     private final StormSettings settings;
     private final Rules rules;
-    private final Fading arrivals = new Fading(SPAN);
-    private final Fading again = new Fading(SPAN);
-    private final Fading turnedAway = new Fading(SPAN);
-    private final Fading calls = new Fading(CUT_SPAN);
-    private final Fading bad = new Fading(CUT_SPAN);
-    private double usual; // s, an answer's time while calm
-    private boolean marked;
+    private final DecayingCounter arrivals = new DecayingCounter(ARRIVAL_WINDOW_SECONDS);
+    private final DecayingCounter resubmissions = new DecayingCounter(ARRIVAL_WINDOW_SECONDS);
+    private final DecayingCounter refusals = new DecayingCounter(ARRIVAL_WINDOW_SECONDS);
+    private final DecayingCounter recentCalls = new DecayingCounter(CALL_WINDOW_SECONDS);
+    private final DecayingCounter recentFailures = new DecayingCounter(CALL_WINDOW_SECONDS);
+    private double usualResponseSeconds; // moving average while the state is CALM
+    private boolean resubmissionsMarked; // whether any client has marked a resubmission
     private StormState state = StormState.CALM;
-    private double listed;
-    private double reported;
-    private int owed;
-    private int row;
-    private double rowFrom;
-    private boolean out;
-    private double outFrom = Double.NEGATIVE_INFINITY;
-    private double backAt = Double.NEGATIVE_INFINITY;
-    private boolean justBack; // by the success noted last
-    private boolean seenBack;
-    private double toldUntil;
-    private double probeAt;
-    private double probedFor = Double.NaN; // the outage that the probes are for, by its beginning
-    private double probeSent = Double.NEGATIVE_INFINITY;
-    private double quietFrom = Double.NaN;
-    private double cut = 1;
-    private double cutAt = Double.NEGATIVE_INFINITY;
-
-    /** A change of state, for the log. */
+    private double listedRate; // calls per second, 0 if unknown
+    private double reportedRate; // calls per second, 0 if unknown
+    private int pending; // messages
+    private int failureWeight; // of the present sequence of failures and refusals
+    private double failingSince;
+    private boolean inOutage;
+    private double outageStart = Double.NEGATIVE_INFINITY;
+    private double recoveredAt = Double.NEGATIVE_INFINITY;
+    private boolean recoveredByLastSuccess;
+    private boolean recoveryToReport;
+    private double retryAfterEnd;
+    private double nextProbeAt;
+    private double probedOutageStart = Double.NaN; // start of the outage that probes were scheduled for
+    private double probeSentAt = Double.NEGATIVE_INFINITY;
+    private double quietSince = Double.NaN; // NaN while the conditions for CALM are not met
+    private double rateFactor = 1; // of the stated rate
+    private double rateReducedAt = Double.NEGATIVE_INFINITY;
+
+    /** A change of state and its reason, for the log. */
     record Change(StormState from, StormState to, String reason) {}
 
     DestinationStorm(StormSettings settings, Rules rules) {
@@ -65,256 +78,264 @@
         this.rules = rules;
     }
 
-    // ---- what it is told ----
+    // ---- inputs ----
 
-    void listed(double rate) {
-        listed = rate;
+    void setListedRate(double rate) {
+        listedRate = rate;
     }
 
-    void arrived(double now, boolean handedInAgain) {
-        owed++;
+    void messageArrived(double now, boolean resubmitted) {
+        pending++;
         arrivals.add(now, 1);
-        marked |= handedInAgain;
-        again.add(now, handedInAgain ? 1 : 0);
+        resubmissionsMarked |= resubmitted;
+        resubmissions.add(now, resubmitted ? 1 : 0);
     }
 
-    /** A message is over, however it ended. */
-    void over() {
-        owed = Math.max(0, owed - 1);
+    /** A message of the destination has finished, with whatever result. */
+    void messageFinished() {
+        pending = Math.max(0, pending - 1);
     }
 
-    /** It was refused: its client may return. */
-    void refused(double now) {
-        turnedAway.add(now, 1);
+    /** A message was refused; its client may resubmit it. */
+    void messageRefused(double now) {
+        refusals.add(now, 1);
     }
 
-    /** A call that left at {@code sentAt} was answered. */
-    void succeeded(double now, double sentAt, double limit) {
-        reported = limit > 0 ? limit : reported;
-        row = 0;
-        cut = Math.min(1, cut + CLIMB);
-        calls.add(now, 1);
-        justBack = out;
-        if (out) {
-            out = false;
-            // It was back when the call arrived. Guards against one that hung there and was answered on the
-            // return: no more than a usual answer's time counts.
-            backAt = Math.max(Math.max(outFrom, now - usual), sentAt);
-            cut = 1; // what failed while it was out says nothing of what it takes now
+    /**
+     * A call has succeeded.
+     *
+     * @param sentAt time at which the call was sent
+     * @param limit  rate limit that the destination reported, in calls per second, 0 for none
+     */
+    void callSucceeded(double now, double sentAt, double reportedLimit) {
+        reportedRate = reportedLimit > 0 ? reportedLimit : reportedRate;
+        failureWeight = 0;
+        rateFactor = Math.min(1, rateFactor + RATE_RECOVERY_STEP);
+        recentCalls.add(now, 1);
+        recoveredByLastSuccess = inOutage;
+        if (inOutage) {
+            inOutage = false;
+            // The destination had recovered when the call arrived. A call that hung during the outage was answered
+            // on recovery, so the recovery is dated at most one usual response time back.
+            recoveredAt = Math.max(Math.max(outageStart, now - usualResponseSeconds), sentAt);
+            rateFactor = 1; // failures during the outage do not tell what rate is accepted now
         } else if (state == StormState.CALM) {
-            usual += (now - sentAt - usual) * USUAL_WEIGHT;
+            usualResponseSeconds += (now - sentAt - usualResponseSeconds) * RESPONSE_TIME_WEIGHT;
         }
     }
 
-    /**
-     * A call failed, or was refused as a destination refuses that is shut: {@code sentAt} is when it left.
-     */
-    void failed(double now, double sentAt) {
-        bad(now, sentAt, FAILED);
+    /** A call sent at {@code sentAt} has failed, or was refused with a delay that indicates an outage. */
+    void callFailed(double now, double sentAt) {
+        recordFailure(now, sentAt, FAILURE_WEIGHT);
     }
 
-    /** A call was refused as full: that alone means a limit, nothing but that for a while that it is shut. */
-    void full(double now, double sentAt, double limit) {
-        reported = limit > 0 ? limit : reported;
-        bad(now, sentAt, REFUSED);
+    /** A call was refused as overloaded. Refusals without a success for a while count as an outage. */
+    void callRefused(double now, double sentAt, double reportedLimit) {
+        reportedRate = reportedLimit > 0 ? reportedLimit : reportedRate;
+        recordFailure(now, sentAt, REFUSAL_WEIGHT);
     }
 
-    private void bad(double now, double sentAt, int weight) {
-        if (sentAt < backAt) {
-            return; // a call of the outage, which only now times out
+    private void recordFailure(double now, double sentAt, int weight) {
+        if (sentAt < recoveredAt) {
+            return; // the call was sent during the previous outage and only fails now
         }
-        if (row == 0) {
-            rowFrom = now;
+        if (failureWeight == 0) {
+            failingSince = now;
         }
-        row += weight;
-        if (!out && row >= LEAST_ROW && now - rowFrom >= settings.outageAfter()) {
-            out = true;
-            outFrom = rowFrom;
-            cut = 1; // what fails while it is out says nothing of what it will take
+        failureWeight += weight;
+        if (!inOutage && failureWeight >= MIN_OUTAGE_WEIGHT && now - failingSince >= settings.outageAfterSeconds()) {
+            inOutage = true;
+            outageStart = failingSince;
+            rateFactor = 1; // failures during the outage do not tell what rate is accepted after it
         }
-        if (!out) {
-            cut(now, sentAt);
+        if (!inOutage) {
+            reduceRate(now, sentAt);
         }
     }
 
-    /** Guards the rate against chance: one answer in many that is late or refused says nothing of it. */
-    private void cut(double now, double sentAt) {
-        calls.add(now, 1);
-        bad.add(now, 1);
-        if (sentAt >= cutAt
+    /** Reduces the rate if enough recent calls have failed; a single failure among many successes may be chance. */
+    private void reduceRate(double now, double sentAt) {
+        recentCalls.add(now, 1);
+        recentFailures.add(now, 1);
+        if (sentAt >= rateReducedAt
                 && state != StormState.CALM
-                && bad.get(now) > Math.max(LEAST_BAD, CUT_SHARE * calls.get(now))) {
-            cut = Math.max(LEAST_CUT, cut * CUT);
-            cutAt = now;
+                && recentFailures.get(now) > Math.max(MIN_FAILED_CALLS, MIN_FAILED_SHARE * recentCalls.get(now))) {
+            rateFactor = Math.max(MIN_RATE_FACTOR, rateFactor * RATE_REDUCTION_FACTOR);
+            rateReducedAt = now;
         }
     }
 
-    /**
-     * Another relay has seen the outage: until its return is seen, here or there, it counts as out here too.
-     */
-    void heardOut(double now, double outSince) {
-        if (!out && outSince > backAt) {
-            out = true;
-            outFrom = outSince;
+    /** Another relay has detected an outage; it applies here until this or another relay detects the recovery. */
+    void peerDetectedOutage(double now, double peerOutageStart) {
+        if (!inOutage && peerOutageStart > recoveredAt) {
+            inOutage = true;
+            outageStart = peerOutageStart;
         }
     }
 
     /**
-     * Another relay has seen the return at this time or before it. It counts if that return ends the outage
-     * that
-     * is known here; a note that was late or came twice tells of an earlier one.
+     * Another relay has detected a recovery at this time or earlier. It is ignored unless it is later than the start
+     * of the outage known here: a delayed or duplicated note may report an earlier recovery.
      */
-    void heardBack(double returnedAt) {
-        if (out && returnedAt > Math.max(outFrom, backAt)) {
-            out = false;
-            row = 0;
-            backAt = returnedAt;
-            cut = 1;
-            seenBack = true;
+    void peerDetectedRecovery(double peerRecoveredAt) {
+        if (inOutage && peerRecoveredAt > Math.max(outageStart, recoveredAt)) {
+            inOutage = false;
+            failureWeight = 0;
+            recoveredAt = peerRecoveredAt;
+            rateFactor = 1;
+            recoveryToReport = true;
         }
     }
 
-    // ---- probes of its own, which the module hears nothing of ----
+    // ---- probes sent by this package; the decision module does not know of them ----
 
-    /** A told wait: nothing may be sent to it before that time, nor may it be probed. */
-    void told(double until) {
-        toldUntil = Math.max(toldUntil, until);
+    /** Sets the end of a retry-after delay; the destination is not probed before that time. */
+    void extendRetryAfter(double end) {
+        retryAfterEnd = Math.max(retryAfterEnd, end);
     }
 
     /**
-     * Whether it is to be probed now: each so many seconds, one at a time, the first after the part {@code
-     * phase} of
-     * them, since all relays hear of an outage at once.
+     * Decides whether to send a probe now, and if so records it as sent. At most one probe is in flight.
+     *
+     * @param every seconds between two probes
+     * @param phase fraction of the interval before the first probe of an outage; it differs between relays, which learn
+     *     of an outage at the same time
      */
-    boolean probes(double now, double every, double phase) {
-        if (out && probedFor != outFrom) {
-            probedFor = outFrom;
-            probeAt = now + every * phase;
+    boolean startProbeIfDue(double now, double intervalSeconds, double firstFraction) {
+        if (inOutage && probedOutageStart != outageStart) {
+            probedOutageStart = outageStart;
+            nextProbeAt = now + intervalSeconds * firstFraction;
         }
-        if (!out || now < toldUntil || now < probeAt || now < probeSent + PROBE_LOST) {
+        if (!inOutage || now < retryAfterEnd || now < nextProbeAt || now < probeSentAt + PROBE_TIMEOUT_SECONDS) {
             return false;
         }
-        probeAt = now + every;
-        probeSent = now;
+        nextProbeAt = now + intervalSeconds;
+        probeSentAt = now;
         return true;
     }
 
-    /** The probe has its result. */
-    void probeOver() {
-        probeSent = Double.NEGATIVE_INFINITY;
+    /** A probe of this package has finished. */
+    void probeFinished() {
+        probeSentAt = Double.NEGATIVE_INFINITY;
     }
 
-    /** What has just succeeded was a probe that the module does not know of. */
-    void backElsewhere(boolean unknown) {
-        seenBack |= unknown && justBack;
+    /** Reports the recovery to the decision module if the last success was one and the module cannot know of it. */
+    void reportRecoveryIfUnknown(boolean unknownToModule) {
+        recoveryToReport |= unknownToModule && recoveredByLastSuccess;
     }
 
-    /** Whether the module is to be told that it is back, since it cannot know; once for each return. */
-    boolean seenBack() {
-        boolean seen = seenBack;
-        seenBack = false;
-        return seen;
+    /** Whether to report a recovery to the decision module, which cannot know of it; true once for each recovery. */
+    boolean takeRecoveryReport() {
+        boolean report = recoveryToReport;
+        recoveryToReport = false;
+        return report;
     }
 
-    // ---- what follows ----
+    // ---- results ----
 
-    /** Moves on to the state that the time and all that was told ask for; the change, or null. */
-    Change turn(double now, double part) {
-        double takes = stated() * part;
-        double handedIn = arrivals.get(now);
-        double share = handedIn < LEAST_ARRIVALS
+    /**
+     * Updates the state from the inputs and the time.
+     *
+     * @param part share of the destination's rate that this relay may use, 0 to 1
+     * @return the change of state, or null if there is none
+     */
+    Change updateState(double now, double shareFraction) {
+        double ownRate = statedRate() * shareFraction;
+        double recentArrivals = arrivals.get(now);
+        double resubmittedShare = recentArrivals < MIN_ARRIVALS
                 ? 0
-                : (marked ? again.get(now) : Math.min(handedIn, turnedAway.get(now))) / handedIn;
-        boolean much = takes > 0 && owed > Math.max(LEAST_OWED, takes * settings.owedSeconds());
-        boolean little =
-                share <= settings.againCalm() && owed <= Math.max(LEAST_ARRIVALS / 2, takes * settings.owedCalm());
-        quietFrom = !little || out ? Double.NaN : Double.isNaN(quietFrom) ? now : quietFrom;
-        boolean quiet = now - quietFrom >= settings.quiet();
+                : (resubmissionsMarked ? resubmissions.get(now) : Math.min(recentArrivals, refusals.get(now)))
+                        / recentArrivals;
+        boolean overloaded =
+                ownRate > 0 && pending > Math.max(MIN_PENDING_FOR_STORM, ownRate * settings.pendingSeconds());
+        boolean lowLoad = resubmittedShare <= settings.resubmittedShareCalm()
+                && pending <= Math.max(MIN_ARRIVALS / 2, ownRate * settings.pendingSecondsCalm());
+        quietSince = !lowLoad || inOutage ? Double.NaN : Double.isNaN(quietSince) ? now : quietSince;
+        boolean quiet = now - quietSince >= settings.quietSeconds();
         return switch (state) {
             case CALM ->
-                out
-                        ? to(StormState.STORM, "outage")
-                        : share > settings.againShare()
-                                ? to(StormState.STORM, "handed in again")
-                                : much ? to(StormState.STORM, "owed") : null;
+                inOutage
+                        ? changeTo(StormState.STORM, "outage")
+                        : resubmittedShare > settings.resubmittedShare()
+                                ? changeTo(StormState.STORM, "handed in again")
+                                : overloaded ? changeTo(StormState.STORM, "owed") : null;
             case STORM ->
-                out
+                inOutage
                         ? null
-                        : backAt > outFrom && now - backAt < rules.warmWithin()
-                                ? to(StormState.RECOVERING, "returned")
-                                : quiet ? to(StormState.CALM, "over") : null;
+                        : recoveredAt > outageStart && now - recoveredAt < rules.warmWithin()
+                                ? changeTo(StormState.RECOVERING, "returned")
+                                : quiet ? changeTo(StormState.CALM, "over") : null;
             case RECOVERING ->
-                out
-                        ? to(StormState.STORM, "fell again")
-                        : now - backAt < rules.warmWithin()
+                inOutage
+                        ? changeTo(StormState.STORM, "fell again")
+                        : now - recoveredAt < rules.warmWithin()
                                 ? null
-                                : quiet ? to(StormState.CALM, "warm") : to(StormState.STORM, "warm, much owed");
+                                : quiet
+                                        ? changeTo(StormState.CALM, "warm")
+                                        : changeTo(StormState.STORM, "warm, much owed");
         };
     }
 
-    /** Whether no later {@link #turn} changes anything, nor what it asks for, until it is told something. */
-    boolean settled(double now) {
+    /** Whether {@link #updateState} and the resulting advice stay the same until the next input. */
+    boolean isSettled(double now) {
         return state == StormState.CALM
-                && !out
-                && !seenBack
-                && owed == 0
-                && arrivals.get(now) < LEAST_ARRIVALS // so that the share handed in again is none, and stays so
-                && !Double.isNaN(quietFrom);
+                && !inOutage
+                && !recoveryToReport
+                && pending == 0
+                && arrivals.get(now) < MIN_ARRIVALS // the share of resubmissions is 0 and stays 0
+                && !Double.isNaN(quietSince);
     }
 
-    private Change to(StormState next, String reason) {
+    private Change changeTo(StormState next, String reason) {
         Change change = new Change(state, next, reason);
         if (state == StormState.CALM || next == StormState.CALM) {
-            cut = 1;
+            rateFactor = 1;
         }
         state = next;
         return change;
     }
 
-    /** What it takes from all relays together, from now on; null where no rate is known or none is needed. */
-    Ramp takes(double now) {
-        if (state == StormState.CALM || stated() <= 0) {
+    /** Rate accepted from all relays together from now on; null if it is unknown or the state is CALM. */
+    RateCurve acceptedRate(double now) {
+        if (state == StormState.CALM || statedRate() <= 0) {
             return null;
         }
-        double rate = stated() * settings.margin() * cut;
-        if (out) {
-            return new Ramp(now, rules.coldFrom(), rules.warmWithin(), rate); // were it back at this moment
+        double rate = statedRate() * settings.rateMargin() * rateFactor;
+        if (inOutage) {
+            return new RateCurve(now, rules.coldFrom(), rules.warmWithin(), rate); // as if it recovered now
         }
         return state == StormState.RECOVERING
-                ? new Ramp(backAt, rules.coldFrom(), rules.warmWithin(), rate)
-                : Ramp.steady(rate);
+                ? new RateCurve(recoveredAt, rules.coldFrom(), rules.warmWithin(), rate)
+                : RateCurve.constant(rate);
     }
 
-    /**
-     * Calls a second that it takes from all relays, as its reports say, else as its listing does; 0 if
-     * unknown.
-     */
-    double stated() {
-        return reported > 0 ? reported : listed;
+    /** Rate limit over all relays in calls per second, as reported by the destination, else as listed; 0 if unknown. */
+    double statedRate() {
+        return reportedRate > 0 ? reportedRate : listedRate;
     }
 
-    /** Messages a second that arrive for it here. */
-    double demand(double now) {
-        return arrivals.get(now) / SPAN;
+    /** Messages per second that arrive for the destination at this relay. */
+    double arrivalRate(double now) {
+        return arrivals.get(now) / ARRIVAL_WINDOW_SECONDS;
     }
 
     StormState state() {
         return state;
     }
 
-    boolean out() {
-        return out;
+    boolean inOutage() {
+        return inOutage;
     }
 
-    double outFrom() {
-        return outFrom;
+    double outageStart() {
+        return outageStart;
     }
 
-    double backAt() {
-        return backAt;
+    double recoveredAt() {
+        return recoveredAt;
     }
 
-    int owed() {
-        return owed;
+    int pending() {
+        return pending;
     }
 }
--- a/src/main/java/juniperusher/storm/Fingerprints.java
+++ b/src/main/java/juniperusher/storm/Fingerprints.java
@@ -5,42 +5,42 @@
 import java.util.Map;
 
 /**
- * Remembers what was refused, so that it is known when it is handed in again: under a new id, as clients do,
- * and
- * without a mark. One refusal accounts for one return. Bounded in number and age; the oldest goes first.
+ * Fingerprints of refused messages, to recognize a resubmission that has a new id and no mark of the client. Each
+ * refusal matches one resubmission. Entries are bounded in number and age; the oldest is dropped first. Not
+ * thread-safe.
  */
 final class Fingerprints {
-    private static final int MOST = 4096;
-    private static final double LASTS = 30; // s, clients do not return later
+    private static final int MAX_FINGERPRINTS = 4096;
+    private static final double RETENTION_SECONDS = 30; // clients do not resubmit a message later
 
-    private final Map<Long, Refused> refused = new LinkedHashMap<>(); // the latest refusal last
+    private final Map<Long, Refusals> refusals = new LinkedHashMap<>(); // by fingerprint, least recently refused first
 
-    /** How often a fingerprint was refused and has not come again, and when it was last. */
-    private record Refused(int count, double at) {}
+    /** Number of refusals without a resubmission, and the time of the last refusal. */
+    private record Refusals(int count, double lastAt) {}
 
-    /** What has this fingerprint is refused now. */
-    void refused(long print, double now) {
-        Refused before = refused.remove(print);
-        refused.put(print, new Refused(before == null ? 1 : before.count() + 1, now));
-        Iterator<Refused> oldest = refused.values().iterator();
-        while (oldest.next().at() < now - LASTS || refused.size() > MOST) {
+    /** Records the refusal of a message with this fingerprint. */
+    void recordRefusal(long fingerprint, double now) {
+        Refusals before = refusals.remove(fingerprint);
+        refusals.put(fingerprint, new Refusals(before == null ? 1 : before.count() + 1, now));
+        Iterator<Refusals> oldest = refusals.values().iterator();
+        while (oldest.next().lastAt() < now - RETENTION_SECONDS || refusals.size() > MAX_FINGERPRINTS) {
             oldest.remove();
         }
     }
 
-    /** Whether what arrives was refused before; then that refusal is accounted for. */
-    boolean again(long print, double now) {
-        Refused before = refused.remove(print);
-        if (before == null || before.at() < now - LASTS) {
+    /** Whether a message with this fingerprint was refused before; if so, one refusal is removed. */
+    boolean takeRefusal(long fingerprint, double now) {
+        Refusals before = refusals.remove(fingerprint);
+        if (before == null || before.lastAt() < now - RETENTION_SECONDS) {
             return false;
         }
         if (before.count() > 1) {
-            refused.put(print, new Refused(before.count() - 1, before.at()));
+            refusals.put(fingerprint, new Refusals(before.count() - 1, before.lastAt()));
         }
         return true;
     }
 
     int size() {
-        return refused.size();
+        return refusals.size();
     }
 }
--- a/src/main/java/juniperusher/storm/StormNote.java
+++ b/src/main/java/juniperusher/storm/StormNote.java
@@ -6,95 +6,98 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a relay tells the others while there are storms, in at most 256 bytes: two of mark, one of version,
- * one of
- * count, eight of the sender's clock, 23 for each destination, four of checksum. Whoever reads another
- * version, a
- * wrong length or a wrong checksum reads nothing.
+ * Datagram that a relay sends to the other relays during storms. Immutable. The encoding has at most 256 bytes: magic
+ * number (2), version (1), number of entries (1), sender's clock (8), entries (23 each), CRC-32C (4). A datagram of
+ * another version, of a wrong length or with a wrong checksum is ignored as a whole.
  *
- * @param sentAt  the sender's own clock in seconds
- * @param entries one for each destination that is not calm, those with most owed first
+ * @param sentAt  time of sending by the sender's clock, in seconds
+ * @param entries destinations that are not calm, those with the most pending messages first
  */
 record StormNote(double sentAt, List<Entry> entries) {
-    static final int MOST_BYTES = 256;
-    static final int MOST_ENTRIES = 10;
-    private static final short MARK = (short) 0x4a53;
+    static final int MAX_BYTES = 256;
+    static final int MAX_ENTRIES = 10;
+    private static final short MAGIC = (short) 0x4a53;
     private static final byte VERSION = 1;
-    private static final int HEAD = 12;
-    private static final int ENTRY = 23;
-    private static final int CHECK = 4;
-    private static final double AGE_UNIT = 0.01; // s
-    private static final int NEVER = 0xffff;
-    private static final double ROUNDING = 1e-6; // of what was floored to the same steps before
+    private static final int HEADER_BYTES = 12;
+    private static final int ENTRY_BYTES = 23;
+    private static final int CHECKSUM_BYTES = 4;
+    private static final double AGE_UNIT_SECONDS = 0.01;
+    /** Maximum of an unsigned 16-bit field; as an age it means infinite. */
+    private static final int MAX_UNSIGNED_SHORT = 0xffff;
+    /** Added before rounding down a part that was already rounded down to a multiple of 1/255. */
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     /**
-     * What it sees of one destination.
+     * State of one destination at the sender.
      *
-     * @param out      it counts as out
-     * @param outAge   s since the outage began, or infinite
-     * @param backAge  s since it returned, or infinite
-     * @param owed     messages held for it
-     * @param to       the relay that may use a part of this one's share, -1 for none
-     * @param part     how much of this relay's equal share, 0 to 1
-     * @param echo     what that relay's clock said when it was last heard, and how long ago
+     * @param destination number of the destination
+     * @param inOutage whether it is in an outage
+     * @param outageAgeSeconds seconds since the start of the outage, or infinite
+     * @param recoveryAgeSeconds seconds since the recovery, or infinite
+     * @param pending number of pending messages
+     * @param borrower number of the relay that a part of the sender's share is lent to, -1 for none
+     * @param lentFraction lent fraction of the sender's equal share, 0 to 1
+     * @param echo last timestamp received from the borrowing relay
      */
     record Entry(
             int destination,
-            boolean out,
-            double outAge,
-            double backAge,
-            int owed,
-            int to,
-            double part,
-            Shares.Echo echo) {}
+            boolean inOutage,
+            double outageAgeSeconds,
+            double recoveryAgeSeconds,
+            int pending,
+            int borrower,
+            double lentFraction,
+            RateShares.TimestampEcho echo) {}
 
     StormNote {
         entries = List.copyOf(entries);
-        if (entries.size() > MOST_ENTRIES) {
-            throw new IllegalArgumentException(entries.size() + " destinations; a note holds " + MOST_ENTRIES);
+        if (entries.size() > MAX_ENTRIES) {
+            throw new IllegalArgumentException(
+                    entries.size() + " destinations in a note; the maximum is " + MAX_ENTRIES);
         }
     }
 
-    byte[] bytes() {
-        ByteBuffer out = ByteBuffer.allocate(HEAD + ENTRY * entries.size() + CHECK);
-        out.putShort(MARK).put(VERSION).put((byte) entries.size()).putDouble(sentAt);
+    /** Encodes the note; fractions and ages are rounded down. */
+    byte[] encode() {
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + ENTRY_BYTES * entries.size() + CHECKSUM_BYTES);
+        out.putShort(MAGIC).put(VERSION).put((byte) entries.size()).putDouble(sentAt);
         for (Entry entry : entries) {
             out.putInt(entry.destination())
-                    .put((byte) (entry.out() ? 1 : 0))
-                    .putShort(age(entry.outAge()))
-                    .putShort(age(entry.backAge()))
-                    .putShort((short) Math.min(NEVER, entry.owed()))
-                    .put((byte) entry.to())
-                    .put((byte) (int) Math.floor(entry.part() * 255 + ROUNDING))
-                    .putDouble(entry.echo().stamp())
-                    .putShort(age(entry.echo().age()));
+                    .put((byte) (entry.inOutage() ? 1 : 0))
+                    .putShort(encodeAge(entry.outageAgeSeconds()))
+                    .putShort(encodeAge(entry.recoveryAgeSeconds()))
+                    .putShort((short) Math.min(MAX_UNSIGNED_SHORT, entry.pending()))
+                    .put((byte) entry.borrower())
+                    .put((byte) (int) Math.floor(entry.lentFraction() * 255 + ROUNDING_TOLERANCE))
+                    .putDouble(entry.echo().timestamp())
+                    .putShort(encodeAge(entry.echo().ageSeconds()));
         }
-        out.putInt(check(out.array(), out.position()));
+        out.putInt(checksum(out.array(), out.position()));
         return out.array();
     }
 
-    private static short age(double seconds) {
-        return (short) (int) Math.min(NEVER, Math.floor(Math.max(0, seconds) / AGE_UNIT));
+    private static short encodeAge(double seconds) {
+        return (short) (int) Math.min(MAX_UNSIGNED_SHORT, Math.floor(Math.max(0, seconds) / AGE_UNIT_SECONDS));
     }
 
-    private static int check(byte[] bytes, int length) {
-        CRC32C check = new CRC32C();
-        check.update(bytes, 0, length);
-        return (int) check.getValue();
+    private static int checksum(byte[] bytes, int length) {
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, 0, length);
+        return (int) crc.getValue();
     }
 
-    /** The note that the bytes hold, or null if they hold none. */
-    static StormNote read(byte[] bytes) {
-        if (bytes.length < HEAD + CHECK || bytes.length > MOST_BYTES) {
+    /** Decodes a note; null if the bytes are not a valid note of this version. */
+    static StormNote decode(byte[] bytes) {
+        if (bytes.length < HEADER_BYTES + CHECKSUM_BYTES || bytes.length > MAX_BYTES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        boolean mine = in.getShort() == MARK && in.get() == VERSION;
+        boolean knownFormat = in.getShort() == MAGIC && in.get() == VERSION;
         int count = in.get() & 0xff;
-        if (!mine
-                || bytes.length != HEAD + ENTRY * count + CHECK
-                || count > MOST_ENTRIES
-                || check(bytes, bytes.length - CHECK) != in.getInt(bytes.length - CHECK)) {
+        if (!knownFormat
+                || bytes.length != HEADER_BYTES + ENTRY_BYTES * count + CHECKSUM_BYTES
+                || count > MAX_ENTRIES
+                || checksum(bytes, bytes.length - CHECKSUM_BYTES) != in.getInt(bytes.length - CHECKSUM_BYTES)) {
             return null;
         }
         double sentAt = in.getDouble();
@@ -103,18 +106,18 @@
             entries.add(new Entry(
                     in.getInt(),
                     in.get() != 0,
-                    seconds(in.getShort()),
-                    seconds(in.getShort()),
+                    decodeAge(in.getShort()),
+                    decodeAge(in.getShort()),
                     in.getShort() & 0xffff,
                     in.get(),
                     (in.get() & 0xff) / 255.0,
-                    new Shares.Echo(in.getDouble(), seconds(in.getShort()))));
+                    new RateShares.TimestampEcho(in.getDouble(), decodeAge(in.getShort()))));
         }
         return Double.isFinite(sentAt) ? new StormNote(sentAt, entries) : null;
     }
 
-    private static double seconds(short age) {
+    private static double decodeAge(short age) {
         int units = age & 0xffff;
-        return units == NEVER ? Double.POSITIVE_INFINITY : units * AGE_UNIT;
+        return units == MAX_UNSIGNED_SHORT ? Double.POSITIVE_INFINITY : units * AGE_UNIT_SECONDS;
     }
 }
--- a/src/main/java/juniperusher/storm/StormSettings.java
+++ b/src/main/java/juniperusher/storm/StormSettings.java
@@ -1,44 +1,47 @@
 package juniperusher.storm;
 
 /**
- * What an operator may set.
+ * Operator settings of the handling of retry storms. Immutable. The keys in messages of exceptions are those of the
+ * operator file.
  *
- * @param outageAfter   s of failures without one success after which a destination counts as out
- * @param againShare    share of arrivals handed in again from which on there is a storm
- * @param againCalm     the same, below which it is over
- * @param owedSeconds   s of the destination's rate that may be owed before there is a storm
- * @param owedCalm      the same, below which it is over
- * @param quiet         s for which it must stay so
- * @param heldShare     of what a relay may hold: what one storm may take of it at most
- * @param margin        share of what a returning destination is believed to take that is sent to it
- * @param noteEvery     s between two notes while there is a storm
+ * @param outageAfterSeconds seconds of failures without a success after which a destination is considered in an outage
+ * @param resubmittedShare fraction of resubmissions among the arrivals above which a storm begins
+ * @param resubmittedShareCalm fraction of resubmissions at or below which a storm can end
+ * @param pendingSeconds pending messages, in seconds of this relay's share of the destination's rate, above which a
+ *     storm begins
+ * @param pendingSecondsCalm the same, at or below which a storm can end
+ * @param quietSeconds seconds for which both values have to stay low before a storm ends
+ * @param pendingShare fraction of the relay's maximum of pending messages that one destination in a storm may use while
+ *     the relay is loaded
+ * @param rateMargin fraction of the accepted rate of a destination that is sent to it during a storm
+ * @param noteEvery seconds between two peer notes during a storm
  */
 public record StormSettings(
-        double outageAfter,
-        double againShare,
-        double againCalm,
-        double owedSeconds,
-        double owedCalm,
-        double quiet,
-        double heldShare,
-        double margin,
+        double outageAfterSeconds,
+        double resubmittedShare,
+        double resubmittedShareCalm,
+        double pendingSeconds,
+        double pendingSecondsCalm,
+        double quietSeconds,
+        double pendingShare,
+        double rateMargin,
         double noteEvery) {
-    /** What fits most installations. */
+    /** Default settings. */
     public static final StormSettings USUAL = new StormSettings(1.5, 0.3, 0.1, 3, 0.5, 2, 0.4, 1, 0.25);
 
     public StormSettings {
-        positive("outage_after", outageAfter);
-        share("again_share", againShare);
-        share("again_calm", againCalm);
-        positive("owed_seconds", owedSeconds);
-        positive("owed_calm", owedCalm);
-        positive("quiet", quiet);
-        share("held_share", heldShare);
-        share("margin", margin);
+        positive("outage_after", outageAfterSeconds);
+        share("again_share", resubmittedShare);
+        share("again_calm", resubmittedShareCalm);
+        positive("owed_seconds", pendingSeconds);
+        positive("owed_calm", pendingSecondsCalm);
+        positive("quiet", quietSeconds);
+        share("held_share", pendingShare);
+        share("margin", rateMargin);
         positive("note_every", noteEvery);
-        if (againCalm >= againShare || owedCalm >= owedSeconds) {
+        if (resubmittedShareCalm >= resubmittedShare || pendingSecondsCalm >= pendingSeconds) {
             throw new IllegalArgumentException("again_calm must be below again_share, and owed_calm below "
-                    + "owed_seconds: else a storm begins and ends without pause");
+                    + "owed_seconds; otherwise a storm would begin and end repeatedly");
         }
     }
 
--- a/src/main/java/juniperusher/storm/StormState.java
+++ b/src/main/java/juniperusher/storm/StormState.java
@@ -1,11 +1,11 @@
 package juniperusher.storm;
 
-/** How things stand with a destination. */
+/** Retry-storm state of a destination. */
 public enum StormState {
-    /** Nothing is asked of it that it does not take. */
+    /** The destination accepts all calls; its rate is not limited. */
     CALM,
-    /** It is out, or more is owed and handed in again than it takes. */
+    /** The destination is in an outage, or pending or resubmitted messages exceed its rate. */
     STORM,
-    /** It has come back from an outage, cold. */
+    /** The destination has recovered from an outage and is in slow start. */
     RECOVERING
 }
--- a/src/main/java/juniperusher/storm/Storms.java
+++ b/src/main/java/juniperusher/storm/Storms.java
@@ -30,429 +30,478 @@
 import juniperusher.Protocol.Withdrawn;
 
 /**
- * Sees each round of the module: its events before it and its actions after it. Tells the module, by
- * {@link Advised}, at which rate this relay may call a destination, how much may be held for it and when
- * there
- * will be room; tells the other relays by notes. One thread; the same rounds give the same advice.
+ * Detects retry storms and limits what this relay sends meanwhile. It sees the events of the decision module before
+ * each round and its actions after it. By {@link Advised} it tells the module for each destination the rate that this
+ * relay may send, the maximum of pending messages and the time until there is capacity for more; it informs the other
+ * relays by notes. Not thread-safe; deterministic for the same sequence of rounds.
  */
 public final class Storms {
-    private static final double SHUT = 3; // s: a longer told wait is an outage's, not a limit's
-    private static final double STALE = 5; // s after which what another relay holds is not known any more
-    private static final double LEAST_CHANGE = 0.01; // of the rate, before the module is told anew
-    private static final double HORIZON = 30; // s, the farthest return that is told
-    private static final double MOST_HELD = 0.8; // of the relay's room, less what all others have of it
-    private static final int LEAST_HELD = 4; // messages, whatever the bound says
-    private static final int LEAST_NEED = 2; // messages owed, below which a relay lends most of its share
+    /** A longer retry-after delay indicates an outage of the destination rather than a rate limit. */
+    private static final double MIN_OUTAGE_RETRY_AFTER_SECONDS = 3;
+    /** The number of pending messages at another relay is considered unknown after this time without a note. */
+    private static final double PEER_PENDING_MAX_AGE_SECONDS = 5;
+    /** Smaller relative changes of the advice are not passed to the module. */
+    private static final double MIN_RELATIVE_CHANGE = 0.01;
+    /** Longest delay until there is capacity that is advised. */
+    private static final double MAX_CAPACITY_DELAY_SECONDS = 30;
+    /**
+     * A destination may use this fraction of the relay's maximum of pending messages, less those of all other
+     * destinations.
+     */
+    private static final double MAX_PENDING_FRACTION = 0.8;
+    /** The advised maximum of pending messages is never smaller. */
+    private static final int MIN_PENDING_LIMIT = 4;
+    /** A relay keeps the capacity for this many messages when it lends, and borrows only with more pending. */
+    private static final int PENDING_RESERVE = 2;
 
-    private static final double PROBES = 4; // a second, of all relays together, and
-    private static final double PROBE_SHARE = 0.4; // of what a destination takes cold
+    /** Probe rate of one destination over all relays. */
+    private static final double MAX_PROBES_PER_SECOND = 4;
+    /** Probes may use at most this fraction of the rate that a destination accepts right after an outage. */
+    private static final double PROBE_FRACTION_OF_COLD_RATE = 0.4;
 
-    private static final Shares.Echo NO_ECHO = new Shares.Echo(0, Double.POSITIVE_INFINITY);
+    private static final RateShares.TimestampEcho NO_ECHO = new RateShares.TimestampEcho(0, Double.POSITIVE_INFINITY);
 
     private final StormSettings settings;
-    private final Settings module;
-    private final int me;
-    private final double epoch;
-    private final Shares shares;
+    private final Settings moduleSettings;
+    private final int relayNumber;
+    private final double clockOffsetSeconds;
+    private final RateShares shares;
     private final Map<Integer, DestinationStorm> destinations = new TreeMap<>();
-    // Those whose turn may change something; all others are calm and stay as they are until they are touched.
+    // Destinations that each round has to update; all others are calm and unchanged until their next input.
     private final Set<Integer> active = new TreeSet<>();
     private final Map<Integer, Target> targets = new TreeMap<>();
-    // the module's probes that are out, by target
-    private final Map<Integer, Integer> asking = new HashMap<>();
-    private final Map<Integer, Integer> held = new HashMap<>(); // destination, by message
-    private final Map<Long, Double> sent = new HashMap<>(); // when, by message and attempt
-    private final Map<Integer, Integer> attempts = new HashMap<>(); // by message
-    private final Map<Integer, Long> prints = new HashMap<>(); // by message
-    private final Fingerprints fingerprints = new Fingerprints();
-    private double roundAt; // the last round's time
-    private final Map<Long, Heard> heard = new HashMap<>(); // by relay and destination
-    private final Map<Integer, Advised> told = new HashMap<>();
-    private final List<Log> lines = new ArrayList<>();
-    private double noteAt;
-    private long changes;
-
-    /** What another relay holds for a destination. */
-    private record Heard(int from, int owed, double at) {}
+    // Number of probes in flight that the module has requested, by target.
+    private final Map<Integer, Integer> moduleProbesInFlight = new HashMap<>();
+    private final Map<Integer, Integer> pendingMessages =
+            new HashMap<>(); // destination number by message id, pending messages only
+    private final Map<Long, Double> sendTimes = new HashMap<>(); // by message and attempt
+    private final Map<Integer, Integer> attemptsByMessage = new HashMap<>(); // by message
+    private final Map<Integer, Long> fingerprintsByMessage = new HashMap<>(); // by message
+    private final Fingerprints refusedFingerprints = new Fingerprints();
+    private double roundTime;
+    private final Map<Long, PeerPending> peerPending = new HashMap<>(); // by relay and destination
+    private final Map<Integer, Advised> lastAdvice = new HashMap<>(); // by destination
+    private final List<Log> stateChangeLogs = new ArrayList<>();
+    private double nextNoteAt;
+    private long stateChanges;
+
+    /** Number of messages that another relay has pending for a destination. */
+    private record PeerPending(int relay, int pending, double receivedAt) {}
 
     /**
-     * {@code me} is this relay's number among the senders, {@code epoch} what has to be added to the rounds'
-     * time
-     * to get a clock that does not go back over a restart; {@code born} is the rounds' time at the start.
+     * Creates the storm handling of one relay.
+     *
+     * @param module settings of the decision module
+     * @param me number of this relay among the senders
+     * @param epoch seconds to add to the time of a round to get a clock that does not go back over a restart
+     * @param born time of the rounds' clock at the start of the process
      */
-    public Storms(StormSettings settings, Settings module, int me, double epoch, double born) {
+    public Storms(
+            StormSettings settings,
+            Settings moduleSettings,
+            int relayNumber,
+            double clockOffsetSeconds,
+            double startTime) {
         this.settings = settings;
-        this.module = module;
-        this.me = me;
-        this.epoch = epoch;
-        shares = new Shares(module.senders(), epoch + born);
+        this.moduleSettings = moduleSettings;
+        this.relayNumber = relayNumber;
+        this.clockOffsetSeconds = clockOffsetSeconds;
+        shares = new RateShares(moduleSettings.senders(), clockOffsetSeconds + startTime);
     }
 
     // ---- before a round ----
 
     /**
-     * A message arrives whose client marks nothing; whether it was refused before. Called before the round in
-     * which the module hears of it.
+     * Whether an arriving message without a mark of its client was refused before, by its fingerprint. Has to be called
+     * before the round that contains its arrival.
      */
-    public boolean comesAgain(int message, long print) {
-        prints.put(message, print);
-        return fingerprints.again(print, roundAt);
+    public boolean comesAgain(int message, long fingerprint) {
+        fingerprintsByMessage.put(message, fingerprint);
+        return refusedFingerprints.takeRefusal(fingerprint, roundTime);
     }
 
-    /** Something was refused before it became a message. */
-    public void turnedAway(double now, long print) {
-        fingerprints.refused(print, now);
+    /** Records the refusal of a request that was never passed to the decision module as a message. */
+    public void turnedAway(double now, long fingerprint) {
+        refusedFingerprints.recordRefusal(fingerprint, now);
     }
 
     /**
-     * Takes the events of a round; what the module is to be told: them, without probes of ours, and advice.
+     * Processes the events of a round.
+     *
+     * @return the events for the module: those given, without results of probes that it has not requested, followed by
+     *     advice
      */
     public List<Event> before(double now, List<Event> events) {
-        List<Event> advice = new ArrayList<>();
-        roundAt = now;
+        List<Event> moduleEvents = new ArrayList<>();
+        roundTime = now;
         for (Event event : events) {
-            if (!(event instanceof Probed probed) || probed(now, probed)) {
-                take(now, event);
-                advice.add(event);
+            if (!(event instanceof Probed probed) || applyProbeResult(now, probed)) {
+                applyEvent(now, event);
+                moduleEvents.add(event);
             }
         }
         for (Iterator<Integer> numbers = active.iterator(); numbers.hasNext(); ) {
             int number = numbers.next();
             DestinationStorm storm = destinations.get(number);
-            DestinationStorm.Change change = storm.turn(now, shares.part(number, epoch + now));
+            DestinationStorm.Change change =
+                    storm.updateState(now, shares.fractionOf(number, clockOffsetSeconds + now));
             if (change != null) {
-                changes++;
-                lines.add(new Log("storm destination=" + number + " from=" + change.from() + " to="
+                stateChanges++;
+                stateChangeLogs.add(new Log("storm destination=" + number + " from=" + change.from() + " to="
                         + change.to()
-                        + " reason=" + change.reason() + " owed=" + storm.owed() + " stated="
-                        + storm.stated()));
+                        + " reason=" + change.reason() + " owed=" + storm.pending() + " stated="
+                        + storm.statedRate()));
             }
             Advised next = advise(number, storm, now);
-            if (differs(told.get(number), next)) {
-                told.put(number, next);
-                advice.add(next);
+            if (differsNotably(lastAdvice.get(number), next)) {
+                lastAdvice.put(number, next);
+                moduleEvents.add(next);
             }
-            if (storm.settled(now)) {
+            if (storm.isSettled(now)) {
                 numbers.remove();
             }
         }
-        return advice;
+        return moduleEvents;
     }
 
-    private void take(double now, Event event) {
+    private void applyEvent(double now, Event event) {
         if (event instanceof TargetList list) {
-            list(list);
+            applyTargets(list);
         } else if (event instanceof Arrived arrived) {
             int destination = arrived.message().destination();
-            held.put(arrived.message().id(), destination);
-            attempts.put(arrived.message().id(), arrived.message().attempts());
-            at(destination).arrived(now, arrived.message().again());
+            pendingMessages.put(arrived.message().id(), destination);
+            attemptsByMessage.put(arrived.message().id(), arrived.message().attempts());
+            activate(destination).messageArrived(now, arrived.message().again());
         } else if (event instanceof Withdrawn withdrawn) {
-            over(withdrawn.message());
+            messageFinished(withdrawn.message());
         } else if (event instanceof Ended ended) {
-            ended(now, ended);
+            applyCallResult(now, ended);
         } else if (event instanceof Noted noted) {
-            noted(now, noted);
+            applyNote(now, noted);
         }
     }
 
-    /** A probe's result; whether the module has asked for it. */
-    private boolean probed(double now, Probed probed) {
-        int asked = asking.getOrDefault(probed.target(), 0);
-        asking.computeIfPresent(probed.target(), (key, count) -> count > 1 ? count - 1 : null);
+    /** Applies the result of a probe; returns whether the module has requested that probe. */
+    private boolean applyProbeResult(double now, Probed probed) {
+        int requestedByModule = moduleProbesInFlight.getOrDefault(probed.target(), 0);
+        moduleProbesInFlight.computeIfPresent(probed.target(), (key, count) -> count > 1 ? count - 1 : null);
         Target target = targets.get(probed.target());
         if (target != null) {
-            DestinationStorm storm = at(target.destination());
-            if (asked == 0) {
-                storm.probeOver();
+            DestinationStorm storm = activate(target.destination());
+            if (requestedByModule == 0) {
+                storm.probeFinished();
             }
             if (probed.ok()) {
-                storm.succeeded(now, now - probed.elapsed(), 0);
-                storm.backElsewhere(asked == 0);
+                storm.callSucceeded(now, now - probed.elapsed(), 0);
+                storm.reportRecoveryIfUnknown(requestedByModule == 0);
             } else {
-                storm.failed(now, now - probed.elapsed());
+                storm.callFailed(now, now - probed.elapsed());
             }
         }
-        return asked > 0;
+        return requestedByModule > 0;
     }
 
-    /** The destination, which is about to be told something. */
-    private DestinationStorm at(int destination) {
+    /** The state of the destination, which is marked for an update in this round. */
+    private DestinationStorm activate(int destination) {
         active.add(destination);
-        return destinations.computeIfAbsent(destination, key -> new DestinationStorm(settings, module.rules()));
+        return destinations.computeIfAbsent(destination, key -> new DestinationStorm(settings, moduleSettings.rules()));
     }
 
-    private void list(TargetList list) {
+    private void applyTargets(TargetList list) {
         if (list.whole()) {
             targets.clear();
         }
         for (Target target : list.targets()) {
             targets.put(target.id(), target);
-            // The listed weight is the whole destination's rate, and the same at each of its endpoints.
-            if (target.phase() != Phase.GONE && module.weight() != juniperusher.Protocol.Weight.NONE) {
-                at(target.destination()).listed(target.weight());
+            // The listed weight is the rate of the whole destination and the same at all of its endpoints.
+            if (target.phase() != Phase.GONE && moduleSettings.weight() != juniperusher.Protocol.Weight.NONE) {
+                activate(target.destination()).setListedRate(target.weight());
             }
         }
     }
 
-    private void ended(double now, Ended ended) {
+    private void applyCallResult(double now, Ended ended) {
         Target target = targets.get(ended.target());
-        Double sentAt = sent.remove(call(ended.message(), ended.attempt()));
+        Double sentAt = sendTimes.remove(callKey(ended.message(), ended.attempt()));
         if (target != null) {
-            DestinationStorm storm = at(target.destination());
-            double from = sentAt == null ? now - ended.elapsed() : sentAt;
-            double limit = ended.report() == null ? 0 : ended.report().limit();
+            DestinationStorm storm = activate(target.destination());
+            double sentTime = sentAt == null ? now - ended.elapsed() : sentAt;
+            double reportedLimit = ended.report() == null ? 0 : ended.report().limit();
             switch (ended.outcome()) {
-                case DELIVERED -> storm.succeeded(now, from, limit);
+                case DELIVERED -> storm.callSucceeded(now, sentTime, reportedLimit);
                 case FULL -> {
-                    storm.told(now + ended.told());
-                    if (ended.told() > SHUT) {
-                        storm.failed(now, from);
+                    storm.extendRetryAfter(now + ended.told());
+                    if (ended.told() > MIN_OUTAGE_RETRY_AFTER_SECONDS) {
+                        storm.callFailed(now, sentTime);
                     } else {
-                        storm.full(now, from, limit);
+                        storm.callRefused(now, sentTime, reportedLimit);
                     }
                 }
                 case NOT_SENT, CANCELLED -> {}
-                default -> storm.failed(now, from);
+                default -> storm.callFailed(now, sentTime);
             }
         }
         if (ended.over()) {
-            over(ended.message());
+            messageFinished(ended.message());
         }
     }
 
-    private static long call(int message, int attempt) {
+    private static long callKey(int message, int attempt) {
         return (long) message << 16 | attempt;
     }
 
-    private void over(int message) {
-        Integer destination = held.remove(message);
-        attempts.remove(message);
-        prints.remove(message);
+    private void messageFinished(int message) {
+        Integer destination = pendingMessages.remove(message);
+        attemptsByMessage.remove(message);
+        fingerprintsByMessage.remove(message);
         if (destination != null) {
-            at(destination).over();
+            activate(destination).messageFinished();
         }
     }
 
-    // ---- what follows from it ----
+    // ---- advice ----
 
     private Advised advise(int number, DestinationStorm storm, double now) {
-        Ramp all = storm.takes(now);
-        if (all == null) {
-            return new Advised(number, Double.POSITIVE_INFINITY, Integer.MAX_VALUE, 0, storm.seenBack());
+        RateCurve acceptedRate = storm.acceptedRate(now);
+        if (acceptedRate == null) {
+            return new Advised(number, Double.POSITIVE_INFINITY, Integer.MAX_VALUE, 0, storm.takeRecoveryReport());
         }
-        double part = shares.part(number, epoch + now);
-        double deadline =
-                module.classes().stream().mapToDouble(c -> c.deadline()).max().orElse(HORIZON);
-        // What cannot be delivered in its time is better turned away at once; nor may one storm fill the
-        // relay.
-        int room = (int) Math.min(
+        double fraction = shares.fractionOf(number, clockOffsetSeconds + now);
+        double deadline = moduleSettings.classes().stream()
+                .mapToDouble(c -> c.deadline())
+                .max()
+                .orElse(MAX_CAPACITY_DELAY_SECONDS);
+        // Messages that cannot be delivered before their deadline are better refused at once, and one storm must
+        // not use up the relay's capacity for pending messages.
+        int maxPending = (int) Math.min(
                 Math.max(
-                        module.allowed().held() * settings.heldShare(),
-                        module.allowed().held() * MOST_HELD - (held.size() - storm.owed())),
-                all.between(now, now + deadline) * part);
-        double roomAt = all.after(now, storm.owed() / part, HORIZON);
-        return new Advised(number, all.at(now) * part, Math.max(LEAST_HELD, room), roomAt - now, storm.seenBack());
+                        moduleSettings.allowed().held() * settings.pendingShare(),
+                        moduleSettings.allowed().held() * MAX_PENDING_FRACTION
+                                - (pendingMessages.size() - storm.pending())),
+                acceptedRate.callsBetween(now, now + deadline) * fraction);
+        double capacityAt = acceptedRate.timeOfCalls(now, storm.pending() / fraction, MAX_CAPACITY_DELAY_SECONDS);
+        return new Advised(
+                number,
+                acceptedRate.rateAt(now) * fraction,
+                Math.max(MIN_PENDING_LIMIT, maxPending),
+                capacityAt - now,
+                storm.takeRecoveryReport());
     }
 
-    /** Guards against advice in every round: a rate that has hardly moved is not told. */
-    private static boolean differs(Advised before, Advised next) {
+    /** Whether the advice has changed enough to be passed on, which avoids new advice in every round. */
+    private static boolean differsNotably(Advised previous, Advised next) {
         if (next.back()) {
             return true;
         }
-        if (before == null) {
+        if (previous == null) {
             return next.rate() < Double.POSITIVE_INFINITY;
         }
-        boolean same = before.rate() == next.rate()
-                || Math.abs(before.rate() - next.rate()) < LEAST_CHANGE * before.rate() && next.rate() >= before.rate();
+        boolean same = previous.rate() == next.rate()
+                || Math.abs(previous.rate() - next.rate()) < MIN_RELATIVE_CHANGE * previous.rate()
+                        && next.rate() >= previous.rate();
         return !(same
-                && Math.abs(before.hold() - next.hold()) <= LEAST_CHANGE * before.hold()
-                && Math.abs(before.returnIn() - next.returnIn()) <= LEAST_CHANGE * Math.max(1, before.returnIn()));
+                && Math.abs(previous.hold() - next.hold()) <= MIN_RELATIVE_CHANGE * previous.hold()
+                && Math.abs(previous.returnIn() - next.returnIn())
+                        <= MIN_RELATIVE_CHANGE * Math.max(1, previous.returnIn()));
     }
 
     // ---- after a round ----
 
-    /** Takes the actions of a round; what is to be done beside them. */
+    /** Processes the actions of a round and returns the actions to carry out in addition to them. */
     public List<Action> after(double now, List<Action> actions) {
         for (Action action : actions) {
             if (action instanceof Send send) {
-                int attempt = attempts.merge(send.message(), 1, Integer::sum) - 1;
-                sent.put(call(send.message(), attempt), now);
+                int attempt = attemptsByMessage.merge(send.message(), 1, Integer::sum) - 1;
+                sendTimes.put(callKey(send.message(), attempt), now);
             } else if (action instanceof Refuse refuse) {
-                refused(now, refuse.message());
-                Long print = prints.get(refuse.message());
-                if (print != null) {
-                    fingerprints.refused(print, now);
+                recordRefusal(now, refuse.message());
+                Long fingerprint = fingerprintsByMessage.get(refuse.message());
+                if (fingerprint != null) {
+                    refusedFingerprints.recordRefusal(fingerprint, now);
                 }
-                over(refuse.message());
+                messageFinished(refuse.message());
             } else if (action instanceof Fail fail) {
-                over(fail.message());
+                messageFinished(fail.message());
             } else if (action instanceof Probe probe) {
-                asking.merge(probe.target(), 1, Integer::sum);
+                moduleProbesInFlight.merge(probe.target(), 1, Integer::sum);
             }
         }
-        List<Action> further = new ArrayList<>(lines);
-        lines.clear();
-        if (module.allowed().probes() && out() > 0) {
-            probe(now, further);
+        List<Action> further = new ArrayList<>(stateChangeLogs);
+        stateChangeLogs.clear();
+        if (moduleSettings.allowed().probes() && out() > 0) {
+            addProbes(now, further);
         }
-        if (now >= noteAt && module.allowed().notes() && module.senders() > 1) {
-            StormNote note = note(now);
+        if (now >= nextNoteAt && moduleSettings.allowed().notes() && moduleSettings.senders() > 1) {
+            StormNote note = createNote(now);
             if (note != null) {
-                further.add(new Note(-1, note.bytes()));
-                noteAt = now + settings.noteEvery();
+                further.add(new Note(-1, note.encode()));
+                nextNoteAt = now + settings.noteEvery();
             }
         }
         return further;
     }
 
     /**
-     * Asks destinations that are out whether they are back, so that no message's attempt is spent on it and
-     * the
-     * return is found while few calls leave: all relays together no more often than {@link #PROBES} a second
-     * and
-     * than a part of what it would take cold.
+     * Adds probes of destinations in an outage, so that a recovery is detected without spending attempts of messages
+     * and even while few calls are sent. The rate over all relays is bounded by {@link #MAX_PROBES_PER_SECOND} and by
+     * {@link #PROBE_FRACTION_OF_COLD_RATE} of the rate that the destination accepts right after an outage.
      */
-    private void probe(double now, List<Action> further) {
+    private void addProbes(double now, List<Action> further) {
         for (Target target : targets.values()) {
             DestinationStorm storm = target.phase() == Phase.READY ? destinations.get(target.destination()) : null;
             if (storm != null) {
-                double most = Math.min(PROBES, PROBE_SHARE * module.rules().coldFrom() * storm.stated());
-                if (most > 0 && storm.probes(now, module.senders() / most, (me + 0.5) / module.senders())) {
+                double maxProbesPerSecond = Math.min(
+                        MAX_PROBES_PER_SECOND,
+                        PROBE_FRACTION_OF_COLD_RATE * moduleSettings.rules().coldFrom() * storm.statedRate());
+                if (maxProbesPerSecond > 0
+                        && storm.startProbeIfDue(
+                                now,
+                                moduleSettings.senders() / maxProbesPerSecond,
+                                (relayNumber + 0.5) / moduleSettings.senders())) {
                     further.add(new Probe(target.id()));
                 }
             }
         }
     }
 
-    private void refused(double now, int message) {
-        Integer destination = held.get(message);
+    private void recordRefusal(double now, int message) {
+        Integer destination = pendingMessages.get(message);
         if (destination != null) {
-            at(destination).refused(now);
+            activate(destination).messageRefused(now);
         }
     }
 
-    // ---- notes ----
+    // ---- peer notes ----
 
-    private StormNote note(double now) {
-        List<Map.Entry<Integer, DestinationStorm>> stormy = active.stream()
+    private StormNote createNote(double now) {
+        List<Map.Entry<Integer, DestinationStorm>> stormDestinations = active.stream()
                 .map(number -> Map.entry(number, destinations.get(number)))
                 .filter(entry -> entry.getValue().state() != StormState.CALM)
-                .sorted(Comparator.comparingInt(entry -> -entry.getValue().owed()))
-                .limit(StormNote.MOST_ENTRIES)
+                .sorted(Comparator.comparingInt(entry -> -entry.getValue().pending()))
+                .limit(StormNote.MAX_ENTRIES)
                 .toList();
-        if (stormy.isEmpty()) {
+        if (stormDestinations.isEmpty()) {
             return null;
         }
         List<StormNote.Entry> entries = new ArrayList<>();
-        for (Map.Entry<Integer, DestinationStorm> entry : stormy) {
+        for (Map.Entry<Integer, DestinationStorm> entry : stormDestinations) {
             DestinationStorm storm = entry.getValue();
-            int to = neediest(entry.getKey(), storm.owed(), now);
-            Shares.Echo echo = to < 0 ? null : shares.echo(to, epoch + now);
-            double part = echo == null ? 0 : shares.lend(entry.getKey(), to, surplus(storm, now), epoch + now);
+            int borrower = neediestRelay(entry.getKey(), storm.pending(), now);
+            RateShares.TimestampEcho echo = borrower < 0 ? null : shares.echoFor(borrower, clockOffsetSeconds + now);
+            double lentFraction = echo == null
+                    ? 0
+                    : shares.lend(entry.getKey(), borrower, surplusFraction(storm, now), clockOffsetSeconds + now);
             entries.add(new StormNote.Entry(
                     entry.getKey(),
-                    storm.out(),
-                    now - storm.outFrom(),
-                    now - storm.backAt(),
-                    storm.owed(),
-                    part > 0 ? to : -1,
-                    part,
-                    part > 0 ? echo : NO_ECHO));
+                    storm.inOutage(),
+                    now - storm.outageStart(),
+                    now - storm.recoveredAt(),
+                    storm.pending(),
+                    lentFraction > 0 ? borrower : -1,
+                    lentFraction,
+                    lentFraction > 0 ? echo : NO_ECHO));
         }
-        return new StormNote(epoch + now, entries);
+        return new StormNote(clockOffsetSeconds + now, entries);
     }
 
-    /** The relay that holds most for the destination, and more than this one; -1 for none. */
-    private int neediest(int destination, int owed, double now) {
+    /** The relay with the most pending messages, if it has more than twice those of this relay; -1 for none. */
+    private int neediestRelay(int destination, int ownPending, double now) {
         int best = -1;
-        int most = Math.max(LEAST_NEED, 2 * owed);
-        for (int relay = 0; relay < module.senders(); relay++) {
-            Heard other = heard.get(key(relay, destination));
-            if (other != null && now - other.at() < STALE && other.owed() > most) {
+        int maxPending = Math.max(PENDING_RESERVE, 2 * ownPending);
+        for (int relay = 0; relay < moduleSettings.senders(); relay++) {
+            PeerPending other = peerPending.get(peerKey(relay, destination));
+            if (other != null
+                    && now - other.receivedAt() < PEER_PENDING_MAX_AGE_SECONDS
+                    && other.pending() > maxPending) {
                 best = relay;
-                most = other.owed();
+                maxPending = other.pending();
             }
         }
         return best;
     }
 
     /**
-     * The part of its share that this relay does not need in the next seconds: what it holds and what is
-     * likely to
-     * arrive goes first. Nothing where it keeps to no share itself.
+     * Fraction of its equal share that this relay will not need during the next two loan periods, after its pending
+     * messages and the expected arrivals; 0 if its rate is not limited.
      */
-    private double surplus(DestinationStorm storm, double now) {
-        Ramp all = storm.takes(now);
-        if (all == null) {
+    private double surplusFraction(DestinationStorm storm, double now) {
+        RateCurve acceptedRate = storm.acceptedRate(now);
+        if (acceptedRate == null) {
             return 0;
         }
-        double seconds = 2 * Shares.LENT;
-        double can = all.between(now, now + seconds) / module.senders();
-        return 1 - (storm.owed() + storm.demand(now) * seconds + LEAST_NEED) / can;
+        double seconds = 2 * RateShares.LOAN_SECONDS;
+        double ownCapacity = acceptedRate.callsBetween(now, now + seconds) / moduleSettings.senders();
+        return 1 - (storm.pending() + storm.arrivalRate(now) * seconds + PENDING_RESERVE) / ownCapacity;
     }
 
-    private static long key(int relay, int destination) {
+    private static long peerKey(int relay, int destination) {
         return (long) relay << 32 | destination & 0xffffffffL;
     }
 
-    private void noted(double now, Noted noted) {
-        StormNote note = StormNote.read(noted.note());
+    private void applyNote(double now, Noted noted) {
+        StormNote note = StormNote.decode(noted.note());
         if (note == null
-                || noted.from() == me
+                || noted.from() == relayNumber
                 || noted.from() < 0
-                || noted.from() >= module.senders()
-                || !shares.heard(noted.from(), note.sentAt(), epoch + now)) {
-            return; // another version, spoilt, doubled or out of order: it says nothing
+                || noted.from() >= moduleSettings.senders()
+                || !shares.noteReceived(noted.from(), note.sentAt(), clockOffsetSeconds + now)) {
+            return; // another version, damaged, duplicated or out of order
         }
         for (StormNote.Entry entry : note.entries()) {
-            heard.put(key(noted.from(), entry.destination()), new Heard(noted.from(), entry.owed(), now));
+            peerPending.put(
+                    peerKey(noted.from(), entry.destination()), new PeerPending(noted.from(), entry.pending(), now));
             DestinationStorm storm = destinations.get(entry.destination());
             if (storm == null) {
-                continue; // never listed here
+                continue; // unknown destination: never listed at this relay
             }
             active.add(entry.destination());
-            if (entry.out()) {
-                storm.heardOut(now, now - entry.outAge());
-            } else if (Double.isFinite(entry.backAge())) {
-                storm.heardBack(now - entry.backAge());
+            if (entry.inOutage()) {
+                storm.peerDetectedOutage(now, now - entry.outageAgeSeconds());
+            } else if (Double.isFinite(entry.recoveryAgeSeconds())) {
+                storm.peerDetectedRecovery(now - entry.recoveryAgeSeconds());
             }
-            if (entry.to() == me) {
-                shares.borrow(noted.from(), entry.destination(), entry.part(), entry.echo(), epoch + now);
+            if (entry.borrower() == relayNumber) {
+                shares.borrow(
+                        noted.from(),
+                        entry.destination(),
+                        entry.lentFraction(),
+                        entry.echo(),
+                        clockOffsetSeconds + now);
             }
         }
     }
 
-    // ---- what there is to see ----
+    // ---- figures ----
 
-    /** The state of a destination. */
-    public StormState state(int destination) {
+    /** State of a destination. */
+    public StormState stateOf(int destination) {
         DestinationStorm storm = destinations.get(destination);
         return storm == null ? StormState.CALM : storm.state();
     }
 
-    /** How many destinations are in the state. */
+    /** Number of destinations in the state. */
     public int count(StormState state) {
-        int inIt = (int) activeStorms().filter(storm -> storm.state() == state).count();
-        return state == StormState.CALM ? destinations.size() - active.size() + inIt : inIt;
+        int activeInState =
+                (int) activeStorms().filter(storm -> storm.state() == state).count();
+        return state == StormState.CALM ? destinations.size() - active.size() + activeInState : activeInState;
     }
 
-    /** How many destinations count as out. */
+    /** Number of destinations in an outage. */
     public int out() {
-        return (int) activeStorms().filter(DestinationStorm::out).count();
+        return (int) activeStorms().filter(DestinationStorm::inOutage).count();
     }
 
     private Stream<DestinationStorm> activeStorms() {
         return active.stream().map(destinations::get);
     }
 
-    /** How many destinations a round looks at. */
-    int active() {
+    /** Number of destinations that each round updates. */
+    int activeCount() {
         return active.size();
     }
 
-    /** Changes of state so far. */
+    /** Number of state changes since the start. */
     public long changes() {
-        return changes;
+        return stateChanges;
     }
 }
--- a/src/main/java/juniperusher/storm/package-info.java
+++ b/src/main/java/juniperusher/storm/package-info.java
@@ -1,16 +1,11 @@
 /**
- * Retry storms: what a destination's return from an outage, or a wave of messages handed in again, asks of
- * this
- * relay beside the decisions on single messages. Owns the state of each destination (calm, storm,
- * recovering), the
- * rate that all relays together may send it then and this relay's share of that, the bound on what is held
- * for
- * it, the time at which refused clients are to return, and the notes between relays about all of these. The
- * door
- * is {@link juniperusher.storm.Storms}: it sees the module's events before and its actions after each round,
- * and
- * tells the module by {@code Protocol.Advised}.
+ * Handling of retry storms, which follow the recovery of a destination from an outage or a wave of resubmitted
+ * messages. Owns the state of each destination (calm, storm, recovering), the rate that all relays together may send
+ * to it and this relay's share of it, the bound on pending messages, the time at which refused clients should return,
+ * and the notes between relays about these. The entry point is {@link juniperusher.storm.Storms}: it sees the events of
+ * the decision module before each round and its actions after it, and advises the module by {@code Protocol.Advised}.
  *
- * <p>Must not know: sockets, threads, clocks, files, the module's insides. It decides on no message.
+ * <p>Must not depend on: sockets, threads, clocks, files, internals of the decision module. It makes no decision about
+ * a single message.
  */
 package juniperusher.storm;
--- a/src/test/java/juniperusher/membership/MembershipPropertyTest.java
+++ b/src/test/java/juniperusher/membership/MembershipPropertyTest.java
@@ -106,8 +106,8 @@
         void deliver(int watch) {
             Step.Open asked = open.get(watch);
             if (asked == null) { // an old watch that still talks, of endpoints all ready
-                carryOut(membership.told(
-                        watch, new Update(true, 99, List.of(entry(0, Phase.READY, 9)), Set.of()), now));
+                carryOut(
+                        membership.told(watch, new Update(true, 99, List.of(entry(0, Phase.READY, 9)), Set.of()), now));
                 return;
             }
             Update update = asked.whole() ? agent().whole() : agent().since(upTo.get(watch));
@@ -122,9 +122,9 @@
 
         void check() {
             assertTrue(membership.watch() == 0 || open.containsKey(membership.watch()));
-            assertTrue(membership.due() <= now + TIMING.silent() + SLACK, "due at " + membership.due());
+            assertTrue(membership.due() <= now + TIMING.silenceTimeoutSeconds() + SLACK, "due at " + membership.due());
             if (membership.watch() == 0) {
-                assertTrue(membership.due() <= now + TIMING.most() + SLACK, "no watch is open or due");
+                assertTrue(membership.due() <= now + TIMING.maxBackoffSeconds() + SLACK, "no watch is open or due");
             }
             Snapshot snapshot = membership.snapshot();
             module.forEach((number, target) -> assertTrue(
@@ -196,7 +196,7 @@
             world.carryOut(world.membership.tick(world.now));
             world.check();
         }
-        double longest = TIMING.silent() + TIMING.most() + 0.2;
+        double longest = TIMING.silenceTimeoutSeconds() + TIMING.maxBackoffSeconds() + 0.2;
         assertTrue(world.opened - before >= (int) (30 / longest), "opened " + (world.opened - before) + " times");
         // The agent in force answers: what it says is what is believed.
         while (world.membership.watch() == 0
@@ -284,7 +284,9 @@
                 world.now = Math.max(world.now, world.membership.due()) + 0.01;
                 world.carryOut(world.membership.tick(world.now));
             }
-            assertTrue(world.now - from < Timing.CLOCK - 0.3, "not heard after " + (world.now - from) + " s");
+            assertTrue(
+                    world.now - from < Timing.NOTIFICATION_LIMIT_SECONDS - 0.3,
+                    "not heard after " + (world.now - from) + " s");
         }
     }
 
@@ -293,7 +295,7 @@
     void whereSourcesDifferTheMostCautiousWordPrevails(
             @ForAll @Size(max = 60) List<@IntRange(max = 9_999) Integer> script) {
         List<String> sources = List.of(Membership.DISCOVERY, "second", "third");
-        Roster roster = new Roster(sources, 30);
+        EndpointRegistry roster = new EndpointRegistry(sources, 30);
         Map<String, Map<String, Phase>> words = new HashMap<>();
         double now = 0;
         for (int code : script) {
--- a/src/test/java/juniperusher/ownership/LeaseTest.java
+++ b/src/test/java/juniperusher/ownership/LeaseTest.java
@@ -70,7 +70,7 @@
         for (boolean stands : new boolean[] {true, false}) {
             Lease lease = held();
             Step.Ask renewal = asked(lease.tick(4.5)); // it stood still past its own time
-            assertEquals(Lease.State.DOUBTFUL, lease.state());
+            assertEquals(Lease.State.UNCERTAIN, lease.state());
             List<Step> steps =
                     lease.answered(renewal.number(), stands ? new Reply.Leased(4, 5) : new Reply.NoLease(4), 4.6);
             assertEquals(stands, lease.holds(4.6));
--- a/src/test/java/juniperusher/status/ReportQueueTest.java
+++ b/src/test/java/juniperusher/status/ReportQueueTest.java
@@ -218,12 +218,13 @@
                     assertTrue(acknowledged.add(done.report()), "acknowledged twice");
                 }
             }
-            assertTrue(out.size() <= TIMING.posts(), "more posts out than the bound");
+            assertTrue(out.size() <= TIMING.maxPostsInFlight(), "more posts out than the bound");
             assertEquals(added - acknowledged.size(), queue.waiting());
         }
 
         private void send(Step.Post<Integer> post) {
-            assertTrue(!post.reports().isEmpty() && post.reports().size() <= TIMING.reportsPerPost(), "size of a post");
+            assertTrue(
+                    !post.reports().isEmpty() && post.reports().size() <= TIMING.maxReportsPerPost(), "size of a post");
             out.put(post.number(), post.reports());
             boolean repeatsBefore = false;
             for (int report : post.reports()) {
@@ -231,7 +232,7 @@
                 assertTrue(!first || !repeatsBefore, "a repeat stands before what has never gone");
                 repeatsBefore |= !first;
                 assertTrue(
-                        !first || now - addedAt.get(report) <= TIMING.patience() + TIMING.hedgeAfter(),
+                        !first || now - addedAt.get(report) <= TIMING.postTimeoutMillis() + TIMING.hedgeAfterMillis(),
                         "has waited too long for its first sending");
             }
             int fate = healthy ? 0 : drawn.nextInt(4);
@@ -254,7 +255,7 @@
         }
         world.healthy = true;
         // The posts out may be silent; a slot comes free with the patience of the oldest.
-        world.run(world.now + TIMING.patience() + TIMING.slowestHedge());
+        world.run(world.now + TIMING.postTimeoutMillis() + TIMING.maxRepeatIntervalMillis());
         assertEquals(world.added, world.acknowledged.size(), "not all acknowledged");
         assertEquals(0, world.queue.waiting());
     }
--- a/src/test/java/juniperusher/storm/StormNoteTest.java
+++ b/src/test/java/juniperusher/storm/StormNoteTest.java
@@ -15,60 +15,61 @@
 import org.junit.jupiter.api.Test;
 
 class StormNoteTest {
-    private static final StormNote.Entry ENTRY =
-            new StormNote.Entry(7, true, 12.34, Double.POSITIVE_INFINITY, 300, 2, 0.5, new Shares.Echo(1000.123, 0.25));
+    private static final StormNote.Entry ENTRY = new StormNote.Entry(
+            7, true, 12.34, Double.POSITIVE_INFINITY, 300, 2, 0.5, new RateShares.TimestampEcho(1000.123, 0.25));
 
     private static byte[] full() {
         List<StormNote.Entry> entries = new ArrayList<>();
-        for (int i = 0; i < StormNote.MOST_ENTRIES; i++) {
-            entries.add(new StormNote.Entry(i, false, 1, 2, i, -1, 0, new Shares.Echo(0, 0)));
+        for (int i = 0; i < StormNote.MAX_ENTRIES; i++) {
+            entries.add(new StormNote.Entry(i, false, 1, 2, i, -1, 0, new RateShares.TimestampEcho(0, 0)));
         }
-        return new StormNote(99.5, entries).bytes();
+        return new StormNote(99.5, entries).encode();
     }
 
     @Test
     void whatIsWrittenIsRead() {
-        StormNote read = StormNote.read(new StormNote(1234.5, List.of(ENTRY)).bytes());
+        StormNote read = StormNote.decode(new StormNote(1234.5, List.of(ENTRY)).encode());
         assertEquals(1234.5, read.sentAt());
         StormNote.Entry entry = read.entries().get(0);
         assertEquals(7, entry.destination());
-        assertTrue(entry.out());
-        assertEquals(12.34, entry.outAge(), 0.011);
-        assertEquals(Double.POSITIVE_INFINITY, entry.backAge());
-        assertEquals(300, entry.owed());
-        assertEquals(2, entry.to());
-        assertEquals(1000.123, entry.echo().stamp(), 0.0011);
-        assertTrue(entry.echo().stamp() <= 1000.123 && entry.echo().age() <= 0.25, "never later than it was");
-        assertTrue(entry.part() <= 0.5 && entry.part() > 0.49, "never more than was lent");
+        assertTrue(entry.inOutage());
+        assertEquals(12.34, entry.outageAgeSeconds(), 0.011);
+        assertEquals(Double.POSITIVE_INFINITY, entry.recoveryAgeSeconds());
+        assertEquals(300, entry.pending());
+        assertEquals(2, entry.borrower());
+        assertEquals(1000.123, entry.echo().timestamp(), 0.0011);
+        assertTrue(
+                entry.echo().timestamp() <= 1000.123 && entry.echo().ageSeconds() <= 0.25, "never later than it was");
+        assertTrue(entry.lentFraction() <= 0.5 && entry.lentFraction() > 0.49, "never more than was lent");
     }
 
     @Test
     void theFullestNoteFitsIntoADatagram() {
-        assertTrue(full().length <= StormNote.MOST_BYTES, full().length + " bytes");
-        assertEquals(StormNote.MOST_ENTRIES, StormNote.read(full()).entries().size());
+        assertTrue(full().length <= StormNote.MAX_BYTES, full().length + " bytes");
+        assertEquals(StormNote.MAX_ENTRIES, StormNote.decode(full()).entries().size());
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new StormNote(1, java.util.Collections.nCopies(StormNote.MOST_ENTRIES + 1, ENTRY)));
+                () -> new StormNote(1, java.util.Collections.nCopies(StormNote.MAX_ENTRIES + 1, ENTRY)));
     }
 
     @Test
     void aNoteOfAnotherVersionOrCutAtAnyByteOrWithAnyBitTurnedSaysNothing() {
         byte[] good = full();
         for (int length = 0; length < good.length; length++) {
-            assertNull(StormNote.read(Arrays.copyOf(good, length)), length + " bytes");
+            assertNull(StormNote.decode(Arrays.copyOf(good, length)), length + " bytes");
         }
         for (int bit = 0; bit < good.length * 8; bit++) {
             byte[] spoilt = good.clone();
             spoilt[bit / 8] ^= (byte) (1 << bit % 8);
-            assertNull(StormNote.read(spoilt), "bit " + bit);
+            assertNull(StormNote.decode(spoilt), "bit " + bit);
         }
     }
 
     @Property(tries = 2_000, seed = "20261201")
     void noBytesMakeItFail(@ForAll @Size(max = 300) byte[] bytes) {
-        StormNote note = StormNote.read(bytes);
+        StormNote note = StormNote.decode(bytes);
         if (note != null) {
-            assertArrayEquals(bytes, note.bytes());
+            assertArrayEquals(bytes, note.encode());
         }
     }
 }
--- a/src/test/java/juniperusher/storm/StormsTest.java
+++ b/src/test/java/juniperusher/storm/StormsTest.java
@@ -111,7 +111,7 @@
         assertTrue(back.stream().noneMatch(Probed.class::isInstance), back.toString());
         assertTrue(advice(back).stream().anyMatch(one -> one.destination() == 7 && one.back()), back.toString());
         assertTrue(advice(before(6.1, List.of())).stream().noneMatch(Advised::back), "told once");
-        assertEquals(StormState.RECOVERING, storms.state(7));
+        assertEquals(StormState.RECOVERING, storms.stateOf(7));
     }
 
     @Test
@@ -163,16 +163,16 @@
     @Test
     void aRoundLooksOnlyAtDestinationsOfWhichSomethingWasHeard() {
         before(0.1, List.of());
-        assertEquals(0, storms.active());
+        assertEquals(0, storms.activeCount());
         assertEquals(2, storms.count(StormState.CALM));
         int message = arrives(0.2, 8);
-        assertEquals(1, storms.active());
+        assertEquals(1, storms.activeCount());
         before(0.3, List.of(new Ended(message, 0, 2, Outcome.DELIVERED, 0.1, true, 0, null)));
-        assertEquals(0, storms.active());
+        assertEquals(0, storms.activeCount());
         outage(1);
         before(10, List.of());
-        assertEquals(1, storms.active(), "what is out is looked at");
-        assertEquals(StormState.STORM, storms.state(7));
+        assertEquals(1, storms.activeCount(), "what is out is looked at");
+        assertEquals(StormState.STORM, storms.stateOf(7));
         assertEquals(1, storms.count(StormState.CALM));
     }
 }
