--- a/src/main/java/juniperusher/membership/DiscoveryWatch.java
+++ b/src/main/java/juniperusher/membership/DiscoveryWatch.java
@@ -12,15 +12,15 @@
  *
  * <p>A version of the list is only valid at the address that sent it. The full list is therefore fetched first at a
  * new address, and again after an unreadable change, whose content would otherwise be lost. A watch on which no data
- * arrives is replaced at once but stays open for a while: the cause of the silence is unknown, and the first of them
- * on which data arrives becomes the current one. After an end or a refusal the next watch is opened after a jittered,
+ * arrives is replaced at once but stays open for a while: the cause of the silence is unknown, and of both the first on
+ * which an update arrives becomes the current one. After an end or a refusal the next watch is opened after a jittered,
  * doubling backoff, because discovery serves a whole fleet and relays that are refused together would otherwise
  * return together.
  */
 final class DiscoveryWatch {
     /** Replaced watches that stay open at most; bounds the file descriptors in use. */
     private static final int MAX_REPLACED_WATCHES = 2;
-    /** After this time without unreadable data, the next one is answered without a backoff again. */
+    /** After this time without unreadable data, the backoff before the full list is fetched starts short again. */
     private static final double UNREADABLE_RESET_SECONDS = 10;
 
     private final Timing timing;
@@ -36,7 +36,7 @@
     private long version;
     private double firstByteTimeoutSeconds; // twice the time that the last first byte took, within bounds
     private int consecutiveFailures;
-    private int recentUnreadable; // unreadable data received at intervals below CALM
+    private int recentUnreadable; // times, at intervals of at most UNREADABLE_RESET_SECONDS
     private double lastUnreadableAt = Double.NEGATIVE_INFINITY;
     private boolean stopped;
     // Replaced watches that are still open, by number, and whether each requested the full list.
@@ -105,7 +105,7 @@
                 return List.of(); // the full list is still needed to recover the lost change
             }
             replaced.remove(watch);
-            steps.addAll(abandonCurrent()); // the replaced watch was the first to receive data
+            steps.addAll(abandonCurrent()); // the replaced watch was the first to receive an update
             current = watch;
             fullListRequested = requestedFullList;
             dataReceived = true;
@@ -132,17 +132,15 @@
         versionKnown = false;
         recentUnreadable = now - lastUnreadableAt > UNREADABLE_RESET_SECONDS ? 0 : recentUnreadable + 1;
         lastUnreadableAt = now;
-        nextOpenAt = now
-                + backoff(
-                        recentUnreadable - 2,
-                        timing.maxBackoffSeconds()); // short at first: the lost change may be a drain
+        // The backoff is short at first, because the lost change may be a drain.
+        nextOpenAt = now + backoff(recentUnreadable - 2, timing.maxBackoffSeconds());
         return fullListRequested ? abandonCurrent() : replaceCurrent();
     }
 
     /**
      * Handles a refusal by discovery. The known version stays valid.
      *
-     * @param told retry-after delay in seconds, 0 if discovery gave none
+     * @param retryAfterSeconds retry-after delay in seconds, 0 if discovery gave none
      */
     List<Step> refused(int watch, double retryAfterSeconds, double now) {
         if (watch != current || watch == 0) {
--- a/src/main/java/juniperusher/membership/EndpointRegistry.java
+++ b/src/main/java/juniperusher/membership/EndpointRegistry.java
@@ -45,8 +45,8 @@
     /**
      * Creates an empty registry.
      *
-     * @param sources names of the sources in descending rank
-     * @param memory  seconds for which an endpoint that is gone stays in the snapshot
+     * @param sources              names of the sources in descending rank
+     * @param goneRetentionSeconds time for which an endpoint that is gone stays in the snapshot
      */
     EndpointRegistry(List<String> sources, double goneRetentionSeconds) {
         this.sources = List.copyOf(sources);
@@ -79,7 +79,7 @@
     /**
      * Applies an update of a source as a whole.
      *
-     * @param from      origin to record in the new snapshot
+     * @param origin    origin to record in the new snapshot
      * @param confirmed whether to mark the new snapshot as confirmed by discovery
      * @throws IllegalArgumentException if the source is unknown
      */
--- a/src/main/java/juniperusher/membership/Membership.java
+++ b/src/main/java/juniperusher/membership/Membership.java
@@ -25,9 +25,9 @@
     /**
      * Creates a membership without endpoints.
      *
-     * @param timing  timeouts and backoffs of the watch on discovery
-     * @param further names of additional sources in descending rank; discovery ranks above all of them
-     * @param seed    seed of the jitter of backoffs
+     * @param timing            timeouts and backoffs of the watch on discovery
+     * @param additionalSources names of additional sources in descending rank; discovery ranks above all of them
+     * @param seed              seed of the jitter of backoffs
      */
     public Membership(Timing timing, List<String> additionalSources, long seed) {
         List<String> sources = new ArrayList<>(List.of(DISCOVERY));
@@ -39,8 +39,8 @@
     /**
      * Sets the initial state, before discovery has answered.
      *
-     * @param old   list of discovery that an earlier process has saved; it may be empty
-     * @param fixed targets that no source lists and that stay as they are
+     * @param savedList    list of discovery that an earlier process has saved; it may be empty
+     * @param fixedTargets targets that no source lists and that stay as they are
      */
     public Snapshot known(Update savedList, List<Target> fixedTargets, double now) {
         registry.addFixedTargets(fixedTargets, now);
--- a/src/main/java/juniperusher/ownership/Lease.java
+++ b/src/main/java/juniperusher/ownership/Lease.java
@@ -151,8 +151,7 @@
             List<Entry> storedEntries = done.reads().get(0);
             Entry entry = storedEntries.isEmpty() ? null : storedEntries.get(0);
             if (entry == null || !entry.value().equals(holderName) || entry.lease() != leaseId) {
-                nextRequestAt =
-                        time + backoff(); // held by another process or an earlier run of this one, until its lease ends
+                nextRequestAt = time + backoff(); // held by another process or an earlier run, until its lease ends
                 return;
             }
             token = entry.created(); // claimed by a request of ours whose answer was lost
--- a/src/main/java/juniperusher/storm/DestinationStorm.java
+++ b/src/main/java/juniperusher/storm/DestinationStorm.java
@@ -66,7 +66,7 @@
     private double nextProbeAt;
     private double probedOutageStart = Double.NaN; // start of the outage that probes were scheduled for
     private double probeSentAt = Double.NEGATIVE_INFINITY;
-    private double quietSince = Double.NaN; // NaN while the conditions for CALM are not met
+    private double quietSince = Double.NaN; // NaN during an outage and while the load is not low
     private double rateFactor = 1; // of the stated rate
     private double rateReducedAt = Double.NEGATIVE_INFINITY;
 
@@ -104,8 +104,8 @@
     /**
      * A call has succeeded.
      *
-     * @param sentAt time at which the call was sent
-     * @param limit  rate limit that the destination reported, in calls per second, 0 for none
+     * @param sentAt        time at which the call was sent
+     * @param reportedLimit rate limit that the destination reported, in calls per second, 0 for none
      */
     void callSucceeded(double now, double sentAt, double reportedLimit) {
         reportedRate = reportedLimit > 0 ? reportedLimit : reportedRate;
@@ -129,7 +129,7 @@
         recordFailure(now, sentAt, FAILURE_WEIGHT);
     }
 
-    /** A call was refused as overloaded. Refusals without a success for a while count as an outage. */
+    /** A call was refused as overloaded. Refusals alone, without a success for a while, count as an outage. */
     void callRefused(double now, double sentAt, double reportedLimit) {
         reportedRate = reportedLimit > 0 ? reportedLimit : reportedRate;
         recordFailure(now, sentAt, REFUSAL_WEIGHT);
@@ -197,9 +197,9 @@
     /**
      * Decides whether to send a probe now, and if so records it as sent. At most one probe is in flight.
      *
-     * @param every seconds between two probes
-     * @param phase fraction of the interval before the first probe of an outage; it differs between relays, which learn
-     *     of an outage at the same time
+     * @param intervalSeconds time between two probes
+     * @param firstFraction fraction of the interval before the first probe of an outage; it differs between relays,
+     *     which learn of an outage at the same time
      */
     boolean startProbeIfDue(double now, double intervalSeconds, double firstFraction) {
         if (inOutage && probedOutageStart != outageStart) {
@@ -236,7 +236,7 @@
     /**
      * Updates the state from the inputs and the time.
      *
-     * @param part share of the destination's rate that this relay may use, 0 to 1
+     * @param shareFraction share of the destination's rate that this relay may use, 0 to 1
      * @return the change of state, or null if there is none
      */
     Change updateState(double now, double shareFraction) {
--- a/src/main/java/juniperusher/storm/Fingerprints.java
+++ b/src/main/java/juniperusher/storm/Fingerprints.java
@@ -13,7 +13,7 @@
     private static final int MAX_FINGERPRINTS = 4096;
     private static final double RETENTION_SECONDS = 30; // clients do not resubmit a message later
 
-    private final Map<Long, Refusals> refusals = new LinkedHashMap<>(); // by fingerprint, least recently refused first
+    private final Map<Long, Refusals> refusals = new LinkedHashMap<>(); // by fingerprint, last changed last
 
     /** Number of refusals without a resubmission, and the time of the last refusal. */
     private record Refusals(int count, double lastAt) {}
--- a/src/main/java/juniperusher/storm/RateCurve.java
+++ b/src/main/java/juniperusher/storm/RateCurve.java
@@ -10,6 +10,7 @@
  * @param fullRate full rate in calls per second
  */
 record RateCurve(double startsAt, double coldFraction, double warmUpSeconds, double fullRate) {
+    /** A constant rate in calls per second. */
     static RateCurve constant(double rate) {
         return new RateCurve(0, 1, 0, rate);
     }
@@ -31,6 +32,7 @@
                 + (end - rampEnd) * fullRate;
     }
 
+    /** Rate on the ramp; unlike {@link #rateAt} it also continues to the full rate at the end of the ramp. */
     private double rampRateAt(double time) {
         return warmUpSeconds <= 0
                 ? fullRate
@@ -39,7 +41,7 @@
                                 + (1 - coldFraction) * Math.min(1, Math.max(0, time - startsAt) / warmUpSeconds));
     }
 
-    /** Time at which that many calls will have been accepted since {@code time}, at most {@code most} seconds later. */
+    /** Time at which that many calls will have been accepted since {@code time}, at most {@code maxSeconds} later. */
     double timeOfCalls(double time, double calls, double maxSeconds) {
         if (callsBetween(time, time + maxSeconds) <= calls) {
             return time + maxSeconds;
--- a/src/main/java/juniperusher/storm/RateShares.java
+++ b/src/main/java/juniperusher/storm/RateShares.java
@@ -26,7 +26,7 @@
 
     private final int relays;
     private final double startedAt;
-    private final Map<Integer, Timestamp> newestTimestamps = new HashMap<>(); // newest timestamp, by relay
+    private final Map<Integer, Timestamp> newestTimestamps = new HashMap<>(); // by relay
     private final Map<Integer, Map<Integer, Loan>> loansReceived = new HashMap<>(); // by destination, by lender
     private final Map<Integer, Loan> loansGiven = new HashMap<>(); // by destination
 
@@ -36,16 +36,16 @@
     /**
      * A loan.
      *
-     * @param peer    the other relay: borrower of a loan given, lender of a loan received
-     * @param fraction  fraction of an equal share, 0 to 1
-     * @param endsAt time at which the loan ends
+     * @param peer     the other relay: borrower of a loan given, lender of a loan received
+     * @param fraction fraction of an equal share, 0 to 1
+     * @param endsAt   time at which the loan ends
      */
     private record Loan(int peer, double fraction, double endsAt) {}
 
     /** The newest timestamp received from the borrower, and the seconds since its arrival at the lender. */
     record TimestampEcho(double timestamp, double ageSeconds) {}
 
-    /** Creates equal shares for this number of relays; {@code born} is the time at which this process has started. */
+    /** Creates equal shares for this number of relays; {@code startedAt} is the start time of this process. */
     RateShares(int relays, double startedAt) {
         this.relays = relays;
         this.startedAt = startedAt;
@@ -67,7 +67,7 @@
         return last == null ? null : new TimestampEcho(last.value(), now - last.receivedAt());
     }
 
-    /** Records a loan to this relay; ignored if the echo or the part is invalid. */
+    /** Records a loan to this relay; ignored if the echo or the fraction is invalid. */
     void borrow(int lender, int destination, double fraction, TimestampEcho echo, double now) {
         if (echo.timestamp() < startedAt
                 || echo.timestamp() > now
@@ -88,14 +88,14 @@
      * Lends a part of this relay's share in a note that is sent now. An earlier loan stays reserved until it ends:
      * a new one to the same relay never reduces the reserved part, and nothing is lent to another relay meanwhile.
      *
-     * @param part fraction of the equal share to lend
+     * @param fraction fraction of the equal share to lend
      * @return the fraction to state in the note, 0 if nothing is lent
      */
     double lend(int destination, int borrower, double fraction, double now) {
         Loan before = loansGiven.get(destination);
         boolean running = before != null && before.endsAt() > now;
-        double lentFraction = Math.floor(Math.min(MAX_LENT_FRACTION, Math.max(0, fraction)) * 255)
-                / 255; // in the resolution of the note, which has one byte for it
+        // Rounded down to the resolution of the note, which has one byte for it.
+        double lentFraction = Math.floor(Math.min(MAX_LENT_FRACTION, Math.max(0, fraction)) * 255) / 255;
         if (lentFraction <= 0 || now < startedAt + LOAN_SECONDS || running && before.peer() != borrower) {
             return 0;
         }
--- a/src/main/java/juniperusher/storm/Storms.java
+++ b/src/main/java/juniperusher/storm/Storms.java
@@ -72,11 +72,11 @@
     private final Map<Integer, Target> targets = new TreeMap<>();
     // Number of probes in flight that the module has requested, by target.
     private final Map<Integer, Integer> moduleProbesInFlight = new HashMap<>();
-    private final Map<Integer, Integer> pendingMessages =
-            new HashMap<>(); // destination number by message id, pending messages only
+    // Destination of each pending message, by message id.
+    private final Map<Integer, Integer> pendingMessages = new HashMap<>();
     private final Map<Long, Double> sendTimes = new HashMap<>(); // by message and attempt
-    private final Map<Integer, Integer> attemptsByMessage = new HashMap<>(); // by message
-    private final Map<Integer, Long> fingerprintsByMessage = new HashMap<>(); // by message
+    private final Map<Integer, Integer> attemptsByMessage = new HashMap<>();
+    private final Map<Integer, Long> fingerprintsByMessage = new HashMap<>();
     private final Fingerprints refusedFingerprints = new Fingerprints();
     private double roundTime;
     private final Map<Long, PeerPending> peerPending = new HashMap<>(); // by relay and destination
@@ -91,10 +91,11 @@
     /**
      * Creates the storm handling of one relay.
      *
-     * @param module settings of the decision module
-     * @param me number of this relay among the senders
-     * @param epoch seconds to add to the time of a round to get a clock that does not go back over a restart
-     * @param born time of the rounds' clock at the start of the process
+     * @param moduleSettings settings of the decision module
+     * @param relayNumber number of this relay among the senders
+     * @param clockOffsetSeconds seconds to add to the time of a round to get a clock that does not go back over a
+     *     restart
+     * @param startTime time of the rounds' clock at the start of the process
      */
     public Storms(
             StormSettings settings,
@@ -112,8 +113,8 @@
     // ---- before a round ----
 
     /**
-     * Whether an arriving message without a mark of its client was refused before, by its fingerprint. Has to be called
-     * before the round that contains its arrival.
+     * Whether an arriving message that its client has not marked as resubmitted was refused before, by its fingerprint.
+     * Has to be called before the round that contains its arrival.
      */
     public boolean comesAgain(int message, long fingerprint) {
         fingerprintsByMessage.put(message, fingerprint);
@@ -326,19 +327,19 @@
                 moduleProbesInFlight.merge(probe.target(), 1, Integer::sum);
             }
         }
-        List<Action> further = new ArrayList<>(stateChangeLogs);
+        List<Action> additionalActions = new ArrayList<>(stateChangeLogs);
         stateChangeLogs.clear();
         if (moduleSettings.allowed().probes() && out() > 0) {
-            addProbes(now, further);
+            addProbes(now, additionalActions);
         }
         if (now >= nextNoteAt && moduleSettings.allowed().notes() && moduleSettings.senders() > 1) {
             StormNote note = createNote(now);
             if (note != null) {
-                further.add(new Note(-1, note.encode()));
+                additionalActions.add(new Note(-1, note.encode()));
                 nextNoteAt = now + settings.noteEvery();
             }
         }
-        return further;
+        return additionalActions;
     }
 
     /**
@@ -346,7 +347,7 @@
      * and even while few calls are sent. The rate over all relays is bounded by {@link #MAX_PROBES_PER_SECOND} and by
      * {@link #PROBE_FRACTION_OF_COLD_RATE} of the rate that the destination accepts right after an outage.
      */
-    private void addProbes(double now, List<Action> further) {
+    private void addProbes(double now, List<Action> additionalActions) {
         for (Target target : targets.values()) {
             DestinationStorm storm = target.phase() == Phase.READY ? destinations.get(target.destination()) : null;
             if (storm != null) {
@@ -358,7 +359,7 @@
                                 now,
                                 moduleSettings.senders() / maxProbesPerSecond,
                                 (relayNumber + 0.5) / moduleSettings.senders())) {
-                    further.add(new Probe(target.id()));
+                    additionalActions.add(new Probe(target.id()));
                 }
             }
         }
--- a/src/test/java/juniperusher/files/ReplacedFileTest.java
+++ b/src/test/java/juniperusher/files/ReplacedFileTest.java
@@ -15,23 +15,23 @@
     @TempDir
     private Path folder;
 
-    private List<String> names() throws Exception {
+    private List<String> fileNames() throws Exception {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(file -> file.getFileName().toString()).toList();
         }
     }
 
     @Test
-    void theContentIsReplacedAndNothingIsLeftBesideIt() throws Exception {
+    void replacesTheContentAndLeavesNoTemporaryFile() throws Exception {
         Path target = folder.resolve("state");
         ReplacedFile.write(target, "a long first content");
         ReplacedFile.write(target, "é");
         assertEquals("é", Files.readString(target));
-        assertEquals(List.of("state"), names());
+        assertEquals(List.of("state"), fileNames());
     }
 
     @Test
-    void aFolderThatIsMissingIsAnError() {
+    void missingFolderIsAnError() {
         assertThrows(
                 NoSuchFileException.class,
                 () -> ReplacedFile.write(folder.resolve("gone").resolve("state"), "text"));
--- a/src/test/java/juniperusher/maintenance/MaintenanceTest.java
+++ b/src/test/java/juniperusher/maintenance/MaintenanceTest.java
@@ -15,9 +15,9 @@
 import org.pcollections.HashTreePSet;
 import org.testng.annotations.Test;
 
-/** Held endpoints over discovery's word, and the file that keeps them. */
+/** Phases of endpoints under maintenance, and the file that stores them. */
 public class MaintenanceTest {
-    private static Snapshot told(Phase second) {
+    private static Snapshot discovered(Phase second) {
         return new Snapshot(
                 1,
                 "discovery",
@@ -31,45 +31,48 @@
     }
 
     @Test
-    public void aHeldEndpointIsDrainingWhateverDiscoverySays() {
-        Maintenance held = Maintenance.NONE.enter("s-b");
-        Snapshot over = held.over(told(Phase.READY));
-        assertEquals(over.target(0).phase(), Phase.READY);
-        assertEquals(over.target(1).phase(), Phase.DRAINING);
-        assertEquals(held.over(told(Phase.GONE)).target(1).phase(), Phase.GONE);
-        Snapshot plain = told(Phase.READY);
-        assertSame(Maintenance.NONE.over(plain), plain, "nothing held, yet the snapshot was made anew");
+    public void endpointUnderMaintenanceIsDraining() {
+        Maintenance maintenance = Maintenance.NONE.enter("s-b");
+        Snapshot applied = maintenance.over(discovered(Phase.READY));
+        assertEquals(applied.target(0).phase(), Phase.READY);
+        assertEquals(applied.target(1).phase(), Phase.DRAINING);
+        assertEquals(maintenance.over(discovered(Phase.GONE)).target(1).phase(), Phase.GONE);
+        Snapshot unchanged = discovered(Phase.READY);
+        assertSame(
+                Maintenance.NONE.over(unchanged),
+                unchanged,
+                "a new snapshot was made although no endpoint is under maintenance");
     }
 
     @Test
-    public void twoEntersAreUndoneByOneExitAndTheModuleHearsOfEachChange() {
+    public void entryIsIdempotentAndEachChangeIsReported() {
         Maintenance once = Maintenance.NONE.enter("s-b");
         Maintenance twice = once.enter("s-b");
         assertEquals(twice, once);
         assertEquals(twice.exit("s-b"), Maintenance.NONE);
-        List<Target> entered = once.changedFrom(Maintenance.NONE, told(Phase.READY));
+        List<Target> entered = once.changedFrom(Maintenance.NONE, discovered(Phase.READY));
         assertEquals(entered, List.of(new Target(1, 3, 0, 0, 1, Phase.DRAINING)));
-        assertEquals(twice.changedFrom(once, told(Phase.READY)), List.of());
+        assertEquals(twice.changedFrom(once, discovered(Phase.READY)), List.of());
         assertEquals(
-                Maintenance.NONE.changedFrom(twice, told(Phase.READY)),
+                Maintenance.NONE.changedFrom(twice, discovered(Phase.READY)),
                 List.of(new Target(1, 3, 0, 0, 1, Phase.READY)));
     }
 
     @Test
-    public void theFileKeepsItWholeAndRefusesHalfOfOne() throws Exception {
+    public void fileIsRestoredAndTruncatedContentIsRejected() throws Exception {
         Path folder = Files.createTempDirectory("maintenance");
         MaintenanceFile file = new MaintenanceFile(folder);
         assertEquals(file.read(), Maintenance.NONE);
-        Maintenance held = Maintenance.NONE.enter("s-b").enter("s-a");
-        file.write(held);
-        assertEquals(new MaintenanceFile(folder).read(), held);
-        String whole = held.text();
+        Maintenance stored = Maintenance.NONE.enter("s-b").enter("s-a");
+        file.write(stored);
+        assertEquals(new MaintenanceFile(folder).read(), stored);
+        String whole = stored.text();
         for (int cut = 0; cut < whole.length(); cut++) {
-            String part = whole.substring(0, cut);
-            assertThrows(IllegalArgumentException.class, () -> Maintenance.parse(part));
+            String truncated = whole.substring(0, cut);
+            assertThrows(IllegalArgumentException.class, () -> Maintenance.parse(truncated));
         }
-        try (var left = Files.list(folder)) {
-            assertEquals(left.count(), 1L, "a file beside was left");
+        try (var remaining = Files.list(folder)) {
+            assertEquals(remaining.count(), 1L, "a temporary file was left");
         }
     }
 }
--- a/src/test/java/juniperusher/membership/MembershipPropertyTest.java
+++ b/src/test/java/juniperusher/membership/MembershipPropertyTest.java
@@ -19,15 +19,15 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Thousands of orders of events, drawn from the seed below, against a model of two agents that number their
- * lists each in its own way. A failing order is shrunk and printed with its seed.
+ * Runs {@link Membership} through thousands of random sequences of events and compares it with a model of two
+ * discovery agents that number their lists independently. A failing sequence is shrunk and printed with its seed.
  */
 class MembershipPropertyTest {
     private static final String SEED = "20261201";
     private static final Timing TIMING = Timing.USUAL;
     private static final double SLACK = 1e-6;
 
-    /** An agent as it really is: what it would tell, and from which version on. */
+    /** Model of a discovery agent: its current list and the changes by version. */
     private static final class Agent {
         private final InetSocketAddress address;
         private final TreeMap<Long, Entry> changes = new TreeMap<>();
@@ -55,20 +55,20 @@
         }
     }
 
-    /** Carries steps out and holds what must always be true against them. */
+    /** Carries out the steps and checks the invariants. */
     private static final class World {
         private final Agent[] agents = {new Agent(1, 0), new Agent(2, 1_000)};
         private final Membership membership = new Membership(TIMING, List.of(), 7);
         private final Map<Integer, Step.Open> open = new HashMap<>();
-        private final Map<Integer, Long> upTo = new HashMap<>();
-        private final Map<Integer, Target> module = new HashMap<>();
-        private final Map<Integer, String> names = new HashMap<>();
-        private final Map<String, Phase> lastWord = new HashMap<>();
-        private final List<Snapshot> kept = new ArrayList<>();
-        private final List<String> keptText = new ArrayList<>();
+        private final Map<Integer, Long> lastVersions = new HashMap<>();
+        private final Map<Integer, Target> moduleTargets = new HashMap<>();
+        private final Map<Integer, String> idsByNumber = new HashMap<>();
+        private final Map<String, Phase> lastPhases = new HashMap<>();
+        private final List<Snapshot> published = new ArrayList<>();
+        private final List<String> publishedText = new ArrayList<>();
         private double now;
         private int opened;
-        private int force;
+        private int currentAgent;
 
         World() {
             membership.known(new Update(true, 7, List.of(), Set.of()), List.of(), 0);
@@ -78,45 +78,45 @@
         void carryOut(List<Step> steps) {
             for (Step step : steps) {
                 if (step instanceof Step.Open watch) {
-                    assertTrue(open.size() <= 2, "a watch is opened beside " + open);
+                    assertTrue(open.size() <= 2, "another watch is opened in addition to " + open);
                     open.put(watch.watch(), watch);
-                    upTo.put(watch.watch(), watch.index());
+                    lastVersions.put(watch.watch(), watch.index());
                     opened++;
                 } else if (step instanceof Step.Abandon watch) {
-                    assertTrue(open.remove(watch.watch()) != null, "no such watch");
+                    assertTrue(open.remove(watch.watch()) != null, "abandoned a watch that is not open");
                 } else if (step instanceof Step.Publish change) {
-                    change.told().targets().forEach(target -> module.put(target.id(), target));
+                    change.told().targets().forEach(target -> moduleTargets.put(target.id(), target));
                     change.snapshot()
                             .endpoints()
                             .forEach((number, endpoint) -> assertEquals(
                                     endpoint.id(),
-                                    names.computeIfAbsent(number, key -> endpoint.id()),
-                                    "a number is used again"));
-                    kept.add(change.snapshot());
-                    keptText.add(change.snapshot().endpoints().toString());
+                                    idsByNumber.computeIfAbsent(number, key -> endpoint.id()),
+                                    "number reused for another endpoint"));
+                    published.add(change.snapshot());
+                    publishedText.add(change.snapshot().endpoints().toString());
                 }
             }
         }
 
         Agent agent() {
-            return agents[force];
+            return agents[currentAgent];
         }
 
-        /** What the agent in force says on a watch, as of now; whether the watch was in force. */
+        /** Delivers the current agent's answer on a watch, or an outdated list if the watch is closed. */
         void deliver(int watch) {
             Step.Open asked = open.get(watch);
-            if (asked == null) { // an old watch that still talks, of endpoints all ready
+            if (asked == null) { // late data on a closed watch, with all endpoints ready
                 carryOut(
                         membership.told(watch, new Update(true, 99, List.of(entry(0, Phase.READY, 9)), Set.of()), now));
                 return;
             }
-            Update update = asked.whole() ? agent().whole() : agent().since(upTo.get(watch));
-            upTo.put(watch, update.version());
+            Update update = asked.whole() ? agent().whole() : agent().since(lastVersions.get(watch));
+            lastVersions.put(watch, update.version());
             if (update.whole()) {
-                open.remove(watch); // the answer is over
-                lastWord.clear();
+                open.remove(watch); // the answer is complete
+                lastPhases.clear();
             }
-            update.entries().forEach(entry -> lastWord.put(entry.id(), entry.phase()));
+            update.entries().forEach(entry -> lastPhases.put(entry.id(), entry.phase()));
             carryOut(membership.told(watch, update, now));
         }
 
@@ -124,24 +124,31 @@
             assertTrue(membership.watch() == 0 || open.containsKey(membership.watch()));
             assertTrue(membership.due() <= now + TIMING.silenceTimeoutSeconds() + SLACK, "due at " + membership.due());
             if (membership.watch() == 0) {
-                assertTrue(membership.due() <= now + TIMING.maxBackoffSeconds() + SLACK, "no watch is open or due");
+                assertTrue(
+                        membership.due() <= now + TIMING.maxBackoffSeconds() + SLACK, "no watch is open or scheduled");
             }
             Snapshot snapshot = membership.snapshot();
-            module.forEach((number, target) -> assertTrue(
+            moduleTargets.forEach((number, target) -> assertTrue(
                     target.equals(snapshot.target(number))
                             || snapshot.target(number) == null && target.phase() == Phase.GONE,
-                    "the module believes " + target + ", guards " + snapshot.target(number)));
+                    "the module has " + target + ", the snapshot " + snapshot.target(number)));
             snapshot.endpoints().values().forEach(one -> {
-                assertEquals(one.target(), module.get(one.target().id()));
+                assertEquals(one.target(), moduleTargets.get(one.target().id()));
                 if (one.target().phase() == Phase.READY) {
-                    assertEquals(Phase.READY, lastWord.get(one.id()), one.id() + " is ready against the last word");
+                    assertEquals(
+                            Phase.READY,
+                            lastPhases.get(one.id()),
+                            one.id() + " is ready although the last entry says otherwise");
                 }
             });
         }
 
-        void checkKept() {
-            for (int i = 0; i < kept.size(); i++) {
-                assertEquals(keptText.get(i), kept.get(i).endpoints().toString(), "a snapshot has changed");
+        void checkPublishedUnchanged() {
+            for (int i = 0; i < published.size(); i++) {
+                assertEquals(
+                        publishedText.get(i),
+                        published.get(i).endpoints().toString(),
+                        "a published snapshot has changed");
             }
         }
     }
@@ -150,15 +157,15 @@
         return new Entry("s-" + id, new InetSocketAddress("127.0.0.1", 100 + port), id % 3, 0, 0, 1 + id, phase);
     }
 
-    private static void play(World world, int code) {
-        int what = code % 10;
+    private static void apply(World world, int code) {
+        int kind = code % 10;
         int rest = code / 10;
         int watch = world.membership.watch();
-        switch (what) {
+        switch (kind) {
             case 0, 1, 2 ->
                 world.agents[rest % 2].change(entry(rest / 2 % 6, Phase.values()[rest / 12 % 3], rest / 36 % 3));
             case 3, 4 -> world.deliver(watch);
-            case 5 -> world.deliver(1 + rest % Math.max(1, world.opened)); // perhaps one that is over
+            case 5 -> world.deliver(1 + rest % Math.max(1, world.opened)); // may be closed already
             case 6 -> {
                 if (rest % 2 == 0) {
                     world.open.remove(watch);
@@ -170,7 +177,7 @@
                 }
             }
             case 7 -> {
-                world.force = rest % 2;
+                world.currentAgent = rest % 2;
                 world.carryOut(world.membership.moved(world.agent().address, world.now));
             }
             case 8 -> world.carryOut(world.membership.heard(1 + rest % Math.max(1, world.opened), world.now));
@@ -182,14 +189,14 @@
     }
 
     @Property(tries = 4_000, seed = SEED)
-    void noOrderOfEventsBreaksMembership(@ForAll @Size(max = 120) List<@IntRange(max = 9_999) Integer> script) {
+    void invariantsHoldForRandomEvents(@ForAll @Size(max = 120) List<@IntRange(max = 9_999) Integer> script) {
         World world = new World();
         for (int code : script) {
-            play(world, code);
+            apply(world, code);
             world.check();
         }
-        // Nothing answers: watches are opened again and again.
-        int before = world.opened;
+        // Discovery does not answer: watches have to be reopened repeatedly.
+        int openedBefore = world.opened;
         double until = world.now + 30;
         while (world.now < until) {
             world.now += 0.1;
@@ -197,8 +204,10 @@
             world.check();
         }
         double longest = TIMING.silenceTimeoutSeconds() + TIMING.maxBackoffSeconds() + 0.2;
-        assertTrue(world.opened - before >= (int) (30 / longest), "opened " + (world.opened - before) + " times");
-        // The agent in force answers: what it says is what is believed.
+        assertTrue(
+                world.opened - openedBefore >= (int) (30 / longest),
+                "opened " + (world.opened - openedBefore) + " times");
+        // The current agent answers: the snapshot has to agree with its list.
         while (world.membership.watch() == 0
                 || world.open.get(world.membership.watch()).whole()) {
             world.now += 0.1;
@@ -207,14 +216,14 @@
         }
         world.deliver(world.membership.watch());
         world.check();
-        world.checkKept();
+        world.checkPublishedUnchanged();
         Map<String, Phase> believed = new TreeMap<>();
         world.membership.snapshot().endpoints().values().stream()
                 .filter(one -> one.target().phase() != Phase.GONE)
                 .forEach(one -> believed.put(one.id(), one.target().phase()));
-        Map<String, Phase> truth = new TreeMap<>();
-        world.agent().state.forEach((id, entry) -> truth.put(id, entry.phase()));
-        assertEquals(truth, believed);
+        Map<String, Phase> listed = new TreeMap<>();
+        world.agent().state.forEach((id, entry) -> listed.put(id, entry.phase()));
+        assertEquals(listed, believed);
         world.agent()
                 .state
                 .forEach((id, entry) -> assertEquals(
@@ -225,78 +234,77 @@
                                 .findFirst()
                                 .orElseThrow()
                                 .address(),
-                        id + " is elsewhere"));
+                        id + " has another address"));
     }
 
-    /** What becomes of the watch in force while discovery cannot be reached. */
-    private static void fails(World world, int code) {
+    /** Lets the current watch fail in one of several ways while discovery is unreachable. */
+    private static void failWatch(World world, int code) {
         int watch = world.membership.watch();
-        double told = new double[] {0, 0.3, 3, 1e9}[code / 8 % 4];
+        double retryAfterSeconds = new double[] {0, 0.3, 3, 1e9}[code / 8 % 4];
         switch (code % 8) {
-            case 0, 1 -> world.carryOut(world.membership.turnedAway(watch, told, world.now));
+            case 0, 1 -> world.carryOut(world.membership.turnedAway(watch, retryAfterSeconds, world.now));
             case 2 -> {
                 world.open.remove(watch);
                 world.carryOut(world.membership.ended(watch, world.now));
             }
             case 3 -> world.carryOut(world.membership.damaged(watch, world.now));
-            case 4 -> world.carryOut(world.membership.heard(watch, world.now)); // a head, and nothing more
+            case 4 -> world.carryOut(world.membership.heard(watch, world.now)); // a response header and nothing more
             case 5 -> world.now += code / 32 % 100 / 50.0;
-            default -> world.now = Math.max(world.now, world.membership.due() + 0.01); // silence, or a pause
+            default -> world.now = Math.max(world.now, world.membership.due() + 0.01); // silence or backoff
         }
         world.carryOut(world.membership.tick(world.now));
     }
 
     /**
-     * The clock itself: whatever has become of the calls before, and of one after, and whether discovery has
-     * moved meanwhile, a change is heard in time from when discovery has it and can be reached. What was open
-     * by then never says anything.
+     * Once discovery is reachable and has a change, the relay receives it within the notification limit, regardless of
+     * how earlier calls and one later call fail and whether the address of discovery has changed. No data arrives on
+     * watches that were open before.
      */
     @Property(tries = 4_000, seed = SEED)
-    void whatDiscoveryHasIsHeardWithinTheClockOnceItCanBeReached(
+    void changesAreReceivedWithinTheNotificationLimit(
             @ForAll @Size(max = 40) List<@IntRange(max = 9_999) Integer> before,
             @ForAll boolean served,
             @ForAll @IntRange(max = 9_999) int after,
             @ForAll @IntRange(max = 3) int moves) {
         World world = new World();
-        if (served) { // else the whole list is what is asked for
+        if (served) { // otherwise the full list is requested
             world.deliver(1);
             world.deliver(world.membership.watch());
         }
         for (int i = 0; i < before.size(); i++) {
-            fails(world, before.get(i));
+            failWatch(world, before.get(i));
             if (moves > 0 && before.get(i) % 13 == 0) {
-                world.force = 1 - world.force;
+                world.currentAgent = 1 - world.currentAgent;
                 world.carryOut(world.membership.moved(world.agent().address, world.now));
             }
         }
-        double from = world.now;
+        double reachableFrom = world.now;
         world.agent().change(entry(1, Phase.DRAINING, 0));
-        Set<Integer> deaf = Set.copyOf(world.open.keySet());
+        Set<Integer> unresponsive = Set.copyOf(world.open.keySet());
         boolean refused = after % 2 == 0;
         while (world.membership.snapshot().endpoints().isEmpty()) {
             int watch = world.membership.watch();
-            if (watch != 0 && !deaf.contains(watch) && refused) {
+            if (watch != 0 && !unresponsive.contains(watch) && refused) {
                 refused = false;
                 world.carryOut(world.membership.turnedAway(watch, after / 2 % 5, world.now));
-            } else if (watch != 0 && !deaf.contains(watch)) {
+            } else if (watch != 0 && !unresponsive.contains(watch)) {
                 world.deliver(watch);
             } else {
                 world.now = Math.max(world.now, world.membership.due()) + 0.01;
                 world.carryOut(world.membership.tick(world.now));
             }
             assertTrue(
-                    world.now - from < Timing.NOTIFICATION_LIMIT_SECONDS - 0.3,
-                    "not heard after " + (world.now - from) + " s");
+                    world.now - reachableFrom < Timing.NOTIFICATION_LIMIT_SECONDS - 0.3,
+                    "change not received after " + (world.now - reachableFrom) + " s");
         }
     }
 
-    /** The cautious word prevails, whichever source says it and in whatever order. */
+    /** The most cautious phase wins regardless of which source states it and in which order. */
     @Property(tries = 2_000, seed = SEED)
-    void whereSourcesDifferTheMostCautiousWordPrevails(
-            @ForAll @Size(max = 60) List<@IntRange(max = 9_999) Integer> script) {
+    void mostCautiousPhaseOfAllSourcesWins(@ForAll @Size(max = 60) List<@IntRange(max = 9_999) Integer> script) {
         List<String> sources = List.of(Membership.DISCOVERY, "second", "third");
         EndpointRegistry roster = new EndpointRegistry(sources, 30);
-        Map<String, Map<String, Phase>> words = new HashMap<>();
+        Map<String, Map<String, Phase>> phases = new HashMap<>();
         double now = 0;
         for (int code : script) {
             now += 0.1;
@@ -306,22 +314,24 @@
             boolean whole = code / 36 % 4 == 0;
             List<Entry> entries = List.of(entry(id, phase, 0));
             if (whole) {
-                words.forEach((name, said) -> said.computeIfPresent(source, (key, last) -> Phase.GONE));
+                phases.forEach(
+                        (name, phaseBySource) -> phaseBySource.computeIfPresent(source, (key, last) -> Phase.GONE));
             }
-            words.computeIfAbsent("s-" + id, key -> new HashMap<>()).put(source, phase);
-            words.values().removeIf(said -> said.values().stream().allMatch(word -> word == Phase.GONE));
+            phases.computeIfAbsent("s-" + id, key -> new HashMap<>()).put(source, phase);
+            phases.values().removeIf(phaseBySource -> phaseBySource.values().stream()
+                    .allMatch(phaseOfSource -> phaseOfSource == Phase.GONE));
             roster.apply(source, new Update(whole, code, entries, Set.of()), source, true, now);
             Snapshot snapshot = roster.snapshot();
-            Map<String, Phase> standing = new HashMap<>();
+            Map<String, Phase> actual = new HashMap<>();
             snapshot.endpoints().values().stream()
                     .filter(one -> one.target().phase() != Phase.GONE)
-                    .forEach(one ->
-                            assertFalse(standing.put(one.id(), one.target().phase()) != null, "named twice"));
+                    .forEach(one -> assertFalse(
+                            actual.put(one.id(), one.target().phase()) != null, "two endpoints with one id"));
             Map<String, Phase> expected = new HashMap<>();
-            words.forEach((name, said) -> expected.put(
-                    name, said.values().stream().max(Phase::compareTo).orElseThrow()));
-            expected.values().removeIf(word -> word == Phase.GONE);
-            assertEquals(expected, standing);
+            phases.forEach((name, phaseBySource) -> expected.put(
+                    name, phaseBySource.values().stream().max(Phase::compareTo).orElseThrow()));
+            expected.values().removeIf(phaseOfSource -> phaseOfSource == Phase.GONE);
+            assertEquals(expected, actual);
         }
     }
 }
--- a/src/test/java/juniperusher/membership/MembershipTest.java
+++ b/src/test/java/juniperusher/membership/MembershipTest.java
@@ -39,7 +39,7 @@
                 .filter(Step.Open.class::isInstance)
                 .map(Step.Open.class::cast)
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("no watch is opened by " + steps));
+                .orElseThrow(() -> new AssertionError("no watch is opened in " + steps));
     }
 
     private Step.Open started(Entry... entries) {
@@ -55,9 +55,9 @@
     }
 
     @Test
-    void anIndexKnownFromBeforeCountsNowhere() {
+    void versionOfASavedListIsNotUsed() {
         Step.Open first = started(entry("a", Phase.READY, 10));
-        assertTrue(first.whole(), "41 may be another agent's number");
+        assertTrue(first.whole(), "version 41 may be of another agent");
         assertFalse(membership.snapshot().confirmed());
         Step.Open watch = opened(membership.told(first.watch(), whole(3, entry("a", Phase.READY, 10)), 0.1));
         assertFalse(watch.whole());
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aWatchThatEndsIsResumedByItsIndex() {
+    void endedWatchIsResumedFromItsVersion() {
         Step.Open first = started();
         Step.Open watch = opened(membership.told(first.watch(), whole(3), 0.1));
         membership.told(watch.watch(), changes(5, entry("a", Phase.READY, 10)), 0.2);
@@ -77,52 +77,57 @@
         assertEquals(5, opened(membership.tick(1.5)).index());
     }
 
-    /** herd+vast: 14 relays, turned away by a discovery that was overbooked, each asked for the whole list
-     * four times a second for the rest of the day, which kept it overbooked. */
+    /**
+     * Guards against a sustained overload of discovery: 14 relays that an overloaded discovery had refused requested
+     * the full list four times a second each, which kept it overloaded.
+     */
     @Test
-    void whatDiscoveryTurnsAwayComesBackLaterEachTimeSpreadAndByItsIndex() {
-        TreeSet<Double> second = new TreeSet<>();
+    void refusedWatchesBackOffWithJitterAndKeepTheirVersion() {
+        TreeSet<Double> firstRetries = new TreeSet<>();
         for (int seed = 1; seed <= 14; seed++) {
             Membership one = new Membership(TIMING, List.of(), seed);
             Step.Open first = opened(one.moved(OLD, 0));
             Step.Open watch = opened(one.told(first.watch(), whole(3), 0));
             double now = 0;
-            for (double longest : new double[] {0.5, 1, 2, 4, 4}) {
+            for (double maxBackoff : new double[] {0.5, 1, 2, 4, 4}) {
                 assertEquals(List.of(new Step.Abandon(watch.watch())), one.turnedAway(watch.watch(), 0, now));
-                assertTrue(one.due() >= now + longest / 2 && one.due() <= now + longest, "due " + one.due());
+                assertTrue(one.due() >= now + maxBackoff / 2 && one.due() <= now + maxBackoff, "due " + one.due());
                 now = one.due();
-                second.add(longest == 0.5 ? now : 0);
+                firstRetries.add(maxBackoff == 0.5 ? now : 0);
                 watch = opened(one.tick(now));
-                assertFalse(watch.whole(), "changes alone cost discovery less than the list");
+                assertFalse(watch.whole(), "changes cost discovery less than the full list");
                 assertEquals(3, watch.index());
             }
-            for (double told : new double[] {3, 1e9}) {
-                one.turnedAway(watch.watch(), told, now);
-                assertTrue(one.due() >= now + 2 + 1, "half of the wait and of a spread pause");
-                assertTrue(one.due() <= now + 4, "the list is asked for again in time, whatever it told");
+            for (double retryAfterSeconds : new double[] {3, 1e9}) {
+                one.turnedAway(watch.watch(), retryAfterSeconds, now);
+                assertTrue(
+                        one.due() >= now + 2 + 1, "half of the bound for the delay and at least half of the backoff");
+                assertTrue(one.due() <= now + 4, "the list is requested in time however long the retry-after delay");
                 now = one.due();
                 watch = opened(one.tick(now));
             }
             one.heard(watch.watch(), now);
             one.ended(watch.watch(), now);
-            assertTrue(one.due() <= now + 0.5, "it has served meanwhile");
+            assertTrue(one.due() <= now + 0.5, "data has arrived, so the backoff starts short again");
         }
-        second.remove(0.0);
-        assertEquals(14, second.size(), "no two together");
-        assertTrue(second.last() - second.first() > 0.15, "from " + second.first() + " to " + second.last());
+        firstRetries.remove(0.0);
+        assertEquals(14, firstRetries.size(), "no two relays at the same time");
+        assertTrue(
+                firstRetries.last() - firstRetries.first() > 0.15,
+                "from " + firstRetries.first() + " to " + firstRetries.last());
     }
 
     @Test
-    void aChangeThatCannotBeReadIsMadeGoodByTheWholeListWhileTheWatchGoesOn() {
+    void unreadableChangeIsRecoveredByTheFullListWhileTheWatchContinues() {
         Step.Open first = started();
         Step.Open watch = opened(membership.told(
                 first.watch(), whole(3, entry("a", Phase.READY, 10), entry("b", Phase.READY, 11)), 0.1));
         assertEquals(List.of(), membership.damaged(watch.watch(), 1));
-        assertTrue(membership.due() < 1.2, "a drain may have been in it");
+        assertTrue(membership.due() < 1.2, "the lost change may be a drain");
         membership.told(watch.watch(), changes(5, entry("a", Phase.DRAINING, 10)), 1.05);
-        assertEquals(Phase.DRAINING, endpoint("a").target().phase(), "what it says next counts");
+        assertEquals(Phase.DRAINING, endpoint("a").target().phase(), "later updates of the watch are applied");
         Step.Open list = opened(membership.tick(1.2));
-        assertTrue(list.whole(), "what the change said would be missed for good");
+        assertTrue(list.whole(), "the lost change can only be recovered by the full list");
         membership.told(watch.watch(), changes(6, entry("a", Phase.READY, 10)), 1.3);
         assertEquals(Phase.READY, endpoint("a").target().phase());
         List<Step> steps = membership.told(
@@ -130,11 +135,11 @@
         assertTrue(steps.contains(new Step.Abandon(watch.watch())));
         assertEquals(6, opened(steps).index());
         assertEquals(Phase.DRAINING, endpoint("b").target().phase());
-        assertEquals(List.of(), membership.told(watch.watch(), whole(9), 1.5), "it was left");
+        assertEquals(List.of(), membership.told(watch.watch(), whole(9), 1.5), "the watch was abandoned");
     }
 
     @Test
-    void changesThatAreNeverReadableDoNotAskForTheListEverFaster() {
+    void permanentlyUnreadableChangesDoNotFloodDiscovery() {
         Step.Open first = started();
         Step.Open open = opened(membership.told(first.watch(), whole(3), 0));
         int lists = 0;
@@ -147,19 +152,19 @@
             lists++;
             open = opened(membership.told(list.watch(), whole(3), now));
         }
-        assertTrue(lists < 30, lists + " in a minute");
+        assertTrue(lists < 30, lists + " full lists in a minute");
     }
 
-    /** Discovery as it may be, at its worst, from the last byte before it fell silent. */
+    /** Worst case of the time between the last byte of discovery before it falls silent and the third attempt. */
     @Test
-    void whatASilentWatchMissedIsHeardWithinSixSeconds() {
+    void changesMissedByASilentWatchAreReceivedWithinSixSeconds() {
         for (boolean list : new boolean[] {false, true}) {
             for (boolean empty : new boolean[] {false, true}) {
                 for (int failures = 0; failures < 6; failures++) {
                     Membership one = new Membership(Timing.USUAL, List.of(), failures);
                     Step.Open open = opened(one.moved(OLD, 0));
                     double now = 0;
-                    for (int i = 0; i < failures; i++) { // refused so often that the pause is at its longest
+                    for (int i = 0; i < failures; i++) { // refusals lengthen the backoff
                         one.turnedAway(open.watch(), 0, now);
                         now = one.due();
                         open = opened(one.tick(now));
@@ -167,10 +172,10 @@
                     open = opened(one.told(open.watch(), whole(3, entry("a", Phase.READY, 10)), now));
                     one.heard(open.watch(), now);
                     if (list) {
-                        one.damaged(open.watch(), now); // so that the silent one is the whole list
+                        one.damaged(open.watch(), now); // so that the silent watch requests the full list
                     }
                     double silentFrom = now;
-                    int silent = 2; // the next two, the second right behind the first
+                    int silent = 2; // silent watches, one right after the other
                     while (silent-- > 0) {
                         now = one.due() + 0.01;
                         open = one.tick(now).stream()
@@ -179,13 +184,13 @@
                                 .findFirst()
                                 .orElse(open);
                         if (empty && silent == 1 && !open.whole()) {
-                            silentFrom = now; // an empty line still came
+                            silentFrom = now; // an empty line still arrives
                             one.heard(open.watch(), now);
                         }
                     }
                     now = one.due() + 0.01;
                     open = opened(one.tick(now));
-                    assertTrue(now - silentFrom < 5.9, "asked again after " + (now - silentFrom) + " s");
+                    assertTrue(now - silentFrom < 5.9, "third attempt after " + (now - silentFrom) + " s");
                     one.told(open.watch(), whole(9, entry("a", Phase.DRAINING, 10)), now);
                     assertEquals(0, one.snapshot().count(Phase.READY));
                 }
@@ -194,7 +199,7 @@
     }
 
     @Test
-    void aSilentWatchThatSpeaksFirstAfterAnOutageIsTheWatchAgain() {
+    void silentWatchBecomesCurrentAgainOnItsNextUpdate() {
         Step.Open first = started();
         Step.Open watch = opened(membership.told(first.watch(), whole(3, entry("a", Phase.READY, 10)), 0));
         Step.Open second = opened(membership.tick(4.1));
@@ -206,7 +211,7 @@
     }
 
     @Test
-    void whatAnEarlierWatchSaysTooLateUndoesNothing() {
+    void delayedUpdateOfAReplacedWatchIsIgnored() {
         Step.Open first = started();
         Step.Open watch = opened(membership.told(first.watch(), whole(3, entry("a", Phase.READY, 10)), 0));
         membership.damaged(watch.watch(), 1);
@@ -216,14 +221,14 @@
     }
 
     @Test
-    void inALongOutageNoMoreThanThreeAreOpen() {
+    void atMostThreeWatchesAreOpenInALongOutage() {
         Step.Open watch = opened(membership.told(started().watch(), whole(1), 0));
         Set<Integer> open = new java.util.TreeSet<>(Set.of(watch.watch()));
-        int asked = 0;
+        int watches = 0;
         for (double now = 0; now < 30; now += 0.05) {
             for (Step step : membership.tick(now)) {
                 if (step instanceof Step.Open next) {
-                    asked++;
+                    watches++;
                     open.add(next.watch());
                 } else if (step instanceof Step.Abandon left) {
                     open.remove(left.watch());
@@ -231,25 +236,25 @@
             }
             assertTrue(open.size() <= 3, "open " + open);
         }
-        assertTrue(asked >= 7 && asked <= 15, asked + " in 30 s");
+        assertTrue(watches >= 7 && watches <= 15, watches + " watches in 30 s");
     }
 
     @Test
-    void onAMoveTheOldWatchIsLeftAtOnceAndItsWordsCountForNothing() {
+    void addressChangeAbandonsTheOldWatchAndIgnoresItsData() {
         Step.Open first = started(entry("a", Phase.READY, 10));
         Step.Open watch = opened(membership.told(first.watch(), whole(3, entry("a", Phase.READY, 10)), 0.1));
         List<Step> steps = membership.moved(NEW, 1);
-        assertEquals(new Step.Abandon(watch.watch()), steps.get(0), "first the old one is left");
+        assertEquals(new Step.Abandon(watch.watch()), steps.get(0), "the old watch is abandoned first");
         assertEquals(NEW, opened(steps).address());
         assertTrue(opened(steps).whole());
         assertEquals(List.of(), membership.told(watch.watch(), changes(4, entry("a", Phase.DRAINING, 10)), 1.1));
         assertEquals(List.of(), membership.ended(watch.watch(), 1.2));
         assertEquals(Phase.READY, endpoint("a").target().phase());
-        assertEquals(0.1, membership.heardAt(), "the old address is not heard any more");
+        assertEquals(0.1, membership.heardAt(), "data from the old address is ignored");
     }
 
     @Test
-    void threeMovesWithinASecondLeaveOneWatchAtTheLastAddress() {
+    void rapidAddressChangesLeaveOneWatchAtTheLastAddress() {
         started();
         membership.moved(NEW, 0.3);
         membership.moved(OLD, 0.6);
@@ -259,7 +264,7 @@
     }
 
     @Test
-    void aDrainThatOnlyTheWholeListTellsIsHeeded() {
+    void drainInAFullListIsApplied() {
         Step.Open first = started(entry("a", Phase.READY, 10), entry("b", Phase.READY, 11));
         int a = endpoint("a").target().id();
         int b = endpoint("b").target().id();
@@ -270,12 +275,12 @@
                 change.told().targets().stream().map(Target::phase).toList());
         assertEquals(
                 List.of(b), change.left().stream().map(one -> one.target().id()).toList());
-        assertFalse(change.told().whole(), "only what is different is told");
+        assertFalse(change.told().whole(), "only the differences are passed on");
         assertFalse(membership.snapshot().ready(a, 7) || membership.snapshot().ready(b, 7));
     }
 
     @Test
-    void anIdThatGoesAndReturnsAtAnotherAddressIsANewEndpoint() {
+    void returningIdGetsANewNumber() {
         Step.Open first = started(entry("a", Phase.READY, 10));
         int before = endpoint("a").target().id();
         Step.Open watch = opened(membership.told(first.watch(), whole(1, entry("a", Phase.READY, 10)), 0));
@@ -285,13 +290,13 @@
         assertNotEquals(before, endpoint("a").target().id());
         assertEquals(
                 12, membership.snapshot().address(endpoint("a").target().id()).getPort());
-        assertEquals(Phase.GONE, membership.snapshot().target(before).phase(), "calls to it may still be out");
+        assertEquals(Phase.GONE, membership.snapshot().target(before).phase(), "calls to it may still be in flight");
         membership.told(watch.watch(), changes(4), 32.5);
-        assertNull(membership.snapshot().target(before), "long gone");
+        assertNull(membership.snapshot().target(before), "removed after the retention time");
     }
 
     @Test
-    void anIdThatMovesWithoutGoingKeepsItsNumberAndItsOldPlaceIsLeft() {
+    void movedEndpointKeepsItsNumberAndVacatesItsOldAddress() {
         Step.Open first = started(entry("a", Phase.READY, 10));
         Endpoint before = endpoint("a");
         Step.Publish change = (Step.Publish) membership
@@ -303,7 +308,7 @@
     }
 
     @Test
-    void whatAnEntryLeavesOutStandsAndAnUnreadableOneWithdrawsNothing() {
+    void missingAddressAndUnreadableEntryKeepThePreviousState() {
         Step.Open first = started(entry("a", Phase.READY, 10), entry("b", Phase.READY, 11));
         membership.told(first.watch(), new Update(true, 1, List.of(entry("a", Phase.READY, 0)), Set.of("b")), 1);
         assertEquals(10, endpoint("a").address().getPort());
@@ -311,20 +316,20 @@
     }
 
     @Test
-    void anEndpointWithoutAPlaceGetsNothing() {
+    void endpointWithoutAddressIsDraining() {
         started(entry("a", Phase.READY, 0));
         assertEquals(Phase.DRAINING, endpoint("a").target().phase());
     }
 
     @Test
-    void anAgentThatIsAlwaysLateIsGivenMoreTimeAndIsHeardInTheEnd() {
+    void firstByteTimeoutGrowsForASlowAgent() {
         started();
         double now = 0;
-        double late = 3; // s until it answers
+        double delay = 3; // s until discovery answers
         for (int tries = 0; tries < 10; tries++) {
             int watch = membership.watch();
             double since = now;
-            while (now < since + late && membership.watch() == watch) {
+            while (now < since + delay && membership.watch() == watch) {
                 now += 0.05;
                 membership.tick(now);
             }
@@ -338,20 +343,20 @@
                 membership.tick(now);
             }
         }
-        throw new AssertionError("never heard");
+        throw new AssertionError("no update was accepted");
     }
 
     @Test
-    void aSilentWatchIsGivenUpAndAnEmptyLineKeepsIt() {
+    void emptyLineKeepsAWatchAndSilenceReplacesIt() {
         Step.Open first = started();
         Step.Open watch = opened(membership.told(first.watch(), whole(1), 0));
         membership.heard(watch.watch(), 3);
         assertEquals(List.of(), membership.tick(6.9));
-        assertFalse(opened(membership.tick(7.1)).whole(), "its index still counts");
+        assertFalse(opened(membership.tick(7.1)).whole(), "its version is still valid");
     }
 
     @Test
-    void anUnchangedListTellsTheModuleNothing() {
+    void unchangedListChangesNoTargets() {
         Step.Open first = started(entry("a", Phase.READY, 10));
         Step.Publish change = (Step.Publish) membership
                 .told(first.watch(), whole(9, entry("a", Phase.READY, 10)), 1)
@@ -361,7 +366,7 @@
     }
 
     @Test
-    void endpointsThatNoListNamesOutlastEveryWholeList() {
+    void fixedTargetsSurviveFullLists() {
         Target broker = new Target(1_000_000, 1001, 1, 0, 20, Phase.READY);
         Snapshot known = membership.known(whole(1, entry("a", Phase.READY, 10)), List.of(broker), 0);
         assertEquals(
@@ -374,7 +379,7 @@
     }
 
     @Test
-    void afterTheEndNoWatchIsOpened() {
+    void noWatchIsOpenedAfterStop() {
         Step.Open first = started();
         assertEquals(List.of(new Step.Abandon(first.watch())), membership.stop());
         assertEquals(List.of(), membership.tick(100));
@@ -382,12 +387,12 @@
     }
 
     @Test
-    void aSourceThatIsNoneIsRefused() {
+    void unknownSourceIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> membership.word("srv", whole(1), 0));
     }
 
     @Test
-    void aSecondSourceAddsEndpointsAndCannotOverruleADrain() {
+    void secondSourceAddsEndpointsAndCannotOverrideADrain() {
         Membership two = new Membership(TIMING, List.of("second"), 7);
         two.known(whole(1, entry("a", Phase.READY, 10)), List.of(), 0);
         two.word("second", whole(1, entry("a", Phase.READY, 20), entry("b", Phase.READY, 21)), 1);
@@ -397,6 +402,6 @@
         two.told(first.watch(), whole(2, entry("a", Phase.DRAINING, 10)), 2);
         two.word("second", whole(2, entry("a", Phase.READY, 20), entry("b", Phase.READY, 21)), 3);
         assertFalse(two.snapshot().ready(1, 7));
-        assertTrue(two.snapshot().ready(2, 7), "a list that never named it does not withdraw it");
+        assertTrue(two.snapshot().ready(2, 7), "a list that never contained it does not remove it");
     }
 }
--- a/src/test/java/juniperusher/ownership/LeaseTest.java
+++ b/src/test/java/juniperusher/ownership/LeaseTest.java
@@ -21,119 +21,119 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** One owner at a time, in virtual time: the machine alone, then several with faults between them. */
+/** Exclusive ownership: a single {@link Lease}, then several processes with faults in virtual time. */
 class LeaseTest {
     private static final String SEED = "20261202";
     private static final Terms TERMS = new Terms(5, 1, 1, 0.5, 0.5);
 
-    private static Step.Ask asked(List<Step> steps) {
+    private static Step.Ask requestIn(List<Step> steps) {
         return steps.stream()
                 .filter(Step.Ask.class::isInstance)
                 .map(Step.Ask.class::cast)
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("nothing is asked by " + steps));
+                .orElseThrow(() -> new AssertionError("no request in " + steps));
     }
 
-    /** Held from 1.0 on, with a lease sent for at 0. */
-    private static Lease held() {
+    /** A lease that was requested at 0 s and gave the ownership at 0.4 s. */
+    private static Lease heldLease() {
         Lease lease = new Lease(TERMS, "thing", "me/1", 7);
-        Step.Ask grant = asked(lease.want(0));
-        Step.Ask claim = asked(lease.answered(grant.number(), new Reply.Leased(4, 5), 0.2));
+        Step.Ask grant = requestIn(lease.want(0));
+        Step.Ask claim = requestIn(lease.answered(grant.number(), new Reply.Leased(4, 5), 0.2));
         assertTrue(lease.answered(claim.number(), new Reply.Done(true, 9, List.of()), 0.4)
                 .contains(new Step.Held(new Holding("thing", 9))));
         return lease;
     }
 
     @Test
-    void theHolderCountsFromBeforeTheSendingLessTheMargin() {
-        Lease lease = held();
+    void leaseEndsByItsRequestTimeLessTheMargin() {
+        Lease lease = heldLease();
         assertTrue(lease.holds(3.9));
-        assertFalse(lease.holds(4.0), "5 s from 0, when it was sent for, less 1");
-        assertEquals(Lease.State.HOLDING, lease.state(), "nobody has told it the time yet");
+        assertFalse(lease.holds(4.0), "ttl of 5 s from the request at 0 s, less the margin of 1 s");
+        assertEquals(Lease.State.HOLDING, lease.state(), "the state is only updated by a tick");
         assertTrue(lease.tick(4.0).contains(new Step.Doubted(new Holding("thing", 9))));
     }
 
     @Test
-    void aLateAnswerCountsFromItsOwnSending() {
-        Lease lease = held();
-        Step.Ask first = asked(lease.tick(1.2));
-        Step.Ask second = asked(lease.tick(1.8)); // the first has had its patience
+    void lateAnswerRenewsFromItsOwnRequestTime() {
+        Lease lease = heldLease();
+        Step.Ask first = requestIn(lease.tick(1.2));
+        Step.Ask second = requestIn(lease.tick(1.8)); // the first has timed out
         lease.answered(first.number(), new Reply.Leased(4, 5), 2.5);
         assertTrue(lease.holds(5.1));
-        assertFalse(lease.holds(5.3), "1.2 and 5, less 1");
+        assertFalse(lease.holds(5.3), "1.2 s and the ttl of 5 s, less the margin of 1 s");
         lease.answered(second.number(), new Reply.Leased(4, 5), 2.6);
         assertTrue(lease.holds(5.7));
     }
 
     @Test
-    void inDoubtOnlyTheStoresWordBringsItBackOrEndsIt() {
-        for (boolean stands : new boolean[] {true, false}) {
-            Lease lease = held();
-            Step.Ask renewal = asked(lease.tick(4.5)); // it stood still past its own time
+    void uncertainHoldingIsRestoredOrEndedByTheStore() {
+        for (boolean confirmed : new boolean[] {true, false}) {
+            Lease lease = heldLease();
+            Step.Ask renewal = requestIn(lease.tick(4.5)); // suspended past the end of its lease
             assertEquals(Lease.State.UNCERTAIN, lease.state());
             List<Step> steps =
-                    lease.answered(renewal.number(), stands ? new Reply.Leased(4, 5) : new Reply.NoLease(4), 4.6);
-            assertEquals(stands, lease.holds(4.6));
-            assertEquals(stands, steps.contains(new Step.Held(new Holding("thing", 9))));
-            assertEquals(!stands, steps.contains(new Step.Lost(new Holding("thing", 9))));
+                    lease.answered(renewal.number(), confirmed ? new Reply.Leased(4, 5) : new Reply.NoLease(4), 4.6);
+            assertEquals(confirmed, lease.holds(4.6));
+            assertEquals(confirmed, steps.contains(new Step.Held(new Holding("thing", 9))));
+            assertEquals(!confirmed, steps.contains(new Step.Lost(new Holding("thing", 9))));
         }
     }
 
     @Test
-    void aClaimWhoseAnswerWasLostIsFoundByAskingAgain() {
+    void repeatedClaimFindsTheOneWhoseAnswerWasLost() {
         Lease lease = new Lease(TERMS, "thing", "me/1", 7);
-        lease.answered(asked(lease.want(0)).number(), new Reply.Leased(4, 5), 0.1);
-        Step.Ask again = asked(lease.tick(0.7));
+        lease.answered(requestIn(lease.want(0)).number(), new Reply.Leased(4, 5), 0.1);
+        Step.Ask again = requestIn(lease.tick(0.7));
         lease.answered(
                 again.number(),
                 new Reply.Done(false, 12, List.of(List.of(new juniperusher.store.Entry("thing", "me/1", 9, 9, 4)))),
                 0.8);
-        assertEquals(new Holding("thing", 9), lease.holding(), "the token is when the key came to be");
+        assertEquals(new Holding("thing", 9), lease.holding(), "the token is the revision that created the key");
     }
 
     @Test
-    void anEarlierLifesKeyIsAnothers() {
+    void keyOfAnEarlierRunIsNotOwned() {
         Lease lease = new Lease(TERMS, "thing", "me/2", 7);
-        Step.Ask claim = asked(lease.answered(asked(lease.want(0)).number(), new Reply.Leased(5, 5), 0.1));
+        Step.Ask claim = requestIn(lease.answered(requestIn(lease.want(0)).number(), new Reply.Leased(5, 5), 0.1));
         lease.answered(
                 claim.number(),
                 new Reply.Done(false, 12, List.of(List.of(new juniperusher.store.Entry("thing", "me/1", 9, 9, 4)))),
                 0.2);
         assertNull(lease.holding());
-        assertTrue(lease.due() <= 0.7 && lease.due() >= 0.45, "asked again at " + lease.due());
+        assertTrue(lease.due() <= 0.7 && lease.due() >= 0.45, "next claim at " + lease.due());
     }
 
     @Test
-    void theStoresWatchEndsAHoldingAheadOfAnyAnswerAndTellsWhatIsFree() {
-        Lease lease = held();
+    void watchOnTheStoreEndsAHoldingAndReportsAFreeResource() {
+        Lease lease = heldLease();
         lease.changed(true, 9, 1);
         lease.changed(false, 8, 1);
-        assertTrue(lease.holds(1), "its own key, and one before it that went");
+        assertTrue(lease.holds(1), "reports of its own key and of the deletion of an earlier one");
         List<Step> steps = lease.changed(true, 20, 1.1);
         assertTrue(steps.contains(new Step.Lost(new Holding("thing", 9))));
         assertFalse(lease.holds(1.1));
-        Step.Ask claim = asked(lease.answered(asked(steps).number(), new Reply.Leased(4, 5), 1.2));
+        Step.Ask claim = requestIn(lease.answered(requestIn(steps).number(), new Reply.Leased(4, 5), 1.2));
         lease.answered(
                 claim.number(),
                 new Reply.Done(
                         false, 21, List.of(List.of(new juniperusher.store.Entry("thing", "other/1", 20, 20, 8)))),
                 1.3);
         assertTrue(lease.due() > 1.5);
-        assertTrue(asked(lease.changed(false, 20, 1.35)).request() instanceof Request.Txn, "at once");
+        assertTrue(requestIn(lease.changed(false, 20, 1.35)).request() instanceof Request.Txn, "claims immediately");
     }
 
     @Test
-    void releasedNothingIsBegunAndTheStoreIsTold() {
-        Lease lease = held();
+    void releaseEndsTheHoldingAndRevokesTheLease() {
+        Lease lease = heldLease();
         List<Step> steps = lease.release(1);
         assertTrue(steps.contains(new Step.Lost(new Holding("thing", 9))));
-        assertEquals(new Request.Revoke(4), asked(steps).request());
+        assertEquals(new Request.Revoke(4), requestIn(steps).request());
         assertFalse(lease.holds(1));
         assertEquals(List.of(), lease.tick(50));
     }
 
     @Test
-    void aFencedTransactionComparesTheToken() {
+    void fencedTransactionRequiresTheToken() {
         juniperusher.store.StoreState store = new juniperusher.store.StoreState();
         Request.Txn claim = new Request.Txn(List.of(), List.of(new Op.Put("thing", "me", 0)), List.of());
         long token = ((Reply.Done) store.answer(claim, 0)).revision();
@@ -142,18 +142,18 @@
         assertTrue(((Reply.Done) store.answer(act, 1)).succeeded());
         store.answer(new Request.Txn(List.of(), List.of(new Op.Delete("thing")), List.of()), 2);
         store.answer(claim, 3);
-        assertFalse(((Reply.Done) store.answer(act, 4)).succeeded(), "it came to be anew");
+        assertFalse(((Reply.Done) store.answer(act, 4)).succeeded(), "the key was created again");
     }
 
     @Test
-    void termsThatDoNotFitAreRefused() {
+    void inconsistentTimesAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> new Terms(5, 1, 3, 1, 1));
         assertThrows(IllegalArgumentException.class, () -> new Terms(5, 0, 1, 1, 1));
     }
 
     // ---- several processes ----
 
-    private static void play(OwnershipWorld world, int code) {
+    private static void injectFault(OwnershipWorld world, int code) {
         String node = String.valueOf((char) ('a' + code / 16 % 3));
         switch (code % 16) {
             case 0, 1 -> world.stop(node);
@@ -166,17 +166,17 @@
             case 9 -> world.deaf(node, false);
             case 10 -> world.slow(node, code / 48 % 5 * 0.4 + 0.01);
             case 11 -> world.storeDown(code / 48 % 2 == 0);
-            default -> {} // time alone passes
+            default -> {} // no fault, only time passes
         }
     }
 
-    /** Some 10,000 scripts of up to 40 faults, each 0.1 to 4 s apart. */
+    /** Random scripts of up to 40 faults, 0.1 to 4 s apart. */
     @Property(tries = 10_000, seed = SEED)
-    void noScriptOfFaultsMakesTwoOwners(@ForAll @Size(max = 40) List<@IntRange(max = 99_999) Integer> script) {
+    void randomFaultsNeverCauseTwoOwners(@ForAll @Size(max = 40) List<@IntRange(max = 99_999) Integer> script) {
         OwnershipWorld world = new OwnershipWorld(TERMS, 3, script.hashCode());
         double now = 0;
         for (int code : script) {
-            play(world, code);
+            injectFault(world, code);
             now += 0.1 + code / 1_000 % 40 / 10.0;
             world.run(now);
             assertNull(
@@ -197,16 +197,16 @@
         assertNotEquals(
                 "",
                 world.owner(),
-                () -> "nobody owns it in the end\n" + world.timeline().draw());
+                () -> "no owner in the end\n" + world.timeline().draw());
     }
 
-    /** Where a store ends leases early two may believe, and the token alone lets one of them act. */
+    /** If the store ends leases early, two processes may consider themselves owners; the token lets only one act. */
     @Property(tries = 1_000, seed = SEED)
-    void whereLeasesEndEarlyTheTokenFences(@ForAll @Size(max = 30) List<@IntRange(max = 99_999) Integer> script) {
+    void tokenFencesIfTheStoreEndsLeasesEarly(@ForAll @Size(max = 30) List<@IntRange(max = 99_999) Integer> script) {
         OwnershipWorld world = new OwnershipWorld(TERMS, 3, script.hashCode());
         double now = 0;
         for (int code : script) {
-            play(world, code);
+            injectFault(world, code);
             if (code % 16 > 11) {
                 world.endEarly();
             }
@@ -217,9 +217,9 @@
                 world.broken(), () -> world.broken() + "\n" + world.timeline().draw());
     }
 
-    /** The checker sees it: clocks that run apart by more than the margin make two owners. */
+    /** Checks the checker: it reports two owners if the clocks drift by more than the margin. */
     @Test
-    void clocksFurtherApartThanTheMarginBreakIt() {
+    void clockDriftAboveTheMarginCausesTwoOwners() {
         TreeSet<String> breaks = new TreeSet<>();
         for (int seed = 0; seed < 50; seed++) {
             OwnershipWorld world = new OwnershipWorld(TERMS, 3, seed, 0.6);
@@ -231,7 +231,7 @@
         assertTrue(breaks.contains("two owners"), "only " + breaks);
     }
 
-    private static void drawn(String name, OwnershipWorld world) throws Exception {
+    private static void assertTimeline(String name, OwnershipWorld world) throws Exception {
         assertNull(world.broken());
         assertEquals(
                 Files.readString(Path.of("src/test/resources/timelines", name + ".txt")),
@@ -239,7 +239,7 @@
     }
 
     @Test
-    void anOwnerStoppedPastItsLeaseWakesAndDoesNothing() throws Exception {
+    void ownerSuspendedPastItsLeaseDoesNotActOnResume() throws Exception {
         OwnershipWorld world = new OwnershipWorld(TERMS, 3, 1);
         world.run(2);
         String first = world.owner();
@@ -248,11 +248,11 @@
         assertNotEquals(first, world.owner());
         world.go(first);
         world.run(14);
-        drawn("stopped-owner", world);
+        assertTimeline("stopped-owner", world);
     }
 
     @Test
-    void anOwnerThatIsCutOffDoubtsBeforeTheNextOwns() throws Exception {
+    void disconnectedOwnerIsUncertainBeforeTheNextOwns() throws Exception {
         OwnershipWorld world = new OwnershipWorld(TERMS, 2, 2);
         world.run(2);
         String first = world.owner();
@@ -260,18 +260,18 @@
         world.run(10);
         world.cut(first, false);
         world.run(12);
-        drawn("cut-owner", world);
+        assertTimeline("cut-owner", world);
     }
 
     @Test
-    void aStoreThatComesBackFindsTheOwnerWithItsOldToken() throws Exception {
+    void ownerKeepsItsTokenOverAnOutageOfTheStore() throws Exception {
         OwnershipWorld world = new OwnershipWorld(TERMS, 2, 3);
         world.run(2);
         world.storeDown(true);
         world.run(20);
-        assertEquals("", world.owner(), "in doubt");
+        assertEquals("", world.owner(), "the holding is uncertain");
         world.storeDown(false);
         world.run(24);
-        drawn("store-down", world);
+        assertTimeline("store-down", world);
     }
 }
--- a/src/test/java/juniperusher/status/ReportQueueTest.java
+++ b/src/test/java/juniperusher/status/ReportQueueTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What goes when: the machine alone by hand, then with losses that are drawn. */
+/** Times and contents of posts: single cases, then random losses in virtual time. */
 class ReportQueueTest {
     private static final String SEED = "20261202";
     private static final ReportTiming TIMING = ReportTiming.USUAL;
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void whilePostsAreAnsweredOneIsOutAndTheNextCarriesAllThatCameMeanwhile() {
+    void oneAnsweredPostIsInFlightAndTheNextCarriesAllNewReports() {
         assertEquals(List.of(post(1, false, "a")), queue.add("a", 0));
         assertEquals(List.of(), queue.add("b", 1));
         assertEquals(List.of(), queue.add("c", 2));
@@ -48,19 +48,19 @@
     }
 
     @Test
-    void whatIsNotAnsweredGoesAgainOnANewConnectionWhileTheFirstStillWaits() {
+    void unansweredReportIsRepeatedOnANewConnection() {
         queue.add("a", 0);
         assertEquals(50, queue.nextPostAt());
         assertEquals(List.of(), queue.tick(49));
         assertEquals(List.of(post(2, true, "a")), queue.tick(50));
         assertTrue(queue.isOut(1));
         assertEquals(List.of(acknowledged("a"), abandon(1)), queue.answered(2, 51));
-        assertEquals(List.of(), queue.answered(1, 60), "told once");
+        assertEquals(List.of(), queue.answered(1, 60), "acknowledged once");
         assertEquals(List.of(post(3, false, "b")), queue.add("b", 61));
     }
 
     @Test
-    void theFirstOnesAnswerCountsAfterASecondPost() {
+    void answerToTheFirstPostIsAcceptedAfterASecond() {
         queue.add("a", 0);
         queue.tick(50);
         assertEquals(List.of(acknowledged("a"), abandon(2)), queue.answered(1, 70));
@@ -68,18 +68,18 @@
     }
 
     @Test
-    void whatHasNeverGoneGoesFirstAndDoesNotWaitForASilentPost() {
+    void newReportsComeFirstAndDoNotWaitForAnUnansweredPost() {
         queue.add("a", 0);
         queue.add("b", 10);
         assertEquals(List.of(post(2, true, "b", "a")), queue.tick(50));
         queue.add("c", 60);
         assertEquals(List.of(post(3, true, "c", "b", "a")), queue.tick(100));
         queue.add("d", 101);
-        assertEquals(150, queue.nextPostAt(), "what is new never waits for a growing pause");
+        assertEquals(150, queue.nextPostAt(), "the interval between repeats does not delay new reports");
     }
 
     @Test
-    void aSecondAndAThirdSilentConnectionCostAHundredAndTwoHundredMilliseconds() {
+    void repeatIntervalDoublesUpToItsBound() {
         queue.add("a", 0);
         List<Long> times = new ArrayList<>();
         while (times.size() < 6) {
@@ -87,11 +87,11 @@
             queue.tick(at);
             times.add(at);
         }
-        assertEquals(List.of(50L, 100L, 200L, 400L, 600L, 800L), times, "the pause grows, up to 200 ms");
+        assertEquals(List.of(50L, 100L, 200L, 400L, 600L, 800L), times, "the interval grows up to 200 ms");
     }
 
     @Test
-    void asItIsUsedTwoSilentConnectionsCostLessThanTheTimeForAReport() {
+    void defaultTimingSendsAThirdPostWithinTwoHundredMillis() {
         ReportQueue<String> usual = new ReportQueue<>(ReportTiming.USUAL);
         usual.add("a", 0);
         usual.tick(usual.nextPostAt());
@@ -99,30 +99,32 @@
     }
 
     @Test
-    void theBoundOnPostsHoldsAndTheOldestGivesWayOnceItHasHadItsPatience() {
+    void oldestPostIsAbandonedAfterItsTimeoutAtTheLimit() {
         for (int i = 0; i < 8; i++) {
-            queue.add("r" + i, i * 50); // each due just when the one before has waited long enough
+            queue.add("r" + i, i * 50); // each is due when the hedging delay of the one before ends
         }
         assertEquals(List.of(), queue.add("late", 399));
         assertEquals(400, queue.nextPostAt());
         List<Step<String>> steps = queue.tick(400);
         assertEquals(abandon(1), steps.get(0));
         assertEquals(
-                "late", ((Step.Post<String>) steps.get(1)).reports().get(0), "what has never gone stands in front");
+                "late",
+                ((Step.Post<String>) steps.get(1)).reports().get(0),
+                "a report that was never sent comes first");
     }
 
     @Test
-    void aBrokenConnectionCostsNothingAndARefusalAPause() {
+    void firstFailureHasNoBackoffAndTheSecondHasOne() {
         queue.add("a", 0);
         assertEquals(List.of(post(2, true, "a")), queue.failed(1, 1));
         assertEquals(List.of(), queue.failed(2, 2));
         assertEquals(52, queue.nextPostAt());
-        assertEquals(List.of(), queue.add("b", 3), "the platform refuses connections just now");
+        assertEquals(List.of(), queue.add("b", 3), "backoff after a second failure");
         assertEquals(List.of(post(3, true, "b", "a")), queue.tick(52));
     }
 
     @Test
-    void afterAnAnswerAllThatWaitsGoesAtOnceAHundredAtATime() {
+    void waitingReportsAreSentInPostsOfAHundred() {
         queue.add("first", 0);
         for (int i = 0; i < 250; i++) {
             queue.add("r" + i, 1);
@@ -141,37 +143,37 @@
     }
 
     @Test
-    void theTimeOfAPostCountsFromItsHandingOver() {
+    void hedgingDelayStartsWhenThePostIsWritten() {
         queue.add("a", 0);
         queue.posted(1, 120);
         assertEquals(170, queue.nextPostAt());
     }
 
     @Test
-    void twoThatAreEqualAreBothTold() {
+    void equalReportsAreAcknowledgedSeparately() {
         queue.add("a", 0);
         queue.add("a", 1);
         queue.answered(1, 2);
         assertEquals(List.of(acknowledged("a")), queue.answered(2, 3));
     }
 
-    /** A platform in virtual time whose answers, failures and silence are drawn, and the checks on each step. */
+    /** Platform in virtual time with random answers, failures and silence; checks each step. */
     private static final class World {
         final ReportQueue<Integer> queue = new ReportQueue<>(TIMING);
-        final Random drawn;
-        final Map<Integer, List<Integer>> out = new HashMap<>();
+        final Random random;
+        final Map<Integer, List<Integer>> inFlight = new HashMap<>();
         final Map<Integer, Long> addedAt = new HashMap<>();
         final Set<Integer> sent = new HashSet<>();
         final Set<Integer> acknowledged = new HashSet<>();
         final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
         long now;
-        boolean healthy;
+        boolean responsive;
         int added;
 
         record Event(long at, int post, boolean answer) {}
 
         World(long seed) {
-            drawn = new Random(seed);
+            random = new Random(seed);
         }
 
         void add() {
@@ -188,7 +190,7 @@
                 }
                 now = Math.max(now, next);
                 if (event <= next) {
-                    happen(events.poll());
+                    handle(events.poll());
                 } else {
                     carryOut(queue.tick(now));
                 }
@@ -196,13 +198,14 @@
             now = until;
         }
 
-        private void happen(Event event) {
-            List<Integer> carried = out.remove(event.post);
+        private void handle(Event event) {
+            List<Integer> carried = inFlight.remove(event.post);
             List<Step<Integer>> steps = event.answer ? queue.answered(event.post, now) : queue.failed(event.post, now);
             for (Step<Integer> step : steps) {
                 if (step instanceof Step.Acknowledged<Integer> done) {
                     assertTrue(
-                            carried != null && carried.contains(done.report()), "acknowledged without an answer to it");
+                            carried != null && carried.contains(done.report()),
+                            "acknowledged without an answer to its post");
                 }
             }
             carryOut(steps);
@@ -213,38 +216,39 @@
                 if (step instanceof Step.Post<Integer> post) {
                     send(post);
                 } else if (step instanceof Step.Abandon<Integer> abandon) {
-                    out.remove(abandon.number());
+                    inFlight.remove(abandon.number());
                 } else if (step instanceof Step.Acknowledged<Integer> done) {
                     assertTrue(acknowledged.add(done.report()), "acknowledged twice");
                 }
             }
-            assertTrue(out.size() <= TIMING.maxPostsInFlight(), "more posts out than the bound");
+            assertTrue(inFlight.size() <= TIMING.maxPostsInFlight(), "more posts in flight than the limit");
             assertEquals(added - acknowledged.size(), queue.waiting());
         }
 
         private void send(Step.Post<Integer> post) {
             assertTrue(
-                    !post.reports().isEmpty() && post.reports().size() <= TIMING.maxReportsPerPost(), "size of a post");
-            out.put(post.number(), post.reports());
+                    !post.reports().isEmpty() && post.reports().size() <= TIMING.maxReportsPerPost(),
+                    "number of reports in a post");
+            inFlight.put(post.number(), post.reports());
             boolean repeatsBefore = false;
             for (int report : post.reports()) {
                 boolean first = sent.add(report);
-                assertTrue(!first || !repeatsBefore, "a repeat stands before what has never gone");
+                assertTrue(!first || !repeatsBefore, "a repeat comes before a report that was never sent");
                 repeatsBefore |= !first;
                 assertTrue(
                         !first || now - addedAt.get(report) <= TIMING.postTimeoutMillis() + TIMING.hedgeAfterMillis(),
-                        "has waited too long for its first sending");
+                        "first sent too late");
             }
-            int fate = healthy ? 0 : drawn.nextInt(4);
-            if (fate < 3) { // else it stays silent
-                long after = healthy ? 1 : 1 + drawn.nextInt(fate == 0 ? 10 : 600);
-                events.add(new Event(now + after, post.number(), fate != 2));
+            int outcome = responsive ? 0 : random.nextInt(4);
+            if (outcome < 3) { // otherwise no answer
+                long after = responsive ? 1 : 1 + random.nextInt(outcome == 0 ? 10 : 600);
+                events.add(new Event(now + after, post.number(), outcome != 2));
             }
         }
     }
 
     @Property(tries = 3_000, seed = SEED)
-    void underDrawnLossesEachIsToldOnceAndAllSoonAfterTheReturn(
+    void eachReportIsAcknowledgedOnceUnderRandomLosses(
             @ForAll @Size(max = 60) List<@IntRange(max = 719) Integer> script, @ForAll long losses) {
         World world = new World(losses);
         for (int code : script) {
@@ -253,8 +257,8 @@
             }
             world.run(world.now + code / 6);
         }
-        world.healthy = true;
-        // The posts out may be silent; a slot comes free with the patience of the oldest.
+        world.responsive = true;
+        // Posts in flight may stay unanswered; the oldest can be abandoned after its timeout.
         world.run(world.now + TIMING.postTimeoutMillis() + TIMING.maxRepeatIntervalMillis());
         assertEquals(world.added, world.acknowledged.size(), "not all acknowledged");
         assertEquals(0, world.queue.waiting());
--- a/src/test/java/juniperusher/store/StoreStateTest.java
+++ b/src/test/java/juniperusher/store/StoreStateTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aTransactionIsOneRevisionAndComparesAllOfIt() {
+    void transactionIsOneRevisionAndRequiresAllConditions() {
         assertEquals(2, put("a", "1", 0, Compare.created("a", 0)).revision());
         assertEquals(
                 3,
@@ -36,7 +36,7 @@
         Reply.Done refused = put("a", "3", 0, Compare.created("a", 0));
         assertFalse(refused.succeeded());
         assertEquals(List.of(List.of(new Entry("a", "2", 2, 3, 0))), refused.reads());
-        assertEquals(3, refused.revision(), "what reads alone makes no revision");
+        assertEquals(3, refused.revision(), "a transaction that only reads makes no revision");
         Reply.Done two = (Reply.Done) store.answer(
                 new Request.Txn(
                         List.of(),
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aKeyThatWasDeletedComesToBeAnew() {
+    void recreatedKeyHasANewCreationRevision() {
         put("a", "1", 0);
         store.answer(new Request.Txn(List.of(), List.of(new Op.Delete("a")), List.of()), 0);
         put("a", "1", 0);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aLeaseEndsWithItsKeysUnlessItIsKeptAlive() {
+    void leaseExpiresWithItsKeysUnlessKeptAlive() {
         long lease = ((Reply.Leased) store.answer(new Request.Grant(5), 0)).lease();
         put("a/1", "x", lease);
         put("a/2", "x", lease);
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void nothingIsPutUnderALeaseThatIsOver() {
+    void transactionWithAnExpiredLeaseIsNotExecuted() {
         long lease = ((Reply.Leased) store.answer(new Request.Grant(1), 0)).lease();
         Reply reply = store.answer(
                 new Request.Txn(List.of(), List.of(new Op.Put("b", "x", 0), new Op.Put("a", "x", lease)), List.of()),
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void revokedItEndsAtOnceAndOnARestartItCountsAnew() {
+    void revokedLeaseEndsAtOnceAndRestartRestartsLeases() {
         long one = ((Reply.Leased) store.answer(new Request.Grant(5), 0)).lease();
         long two = ((Reply.Leased) store.answer(new Request.Grant(5), 0)).lease();
         put("one", "x", one);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void whatIsCompactedCannotBeReadAgain() {
+    void compactedRevisionsCannotBeRead() {
         put("a", "1", 0);
         put("a", "2", 0);
         store.compact(2);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void badTimesAreRefused() {
+    void invalidTimesAreRejected() {
         store.tick(5);
         assertThrows(IllegalArgumentException.class, () -> store.tick(4));
         assertThrows(IllegalArgumentException.class, () -> store.answer(new Request.Grant(0), 5));
--- a/src/test/java/juniperusher/storm/FingerprintsTest.java
+++ b/src/test/java/juniperusher/storm/FingerprintsTest.java
@@ -10,26 +10,26 @@
     private final Fingerprints prints = new Fingerprints();
 
     @Test
-    void eachRefusalAccountsForOneReturn() {
+    void eachRefusalMatchesOneResubmission() {
         assertFalse(prints.takeRefusal(7, 1));
         prints.recordRefusal(7, 1);
         prints.recordRefusal(7, 2);
         assertTrue(prints.takeRefusal(7, 3));
         assertTrue(prints.takeRefusal(7, 3));
-        assertFalse(prints.takeRefusal(7, 3), "another message with the same content");
+        assertFalse(prints.takeRefusal(7, 3), "more messages than refusals of this content");
     }
 
     @Test
-    void whatWasRefusedLongAgoIsForgotten() {
+    void oldRefusalsAreForgotten() {
         prints.recordRefusal(7, 1);
         assertFalse(prints.takeRefusal(7, 32));
         prints.recordRefusal(8, 1);
         prints.recordRefusal(9, 40);
-        assertEquals(1, prints.size(), "the old one is dropped");
+        assertEquals(1, prints.size(), "the expired entry is removed");
     }
 
     @Test
-    void itHoldsNoMoreThanItsBoundAndDropsTheOldest() {
+    void boundedInSizeAndDropsTheOldest() {
         for (int i = 0; i < 10_000; i++) {
             prints.recordRefusal(i, i * 0.001);
         }
--- a/src/test/java/juniperusher/storm/SharesTest.java
+++ b/src/test/java/juniperusher/storm/RateSharesTest.java
@@ -13,86 +13,88 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class SharesTest {
+class RateSharesTest {
     private static final String SEED = "20261201";
 
-    /** A note on its way. */
-    private record Sent(int from, int to, double part, RateShares.TimestampEcho echo, double clock, double arrives) {}
+    /** A note in transit. */
+    private record SentNote(
+            int from, int to, double fraction, RateShares.TimestampEcho echo, double sentAt, double arrivesAt) {}
 
     /**
-     * Relays lend to each other at random; notes are lost, up to 5 s late, doubled, out of order; relays are
-     * killed;
-     * clocks differ. Their parts never come to more than the whole.
+     * Relays lend to each other at random. Notes are lost, duplicated, reordered or delayed by up to 5 s, relays are
+     * killed, and their clocks differ. The shares must never sum up to more than the whole rate.
      */
     @Property(tries = 1_500, seed = SEED)
-    void atNoMomentDoTheSharesComeToMoreThanTheWhole(
-            @ForAll long draw,
+    void sharesNeverExceedTheWholeRate(
+            @ForAll long randomSeed,
             @ForAll @IntRange(min = 2, max = 6) int relays,
             @ForAll @DoubleRange(min = 0, max = 1) double loss) {
-        SplittableRandom random = new SplittableRandom(draw);
+        SplittableRandom random = new SplittableRandom(randomSeed);
         RateShares[] shares = new RateShares[relays];
-        double[] skew = new double[relays];
+        double[] clockOffsets = new double[relays];
         for (int i = 0; i < relays; i++) {
-            skew[i] = 1e6 + random.nextDouble() * 1e6;
-            shares[i] = new RateShares(relays, skew[i]);
+            clockOffsets[i] = 1e6 + random.nextDouble() * 1e6;
+            shares[i] = new RateShares(relays, clockOffsets[i]);
         }
-        List<Sent> onTheWay = new ArrayList<>();
+        List<SentNote> inTransit = new ArrayList<>();
         for (double now = 0; now < 20; now += 0.02) {
             int sender = random.nextInt(relays);
             int to = random.nextInt(relays);
             if (to != sender) {
-                RateShares.TimestampEcho echo = shares[sender].echoFor(to, now + skew[sender]);
-                double part = echo == null
+                RateShares.TimestampEcho echo = shares[sender].echoFor(to, now + clockOffsets[sender]);
+                double fraction = echo == null
                         ? 0
-                        : shares[sender].lend(7, to, random.nextDouble() * 1.2 - 0.1, now + skew[sender]);
+                        : shares[sender].lend(7, to, random.nextDouble() * 1.2 - 0.1, now + clockOffsets[sender]);
                 for (int copies = random.nextInt(10) == 0 ? 2 : 1; copies > 0; copies--) {
                     if (random.nextDouble() >= loss) {
-                        double took = random.nextInt(10) == 0 ? random.nextDouble() * 5 : random.nextDouble() * 0.2;
-                        onTheWay.add(new Sent(sender, to, part, echo, now + skew[sender], now + took));
+                        double delay = random.nextInt(10) == 0 ? random.nextDouble() * 5 : random.nextDouble() * 0.2;
+                        inTransit.add(
+                                new SentNote(sender, to, fraction, echo, now + clockOffsets[sender], now + delay));
                     }
                 }
             }
             if (random.nextInt(200) == 0) {
-                int back = random.nextInt(relays);
-                shares[back] = new RateShares(relays, now + skew[back]); // killed, and back at once, with nothing
+                int restarted = random.nextInt(relays);
+                shares[restarted] =
+                        new RateShares(relays, now + clockOffsets[restarted]); // killed and restarted without state
             }
-            for (Sent note : List.copyOf(onTheWay)) {
-                if (note.arrives() <= now) {
-                    onTheWay.remove(note);
-                    double at = now + skew[note.to()];
-                    shares[note.to()].noteReceived(note.from(), note.clock(), at);
-                    if (note.part() > 0) { // even one out of order may not do harm
-                        shares[note.to()].borrow(note.from(), 7, note.part(), note.echo(), at);
+            for (SentNote note : List.copyOf(inTransit)) {
+                if (note.arrivesAt() <= now) {
+                    inTransit.remove(note);
+                    double at = now + clockOffsets[note.to()];
+                    shares[note.to()].noteReceived(note.from(), note.sentAt(), at);
+                    if (note.fraction() > 0) { // a reordered note is applied too, as the worst case
+                        shares[note.to()].borrow(note.from(), 7, note.fraction(), note.echo(), at);
                     }
                 }
             }
             double sum = 0;
             for (int i = 0; i < relays; i++) {
-                double part = shares[i].fractionOf(7, now + skew[i]);
-                assertTrue(part > 0, "a relay is left with nothing");
-                sum += part;
+                double fraction = shares[i].fractionOf(7, now + clockOffsets[i]);
+                assertTrue(fraction > 0, "a relay has no share left");
+                sum += fraction;
             }
-            assertTrue(sum <= 1 + 1e-9, "parts come to " + sum + " at " + now);
+            assertTrue(sum <= 1 + 1e-9, "shares sum up to " + sum + " at " + now);
         }
     }
 
     @Test
-    void withoutNotesEachHasAnEqualShare() {
+    void sharesAreEqualWithoutNotes() {
         RateShares one = new RateShares(3, 0);
         assertEquals(1.0 / 3, one.fractionOf(7, RateShares.LOAN_SECONDS), 1e-9);
-        assertTrue(one.fractionOf(7, 0) < 0.1, "a process before this one may have lent most of it");
+        assertTrue(one.fractionOf(7, 0) < 0.1, "the previous process may have lent most of the share");
     }
 
     @Test
-    void aLoanCountsFromTheEarliestMomentAtWhichItsNoteCanHaveLeft() {
+    void loanRunsFromTheEarliestPossibleSendingOfItsNote() {
         RateShares lender = new RateShares(2, -10);
-        RateShares borrower = new RateShares(2, 90); // its clock is 100 s ahead
+        RateShares borrower = new RateShares(2, 90); // clock is 100 s ahead
         assertTrue(lender.noteReceived(1, 100, 0.05));
         RateShares.TimestampEcho echo = lender.echoFor(1, 0.3);
-        double part = lender.lend(7, 1, 0.5, 0.3);
-        assertEquals(0.5, part, 0.005);
+        double fraction = lender.lend(7, 1, 0.5, 0.3);
+        assertEquals(0.5, fraction, 0.005);
         assertEquals(0.25, lender.fractionOf(7, 0.3), 0.005);
-        borrower.borrow(0, 7, part, echo, 100.4);
+        borrower.borrow(0, 7, fraction, echo, 100.4);
         assertEquals(0.75, borrower.fractionOf(7, 100.4), 0.005);
         assertEquals(0.75, borrower.fractionOf(7, 100.25 + RateShares.LOAN_SECONDS - 0.01), 0.005);
         assertEquals(0.5, borrower.fractionOf(7, 100.25 + RateShares.LOAN_SECONDS + 0.01), 1e-9);
@@ -101,7 +103,7 @@
     }
 
     @Test
-    void whileOneRelayMayHaveALoanAnotherGetsNone() {
+    void nothingIsLentToAnotherRelayDuringALoan() {
         RateShares lender = new RateShares(3, -10);
         assertTrue(lender.lend(7, 1, 0.5, 0) > 0);
         assertEquals(0, lender.lend(7, 2, 0.5, 1));
@@ -110,16 +112,16 @@
     }
 
     @Test
-    void aLateNoteAndOneForAProcessBeforeLendNothing() {
+    void lateNotesAndEchoesOfAnEarlierProcessLendNothing() {
         RateShares one = new RateShares(2, 0);
         one.borrow(1, 7, 0.5, new RateShares.TimestampEcho(5, 0.1), 8);
-        assertEquals(0.5, one.fractionOf(7, 8), 1e-9, "three seconds late");
+        assertEquals(0.5, one.fractionOf(7, 8), 1e-9, "the note is three seconds late");
         one.borrow(1, 7, 0.5, new RateShares.TimestampEcho(-1, 9), 8);
-        assertEquals(0.5, one.fractionOf(7, 8), 1e-9, "an echo of a process before this one");
+        assertEquals(0.5, one.fractionOf(7, 8), 1e-9, "an echo of an earlier process");
         one.borrow(1, 7, 0.5, new RateShares.TimestampEcho(9, 0), 8);
-        assertEquals(0.5, one.fractionOf(7, 8), 1e-9, "an echo of what is still to come");
+        assertEquals(0.5, one.fractionOf(7, 8), 1e-9, "an echo of a future time");
         assertTrue(one.noteReceived(1, 50, 8));
-        assertFalse(one.noteReceived(1, 50, 9), "doubled");
+        assertFalse(one.noteReceived(1, 50, 9), "duplicated");
         assertFalse(one.noteReceived(1, 49, 9), "out of order");
     }
 }
