--- a/src/main/java/juniperusher/maintenance/Maintenance.java
+++ b/src/main/java/juniperusher/maintenance/Maintenance.java
@@ -55,24 +55,24 @@
 
     /** Returns the snapshot of discovery with every ready endpoint under maintenance changed to draining. */
     public Snapshot over(Snapshot discovered) {
-        PMap<Integer, Endpoint> endpoints = discovered.endpoints();
+        PMap<Integer, Endpoint> result = discovered.endpoints();
         for (Map.Entry<Integer, Endpoint> numbered : discovered.endpoints().entrySet()) {
             Endpoint endpoint = numbered.getValue();
             if (endpointIds.contains(endpoint.id()) && endpoint.target().phase() == Phase.READY) {
-                endpoints = endpoints.plus(
+                result = result.plus(
                         numbered.getKey(),
                         new Endpoint(endpoint.id(), draining(endpoint.target()), endpoint.address(), endpoint.since()));
             }
         }
-        return endpoints == discovered.endpoints()
+        return result == discovered.endpoints()
                 ? discovered
                 : new Snapshot(
                         discovered.serial(),
                         discovered.source(),
                         discovered.version(),
                         discovered.confirmed(),
-                        discovered.toldAt(),
-                        endpoints,
+                        discovered.updatedAt(),
+                        result,
                         discovered.destinations());
     }
 
@@ -104,14 +104,14 @@
     }
 
     /** Content of the maintenance file: a header line, one id per line, and a footer that marks it as complete. */
-    public String text() {
+    public String serialize() {
         StringBuilder out = new StringBuilder(HEADER).append('\n');
         endpointIds.forEach(id -> out.append(id).append('\n'));
         return out.append(FOOTER).append('\n').toString();
     }
 
     /**
-     * Parses the result of {@link #text()}.
+     * Parses the result of {@link #serialize()}.
      *
      * @throws IllegalArgumentException if the text is incomplete or malformed
      */
--- a/src/main/java/juniperusher/maintenance/MaintenanceFile.java
+++ b/src/main/java/juniperusher/maintenance/MaintenanceFile.java
@@ -40,6 +40,6 @@
     /** Replaces the file, creating the folder if need be. Readers see the new content once this returns. */
     public void write(Maintenance maintenance) throws IOException {
         Files.createDirectories(folder);
-        ReplacedFile.write(folder.resolve(NAME), maintenance.text());
+        ReplacedFile.write(folder.resolve(NAME), maintenance.serialize());
     }
 }
--- a/src/main/java/juniperusher/membership/DiscoveryWatch.java
+++ b/src/main/java/juniperusher/membership/DiscoveryWatch.java
@@ -18,7 +18,7 @@
  * return together.
  */
 final class DiscoveryWatch {
-    /** Replaced watches that stay open at most; bounds the file descriptors in use. */
+    /** Maximum number of replaced watches that stay open; bounds the file descriptors in use. */
     private static final int MAX_REPLACED_WATCHES = 2;
     /** After this time without unreadable data, the backoff before the full list is fetched starts short again. */
     private static final double UNREADABLE_RESET_SECONDS = 10;
--- a/src/main/java/juniperusher/membership/EndpointRegistry.java
+++ b/src/main/java/juniperusher/membership/EndpointRegistry.java
@@ -70,7 +70,7 @@
                 snapshot.source(),
                 snapshot.version(),
                 snapshot.confirmed(),
-                snapshot.toldAt(),
+                snapshot.updatedAt(),
                 endpoints,
                 destinations);
         return new Change(snapshot, new TargetList(false, targets), List.of());
@@ -91,9 +91,9 @@
         update.entries().forEach(entry -> newEntries.put(entry.id(), entry));
         if (update.whole()) {
             registrations.forEach((id, registration) -> {
-                Entry before = registration.entries().get(source);
-                if (before != null && !update.unread().contains(id)) {
-                    newEntries.putIfAbsent(id, before.asGone());
+                Entry previous = registration.entries().get(source);
+                if (previous != null && !update.unread().contains(id)) {
+                    newEntries.putIfAbsent(id, previous.asGone());
                 }
             });
         }
@@ -102,20 +102,20 @@
         List<Target> changedTargets = new ArrayList<>();
         List<Endpoint> vacatedEndpoints = new ArrayList<>();
         for (Entry entry : newEntries.values()) {
-            Endpoint before = currentEndpoint(entry.id());
-            Endpoint after = merge(source, entry, before, now);
-            if (after == null || after.equals(before)) {
+            Endpoint previous = currentEndpoint(entry.id());
+            Endpoint merged = merge(source, entry, previous, now);
+            if (merged == null || merged.equals(previous)) {
                 continue;
             }
-            boolean moved = before != null && !Objects.equals(before.address(), after.address());
-            if (before != null && (moved || after.target().phase() == Phase.GONE)) {
-                vacatedEndpoints.add(before);
+            boolean moved = previous != null && !Objects.equals(previous.address(), merged.address());
+            if (previous != null && (moved || merged.target().phase() == Phase.GONE)) {
+                vacatedEndpoints.add(previous);
             }
-            if (before == null || !before.target().equals(after.target())) {
-                changedTargets.add(after.target());
+            if (previous == null || !previous.target().equals(merged.target())) {
+                changedTargets.add(merged.target());
             }
-            endpoints = endpoints.plus(after.target().id(), after);
-            destinations = destinations.plus(after.target().destination());
+            endpoints = endpoints.plus(merged.target().id(), merged);
+            destinations = destinations.plus(merged.target().destination());
         }
         snapshot =
                 new Snapshot(snapshot.serial() + 1, origin, update.version(), confirmed, now, endpoints, destinations);
@@ -130,7 +130,7 @@
     }
 
     /** Records the entry and returns the merged endpoint, or null if no endpoint results from it. */
-    private Endpoint merge(String source, Entry entry, Endpoint before, double now) {
+    private Endpoint merge(String source, Entry entry, Endpoint previous, double now) {
         Registration registration = registrations.get(entry.id());
         PMap<String, Entry> entries = registration == null ? HashTreePMap.empty() : registration.entries();
         Entry lastEntry = entries.get(source);
@@ -142,16 +142,16 @@
         boolean listed = entries.values().stream().anyMatch(entryOfSource -> entryOfSource.phase() != Phase.GONE);
         if (!listed) {
             registrations = registrations.minus(entry.id()); // if it returns, it gets a new number
-            return before == null
+            return previous == null
                     ? null
-                    : new Endpoint(before.id(), before.target().gone(), before.address(), now);
+                    : new Endpoint(previous.id(), previous.target().gone(), previous.address(), now);
         }
-        if (before == null && phase == Phase.GONE) {
+        if (previous == null && phase == Phase.GONE) {
             registrations = registrations.plus(
                     entry.id(), new Registration(registration == null ? 0 : registration.number(), entries));
             return null; // one source lists it, another says that it is gone
         }
-        int number = before != null ? before.target().id() : ++lastNumber;
+        int number = previous != null ? previous.target().id() : ++lastNumber;
         registrations = registrations.plus(entry.id(), new Registration(number, entries));
         Entry highestRanked = highestRankedEntry(entries);
         InetSocketAddress address = highestRanked.address() != null
@@ -170,8 +170,8 @@
                 highestRanked.zone(),
                 highestRanked.weight(),
                 phase);
-        boolean samePhase = before != null && before.target().phase() == phase;
-        return new Endpoint(entry.id(), target, address, samePhase ? before.since() : now);
+        boolean samePhase = previous != null && previous.target().phase() == phase;
+        return new Endpoint(entry.id(), target, address, samePhase ? previous.since() : now);
     }
 
     private Entry highestRankedEntry(PMap<String, Entry> entries) {
--- a/src/main/java/juniperusher/membership/Membership.java
+++ b/src/main/java/juniperusher/membership/Membership.java
@@ -137,7 +137,7 @@
     }
 
     /** Number of the current watch, 0 for none. */
-    public int watch() {
+    public int currentWatch() {
         return watch.current();
     }
 
--- a/src/main/java/juniperusher/membership/Snapshot.java
+++ b/src/main/java/juniperusher/membership/Snapshot.java
@@ -17,7 +17,7 @@
  *                     the saved list
  * @param version      version of its state that the source stated last
  * @param confirmed    whether discovery has confirmed the list in this process, as opposed to a saved list
- * @param toldAt       time of the last update from a source, in seconds of the events' clock
+ * @param updatedAt       time of the last update from a source, in seconds of the events' clock
  * @param endpoints    endpoints by number; one that is gone is kept for a while, since calls to it may be in flight
  * @param destinations all destinations that were ever listed
  */
@@ -26,7 +26,7 @@
         String source,
         long version,
         boolean confirmed,
-        double toldAt,
+        double updatedAt,
         PMap<Integer, Endpoint> endpoints,
         PSet<Integer> destinations) {
     /** The state before any update. */
--- a/src/main/java/juniperusher/ownership/Lease.java
+++ b/src/main/java/juniperusher/ownership/Lease.java
@@ -169,7 +169,7 @@
      * @param exists          whether the key exists, as opposed to deleted
      * @param createdRevision revision at which that key was created
      */
-    public List<Step> changed(boolean exists, long createdRevision, double time) {
+    public List<Step> keyChanged(boolean exists, long createdRevision, double time) {
         advanceClock(time);
         List<Step> steps = new ArrayList<>();
         if (holding != null && (exists ? createdRevision > holding.token() : createdRevision == holding.token())) {
--- a/src/main/java/juniperusher/storm/DestinationStorm.java
+++ b/src/main/java/juniperusher/storm/DestinationStorm.java
@@ -50,7 +50,7 @@
     private final DecayingCounter recentCalls = new DecayingCounter(CALL_WINDOW_SECONDS);
     private final DecayingCounter recentFailures = new DecayingCounter(CALL_WINDOW_SECONDS);
     private double usualResponseSeconds; // moving average while the state is CALM
-    private boolean resubmissionsMarked; // whether any client has marked a resubmission
+    private boolean resubmissionsMarked; // whether any resubmission was recognized
     private StormState state = StormState.CALM;
     private double listedRate; // calls per second, 0 if unknown
     private double reportedRate; // calls per second, 0 if unknown
@@ -80,10 +80,12 @@
 
     // ---- inputs ----
 
+    /** Sets the rate of the endpoint list, in calls per second. */
     void setListedRate(double rate) {
         listedRate = rate;
     }
 
+    /** A message has arrived; {@code resubmitted} if its client has marked it as such or its refusal is known. */
     void messageArrived(double now, boolean resubmitted) {
         pending++;
         arrivals.add(now, 1);
@@ -91,7 +93,7 @@
         resubmissions.add(now, resubmitted ? 1 : 0);
     }
 
-    /** A message of the destination has finished, with whatever result. */
+    /** A message of the destination has finished, delivered or not. */
     void messageFinished() {
         pending = Math.max(0, pending - 1);
     }
--- a/src/main/java/juniperusher/storm/Fingerprints.java
+++ b/src/main/java/juniperusher/storm/Fingerprints.java
@@ -20,8 +20,8 @@
 
     /** Records the refusal of a message with this fingerprint. */
     void recordRefusal(long fingerprint, double now) {
-        Refusals before = refusals.remove(fingerprint);
-        refusals.put(fingerprint, new Refusals(before == null ? 1 : before.count() + 1, now));
+        Refusals previous = refusals.remove(fingerprint);
+        refusals.put(fingerprint, new Refusals(previous == null ? 1 : previous.count() + 1, now));
         Iterator<Refusals> oldest = refusals.values().iterator();
         while (oldest.next().lastAt() < now - RETENTION_SECONDS || refusals.size() > MAX_FINGERPRINTS) {
             oldest.remove();
@@ -30,12 +30,12 @@
 
     /** Whether a message with this fingerprint was refused before; if so, one refusal is removed. */
     boolean takeRefusal(long fingerprint, double now) {
-        Refusals before = refusals.remove(fingerprint);
-        if (before == null || before.lastAt() < now - RETENTION_SECONDS) {
+        Refusals previous = refusals.remove(fingerprint);
+        if (previous == null || previous.lastAt() < now - RETENTION_SECONDS) {
             return false;
         }
-        if (before.count() > 1) {
-            refusals.put(fingerprint, new Refusals(before.count() - 1, before.lastAt()));
+        if (previous.count() > 1) {
+            refusals.put(fingerprint, new Refusals(previous.count() - 1, previous.lastAt()));
         }
         return true;
     }
--- a/src/main/java/juniperusher/storm/RateCurve.java
+++ b/src/main/java/juniperusher/storm/RateCurve.java
@@ -41,7 +41,7 @@
                                 + (1 - coldFraction) * Math.min(1, Math.max(0, time - startsAt) / warmUpSeconds));
     }
 
-    /** Time at which that many calls will have been accepted since {@code time}, at most {@code maxSeconds} later. */
+    /** Time at which {@code calls} calls will be accepted since {@code time}, at most {@code maxSeconds} later. */
     double timeOfCalls(double time, double calls, double maxSeconds) {
         if (callsBetween(time, time + maxSeconds) <= calls) {
             return time + maxSeconds;
--- a/src/main/java/juniperusher/storm/RateShares.java
+++ b/src/main/java/juniperusher/storm/RateShares.java
@@ -52,12 +52,12 @@
     }
 
     /** Records the timestamp of a note from another relay; false if the note is not newer than all before. */
-    boolean noteReceived(int from, double timestamp, double now) {
-        Timestamp last = newestTimestamps.get(from);
+    boolean noteReceived(int sender, double timestamp, double now) {
+        Timestamp last = newestTimestamps.get(sender);
         if (last != null && last.value() >= timestamp) {
             return false; // duplicated or out of order
         }
-        newestTimestamps.put(from, new Timestamp(timestamp, now));
+        newestTimestamps.put(sender, new Timestamp(timestamp, now));
         return true;
     }
 
@@ -92,16 +92,16 @@
      * @return the fraction to state in the note, 0 if nothing is lent
      */
     double lend(int destination, int borrower, double fraction, double now) {
-        Loan before = loansGiven.get(destination);
-        boolean running = before != null && before.endsAt() > now;
+        Loan previous = loansGiven.get(destination);
+        boolean running = previous != null && previous.endsAt() > now;
         // Rounded down to the resolution of the note, which has one byte for it.
         double lentFraction = Math.floor(Math.min(MAX_LENT_FRACTION, Math.max(0, fraction)) * 255) / 255;
-        if (lentFraction <= 0 || now < startedAt + LOAN_SECONDS || running && before.peer() != borrower) {
+        if (lentFraction <= 0 || now < startedAt + LOAN_SECONDS || running && previous.peer() != borrower) {
             return 0;
         }
         loansGiven.put(
                 destination,
-                new Loan(borrower, Math.max(lentFraction, running ? before.fraction() : 0), now + LOAN_SECONDS));
+                new Loan(borrower, Math.max(lentFraction, running ? previous.fraction() : 0), now + LOAN_SECONDS));
         return lentFraction;
     }
 
--- a/src/test/java/juniperusher/maintenance/MaintenanceTest.java
+++ b/src/test/java/juniperusher/maintenance/MaintenanceTest.java
@@ -66,7 +66,7 @@
         Maintenance stored = Maintenance.NONE.enter("s-b").enter("s-a");
         file.write(stored);
         assertEquals(new MaintenanceFile(folder).read(), stored);
-        String whole = stored.text();
+        String whole = stored.serialize();
         for (int cut = 0; cut < whole.length(); cut++) {
             String truncated = whole.substring(0, cut);
             assertThrows(IllegalArgumentException.class, () -> Maintenance.parse(truncated));
--- a/src/test/java/juniperusher/membership/MembershipPropertyTest.java
+++ b/src/test/java/juniperusher/membership/MembershipPropertyTest.java
@@ -31,7 +31,7 @@
     private static final class Agent {
         private final InetSocketAddress address;
         private final TreeMap<Long, Entry> changes = new TreeMap<>();
-        private final Map<String, Entry> state = new HashMap<>();
+        private final Map<String, Entry> endpoints = new HashMap<>();
         private long version;
 
         Agent(int port, long first) {
@@ -41,15 +41,15 @@
 
         void change(Entry entry) {
             changes.put(++version, entry);
-            state.put(entry.id(), entry);
-            state.values().removeIf(one -> one.phase() == Phase.GONE);
+            endpoints.put(entry.id(), entry);
+            endpoints.values().removeIf(one -> one.phase() == Phase.GONE);
         }
 
-        Update whole() {
-            return new Update(true, version, List.copyOf(state.values()), Set.of());
+        Update fullList() {
+            return new Update(true, version, List.copyOf(endpoints.values()), Set.of());
         }
 
-        Update since(long index) {
+        Update changesAfter(long index) {
             return new Update(
                     false, version, List.copyOf(changes.tailMap(index, false).values()), Set.of());
         }
@@ -104,13 +104,13 @@
 
         /** Delivers the current agent's answer on a watch, or an outdated list if the watch is closed. */
         void deliver(int watch) {
-            Step.Open asked = open.get(watch);
-            if (asked == null) { // late data on a closed watch, with all endpoints ready
+            Step.Open request = open.get(watch);
+            if (request == null) { // late data on a closed watch, with all endpoints ready
                 carryOut(
                         membership.told(watch, new Update(true, 99, List.of(entry(0, Phase.READY, 9)), Set.of()), now));
                 return;
             }
-            Update update = asked.whole() ? agent().whole() : agent().since(lastVersions.get(watch));
+            Update update = request.whole() ? agent().fullList() : agent().changesAfter(lastVersions.get(watch));
             lastVersions.put(watch, update.version());
             if (update.whole()) {
                 open.remove(watch); // the answer is complete
@@ -121,9 +121,9 @@
         }
 
         void check() {
-            assertTrue(membership.watch() == 0 || open.containsKey(membership.watch()));
+            assertTrue(membership.currentWatch() == 0 || open.containsKey(membership.currentWatch()));
             assertTrue(membership.due() <= now + TIMING.silenceTimeoutSeconds() + SLACK, "due at " + membership.due());
-            if (membership.watch() == 0) {
+            if (membership.currentWatch() == 0) {
                 assertTrue(
                         membership.due() <= now + TIMING.maxBackoffSeconds() + SLACK, "no watch is open or scheduled");
             }
@@ -160,7 +160,7 @@
     private static void apply(World world, int code) {
         int kind = code % 10;
         int rest = code / 10;
-        int watch = world.membership.watch();
+        int watch = world.membership.currentWatch();
         switch (kind) {
             case 0, 1, 2 ->
                 world.agents[rest % 2].change(entry(rest / 2 % 6, Phase.values()[rest / 12 % 3], rest / 36 % 3));
@@ -208,13 +208,13 @@
                 world.opened - openedBefore >= (int) (30 / longest),
                 "opened " + (world.opened - openedBefore) + " times");
         // The current agent answers: the snapshot has to agree with its list.
-        while (world.membership.watch() == 0
-                || world.open.get(world.membership.watch()).whole()) {
+        while (world.membership.currentWatch() == 0
+                || world.open.get(world.membership.currentWatch()).whole()) {
             world.now += 0.1;
             world.carryOut(world.membership.tick(world.now));
-            world.deliver(world.membership.watch());
+            world.deliver(world.membership.currentWatch());
         }
-        world.deliver(world.membership.watch());
+        world.deliver(world.membership.currentWatch());
         world.check();
         world.checkPublishedUnchanged();
         Map<String, Phase> believed = new TreeMap<>();
@@ -222,10 +222,10 @@
                 .filter(one -> one.target().phase() != Phase.GONE)
                 .forEach(one -> believed.put(one.id(), one.target().phase()));
         Map<String, Phase> listed = new TreeMap<>();
-        world.agent().state.forEach((id, entry) -> listed.put(id, entry.phase()));
+        world.agent().endpoints.forEach((id, entry) -> listed.put(id, entry.phase()));
         assertEquals(listed, believed);
         world.agent()
-                .state
+                .endpoints
                 .forEach((id, entry) -> assertEquals(
                         entry.address(),
                         world.membership.snapshot().endpoints().values().stream()
@@ -239,7 +239,7 @@
 
     /** Lets the current watch fail in one of several ways while discovery is unreachable. */
     private static void failWatch(World world, int code) {
-        int watch = world.membership.watch();
+        int watch = world.membership.currentWatch();
         double retryAfterSeconds = new double[] {0, 0.3, 3, 1e9}[code / 8 % 4];
         switch (code % 8) {
             case 0, 1 -> world.carryOut(world.membership.turnedAway(watch, retryAfterSeconds, world.now));
@@ -269,7 +269,7 @@
         World world = new World();
         if (served) { // otherwise the full list is requested
             world.deliver(1);
-            world.deliver(world.membership.watch());
+            world.deliver(world.membership.currentWatch());
         }
         for (int i = 0; i < before.size(); i++) {
             failWatch(world, before.get(i));
@@ -283,7 +283,7 @@
         Set<Integer> unresponsive = Set.copyOf(world.open.keySet());
         boolean refused = after % 2 == 0;
         while (world.membership.snapshot().endpoints().isEmpty()) {
-            int watch = world.membership.watch();
+            int watch = world.membership.currentWatch();
             if (watch != 0 && !unresponsive.contains(watch) && refused) {
                 refused = false;
                 world.carryOut(world.membership.turnedAway(watch, after / 2 % 5, world.now));
--- a/src/test/java/juniperusher/membership/MembershipTest.java
+++ b/src/test/java/juniperusher/membership/MembershipTest.java
@@ -206,7 +206,7 @@
         assertEquals(3, second.index());
         List<Step> steps = membership.told(watch.watch(), changes(4, entry("a", Phase.DRAINING, 10)), 4.5);
         assertTrue(steps.contains(new Step.Abandon(second.watch())));
-        assertEquals(watch.watch(), membership.watch());
+        assertEquals(watch.watch(), membership.currentWatch());
         assertEquals(Phase.DRAINING, endpoint("a").target().phase());
     }
 
@@ -260,7 +260,7 @@
         membership.moved(OLD, 0.6);
         Step.Open last = opened(membership.moved(NEW, 0.9));
         assertEquals(NEW, last.address());
-        assertEquals(last.watch(), membership.watch());
+        assertEquals(last.watch(), membership.currentWatch());
     }
 
     @Test
@@ -327,18 +327,18 @@
         double now = 0;
         double delay = 3; // s until discovery answers
         for (int tries = 0; tries < 10; tries++) {
-            int watch = membership.watch();
+            int watch = membership.currentWatch();
             double since = now;
-            while (now < since + delay && membership.watch() == watch) {
+            while (now < since + delay && membership.currentWatch() == watch) {
                 now += 0.05;
                 membership.tick(now);
             }
-            if (membership.watch() == watch) {
+            if (membership.currentWatch() == watch) {
                 membership.told(watch, whole(5, entry("a", Phase.READY, 10)), now);
                 assertEquals(Phase.READY, endpoint("a").target().phase());
                 return;
             }
-            while (membership.watch() == 0) {
+            while (membership.currentWatch() == 0) {
                 now += 0.05;
                 membership.tick(now);
             }
--- a/src/test/java/juniperusher/ownership/LeaseTest.java
+++ b/src/test/java/juniperusher/ownership/LeaseTest.java
@@ -106,10 +106,10 @@
     @Test
     void watchOnTheStoreEndsAHoldingAndReportsAFreeResource() {
         Lease lease = heldLease();
-        lease.changed(true, 9, 1);
-        lease.changed(false, 8, 1);
+        lease.keyChanged(true, 9, 1);
+        lease.keyChanged(false, 8, 1);
         assertTrue(lease.holds(1), "reports of its own key and of the deletion of an earlier one");
-        List<Step> steps = lease.changed(true, 20, 1.1);
+        List<Step> steps = lease.keyChanged(true, 20, 1.1);
         assertTrue(steps.contains(new Step.Lost(new Holding("thing", 9))));
         assertFalse(lease.holds(1.1));
         Step.Ask claim = requestIn(lease.answered(requestIn(steps).number(), new Reply.Leased(4, 5), 1.2));
@@ -119,7 +119,7 @@
                         false, 21, List.of(List.of(new juniperusher.store.Entry("thing", "other/1", 20, 20, 8)))),
                 1.3);
         assertTrue(lease.due() > 1.5);
-        assertTrue(requestIn(lease.changed(false, 20, 1.35)).request() instanceof Request.Txn, "claims immediately");
+        assertTrue(requestIn(lease.keyChanged(false, 20, 1.35)).request() instanceof Request.Txn, "claims immediately");
     }
 
     @Test
