--- a/src/main/java/juniperusher/http/AgentList.java
+++ b/src/main/java/juniperusher/http/AgentList.java
@@ -60,8 +60,8 @@
     }
 
     private Entry entry(String id, JsonObject entry) {
-        String at = text(entry, "addr");
-        InetSocketAddress address = at.isEmpty() ? null : Config.address(at);
+        String addressText = text(entry, "addr");
+        InetSocketAddress address = addressText.isEmpty() ? null : Config.address(addressText);
         Phase phase =
                 switch (text(entry, "state")) {
                     case "up" -> Phase.READY;
--- a/src/main/java/juniperusher/http/Config.java
+++ b/src/main/java/juniperusher/http/Config.java
@@ -27,12 +27,12 @@
  * @param peerListen where notes arrive, or null
  * @param peers     the relays of the tier, in the order of their numbers
  * @param peersAll  the address for all of them, or null
- * @param known     the list of endpoints as this relay had it last
+ * @param knownEndpoints     the list of endpoints as this relay had it last
  * @param settings  the module's settings and the places of the report's values
  * @param classes   names of the classes, in the settings' order
- * @param kinds     names of the kinds of destination, in the settings' order
- * @param zones     names of the zones, in the settings' order
- * @param gap       shortest time between two rounds in seconds
+ * @param kindNames     names of the kinds of destination, in the settings' order
+ * @param zoneNames     names of the zones, in the settings' order
+ * @param minRoundGapSeconds       shortest time between two rounds in seconds
  * @param number    this relay's place among the relays of its tier, as in {@code peers}
  * @param mgmt      the operators' address, from {@code RELAY_MGMT} or else the file's {@code mgmt}; or null
  */
@@ -46,12 +46,12 @@
         InetSocketAddress peerListen,
         List<InetSocketAddress> peers,
         InetSocketAddress peersAll,
-        JsonObject known,
+        JsonObject knownEndpoints,
         SettingsParser.Parsed settings,
         List<String> classes,
-        List<String> kinds,
-        List<String> zones,
-        double gap,
+        List<String> kindNames,
+        List<String> zoneNames,
+        double minRoundGapSeconds,
         int number,
         InetSocketAddress mgmt) {
 
@@ -64,8 +64,8 @@
                 | NullPointerException
                 | WireException
                 | IllegalArgumentException e) {
-            String what = e instanceof NullPointerException ? "a part that is needed is missing" : e.getMessage();
-            throw new IllegalArgumentException("configuration " + file.getFileName() + " cannot be read: " + what, e);
+            String reason = e instanceof NullPointerException ? "a part that is needed is missing" : e.getMessage();
+            throw new IllegalArgumentException("configuration " + file.getFileName() + " cannot be read: " + reason, e);
         }
     }
 
@@ -88,9 +88,9 @@
                 Long.parseUnsignedLong(json.get("seed").asString(), 16),
                 (long) (json.get("limits").asObject().getDouble("disk_mb", 1) * (1 << 20)),
                 json.get("limits").asObject().getInt("sockets", 1024),
-                optional(json.get("peer_listen")),
+                optionalAddress(json.get("peer_listen")),
                 peers,
-                optional(json.get("peers_all")),
+                optionalAddress(json.get("peers_all")),
                 json.get("known").asObject(),
                 SettingsParser.parse(lines.toString()),
                 classes,
@@ -105,7 +105,7 @@
      * This configuration with the addresses of a newer file: what may change while a relay runs. The rest of
      * a file takes effect at the next start.
      */
-    Config movedTo(Config newer) {
+    Config reloadedFrom(Config newer) {
         return new Config(
                 name,
                 listen,
@@ -116,20 +116,20 @@
                 peerListen,
                 newer.peers,
                 newer.peersAll,
-                known,
-                retunedTo(newer),
-                merged(newer),
-                kinds,
-                zones,
-                gap,
+                knownEndpoints,
+                reloadedSettings(newer),
+                mergedClassNames(newer),
+                kindNames,
+                zoneNames,
+                minRoundGapSeconds,
                 number,
                 mgmt);
     }
 
     /** The names of the classes: these in their places, then those that only the newer file has. */
-    private List<String> merged(Config newer) {
+    private List<String> mergedClassNames(Config newer) {
         List<String> names = new ArrayList<>(classes);
-        newer.classes.stream().filter(one -> !names.contains(one)).forEach(names::add);
+        newer.classes.stream().filter(name -> !names.contains(name)).forEach(names::add);
         return names;
     }
 
@@ -138,21 +138,22 @@
      * after the others, and one that the newer file lacks stays as it was, for messages that still come with
      * it. The rest (kinds, tenants, rules) takes effect at the next start.
      */
-    private SettingsParser.Parsed retunedTo(Config newer) {
-        List<String> names = merged(newer);
-        List<Protocol.MessageClass> defined =
+    private SettingsParser.Parsed reloadedSettings(Config newer) {
+        List<String> names = mergedClassNames(newer);
+        List<Protocol.MessageClass> messageClasses =
                 new ArrayList<>(settings.settings().classes());
-        for (int place = 0; place < newer.classes.size(); place++) {
-            Protocol.MessageClass one = newer.settings.settings().classes().get(place);
-            int at = names.indexOf(newer.classes.get(place));
-            if (at < defined.size()) {
-                defined.set(at, one);
+        for (int newerIndex = 0; newerIndex < newer.classes.size(); newerIndex++) {
+            Protocol.MessageClass newerClass =
+                    newer.settings.settings().classes().get(newerIndex);
+            int index = names.indexOf(newer.classes.get(newerIndex));
+            if (index < messageClasses.size()) {
+                messageClasses.set(index, newerClass);
             } else {
-                defined.add(one);
+                messageClasses.add(newerClass);
             }
         }
         Protocol.Settings old = settings.settings();
-        Protocol.Settings retuned = new Protocol.Settings(
+        Protocol.Settings reloaded = new Protocol.Settings(
                 old.senders(),
                 old.zone(),
                 old.askForList(),
@@ -163,14 +164,14 @@
                 old.routeFees(),
                 old.rules(),
                 newer.settings.settings().allowed(),
-                defined,
+                messageClasses,
                 old.kinds(),
                 old.tenants());
-        return new SettingsParser.Parsed(retuned, settings.leftField(), settings.limitField());
+        return new SettingsParser.Parsed(reloaded, settings.leftField(), settings.limitField());
     }
 
     /** This configuration without relays to send notes to. */
-    Config alone() {
+    Config withoutPeers() {
         return new Config(
                 name,
                 listen,
@@ -181,12 +182,12 @@
                 null,
                 List.of(),
                 null,
-                known,
+                knownEndpoints,
                 settings,
                 classes,
-                kinds,
-                zones,
-                gap,
+                kindNames,
+                zoneNames,
+                minRoundGapSeconds,
                 number,
                 null);
     }
@@ -203,22 +204,24 @@
 
     /** The operators' address: the environment's word goes before the file's. */
     private static InetSocketAddress mgmt(JsonValue inFile) {
-        String told = System.getenv("RELAY_MGMT");
-        return told != null && !told.isBlank() ? address(told.strip()) : optional(inFile);
+        String fromEnvironment = System.getenv("RELAY_MGMT");
+        return fromEnvironment != null && !fromEnvironment.isBlank()
+                ? address(fromEnvironment.strip())
+                : optionalAddress(inFile);
     }
 
-    private static InetSocketAddress optional(JsonValue value) {
+    private static InetSocketAddress optionalAddress(JsonValue value) {
         return value == null || value.isNull() || value.asString().isEmpty() ? null : address(value.asString());
     }
 
     /** An address given as host:port. */
     public static InetSocketAddress address(String text) {
-        int at = text.lastIndexOf(':');
-        if (at < 1) {
+        int colon = text.lastIndexOf(':');
+        if (colon < 1) {
             throw new IllegalArgumentException("'" + text + "' is no address of the form host:port");
         }
         try {
-            return new InetSocketAddress(text.substring(0, at), Integer.parseInt(text.substring(at + 1)));
+            return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException("'" + text + "' is no address of the form host:port", e);
         }
--- a/src/main/java/juniperusher/http/HttpSubchannels.java
+++ b/src/main/java/juniperusher/http/HttpSubchannels.java
@@ -28,13 +28,13 @@
 
 /** Calls to endpoints over HTTP/1.1: one message by /receive, several by /receive-many. */
 final class HttpSubchannels implements Subchannels {
-    private static final long PROBE_MS = 1_500; // an endpoint that answers no probe by then is down
+    private static final long PROBE_TIMEOUT_MILLIS = 1_500; // an endpoint that answers no probe by then is down
 
     private final HttpPool pool;
     private final Network network;
     private final Resolver resolver;
     private final Config config;
-    private final Map<Integer, Set<HttpPool.Exchange>> out = new ConcurrentHashMap<>(); // by destination
+    private final Map<Integer, Set<HttpPool.Exchange>> exchangesInFlight = new ConcurrentHashMap<>(); // by destination
 
     HttpSubchannels(Config config, HttpPool pool, Network network, Resolver resolver) {
         this.config = config;
@@ -45,26 +45,26 @@
 
     @Override
     public Call call(Target subchannel, List<RpcRequest> rpcs, double timeout, Clearance clearance, Results results) {
-        HttpMessage message = rpcs.size() == 1 ? one(rpcs.get(0), timeout) : many(rpcs, timeout);
-        Set<HttpPool.Exchange> others =
-                out.computeIfAbsent(subchannel.destination(), key -> ConcurrentHashMap.newKeySet());
-        AtomicBoolean over = new AtomicBoolean();
+        HttpMessage request = rpcs.size() == 1 ? singleRequest(rpcs.get(0), timeout) : batchRequest(rpcs, timeout);
+        Set<HttpPool.Exchange> sameDestination =
+                exchangesInFlight.computeIfAbsent(subchannel.destination(), key -> ConcurrentHashMap.newKeySet());
+        AtomicBoolean finished = new AtomicBoolean();
         AtomicReference<HttpPool.Exchange> self = new AtomicReference<>();
         InetSocketAddress address = resolver.address(subchannel.id());
         HttpPool.Exchange exchange = pool.exchange(
                 address,
                 subchannel.id(),
-                message,
+                request,
                 () -> {
                     // Guards told waits while the core is busy: one may have come and not be read yet.
-                    others.forEach(HttpPool.Exchange::poll);
+                    sameDestination.forEach(HttpPool.Exchange::poll);
                     return clearance.mayStart();
                 },
                 new HttpPool.Listener() {
                     private void leave() {
-                        over.set(true);
+                        finished.set(true);
                         if (self.get() != null) {
-                            others.remove(self.get());
+                            sameDestination.remove(self.get());
                         }
                     }
 
@@ -72,8 +72,8 @@
                     public void answered(HttpMessage response) {
                         leave();
                         double told = response.retryAfter();
-                        Report report = report(response);
-                        List<CallEnd> ends = ends(response, rpcs);
+                        Report report = loadReport(response);
+                        List<CallEnd> ends = callEnds(response, rpcs);
                         for (int i = 0; i < rpcs.size(); i++) {
                             results.ended(i, new CallResult(ends.get(i), told, report));
                         }
@@ -89,14 +89,14 @@
                     }
                 });
         self.set(exchange);
-        others.add(exchange);
-        if (over.get()) {
-            others.remove(exchange);
+        sameDestination.add(exchange);
+        if (finished.get()) {
+            sameDestination.remove(exchange);
         }
         return exchange::abandon;
     }
 
-    private static HttpMessage one(RpcRequest rpc, double timeout) {
+    private static HttpMessage singleRequest(RpcRequest rpc, double timeout) {
         String budget = Math.max(1, Math.round(timeout * 1000)) + "m";
         return rpc.idempotencyKey().isEmpty()
                 ? HttpMessage.request(
@@ -111,11 +111,11 @@
                         rpc.id(),
                         "X-Budget",
                         budget,
-                        PlatformFront.IDEMPOTENCY_KEY,
+                        PlatformFront.IDEMPOTENCY_KEY_HEADER,
                         rpc.idempotencyKey());
     }
 
-    private static HttpMessage many(List<RpcRequest> rpcs, double timeout) {
+    private static HttpMessage batchRequest(List<RpcRequest> rpcs, double timeout) {
         JsonArray array = new JsonArray();
         for (RpcRequest rpc : rpcs) {
             JsonObject entry = new JsonObject().add("id", rpc.id());
@@ -138,7 +138,7 @@
 
     // ---- what an answer means ----
 
-    private static List<CallEnd> ends(HttpMessage response, List<RpcRequest> rpcs) {
+    private static List<CallEnd> callEnds(HttpMessage response, List<RpcRequest> rpcs) {
         if (response.status() != 200 || rpcs.size() == 1) {
             CallEnd end =
                     switch (response.status()) {
@@ -173,46 +173,49 @@
                 .toList();
     }
 
-    private Report report(HttpMessage response) {
+    private Report loadReport(HttpMessage response) {
         String text = response.get("X-Load-Report");
         if (text == null || config.settings().limitField() < 0) {
             return null;
         }
         double limit = 0;
-        double left = 0;
+        double remaining = 0;
         for (String part : text.split(",")) {
-            int at = part.indexOf('=');
-            double value = at < 0 ? Double.NaN : HttpMessage.number(part.substring(at + 1));
+            int equalsSign = part.indexOf('=');
+            double value = equalsSign < 0 ? Double.NaN : HttpMessage.number(part.substring(equalsSign + 1));
             if (!(value >= 0)) {
                 return null; // a report that cannot be read is none; the answer stands
             }
-            limit = part.substring(0, at).strip().equals("x1") ? value : limit;
-            left = part.substring(0, at).strip().equals("x0") ? value : left;
+            limit = part.substring(0, equalsSign).strip().equals("x1") ? value : limit;
+            remaining = part.substring(0, equalsSign).strip().equals("x0") ? value : remaining;
         }
-        return new Report(limit, left);
+        return new Report(limit, remaining);
     }
 
     // ---- probes and idle connections ----
 
     @Override
     public void probe(Target subchannel, Probed probed) {
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         InetSocketAddress address = resolver.address(subchannel.id());
-        HttpMessage asked = HttpMessage.request("GET", "/alive", new byte[0], "Host", "endpoint");
+        HttpMessage request = HttpMessage.request("GET", "/alive", new byte[0], "Host", "endpoint");
         HttpPool.Exchange exchange =
-                pool.exchange(address, subchannel.id(), asked, () -> true, new HttpPool.Listener() {
+                pool.exchange(address, subchannel.id(), request, () -> true, new HttpPool.Listener() {
                     @Override
                     public void answered(HttpMessage response) {
                         probed.probed(
-                                response.status() == 200, response.status() == 503, (System.nanoTime() - from) / 1e9);
+                                response.status() == 200,
+                                response.status() == 503,
+                                (System.nanoTime() - startNanos) / 1e9);
                     }
 
                     @Override
                     public void ended(CallEnd why, int firstLine) {
-                        probed.probed(firstLine == 200, firstLine == 503, (System.nanoTime() - from) / 1e9);
+                        probed.probed(firstLine == 200, firstLine == 503, (System.nanoTime() - startNanos) / 1e9);
                     }
                 });
-        network.scheduler().schedule(() -> exchange.abandon(CallEnd.TIMED_OUT), PROBE_MS, TimeUnit.MILLISECONDS);
+        network.scheduler()
+                .schedule(() -> exchange.abandon(CallEnd.TIMED_OUT), PROBE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/src/main/java/juniperusher/http/JsonCutter.java
+++ b/src/main/java/juniperusher/http/JsonObjectSplitter.java
@@ -16,135 +16,135 @@
  * begins with a brace, so that what comes behind it is read; and since a blank line is what the agent sends
  * while nothing changes, it ends an object that is still open.
  */
-final class JsonCutter {
+final class JsonObjectSplitter {
     private static final JsonFactory JSON = JsonFactory.builder()
             .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
             .build(); // names from outside stay no longer
 
-    private final int most;
-    private final Consumer<String> object;
-    private final Consumer<String> spoilt;
-    private final ByteArrayOutputStream held = new ByteArrayOutputStream(); // of the object that is open
+    private final int maxBytes;
+    private final Consumer<String> objectConsumer;
+    private final Consumer<String> faultConsumer;
+    private final ByteArrayOutputStream partialObject = new ByteArrayOutputStream(); // of the object that is open
     private JsonParser parser; // of the object that is open, or null
     private int depth;
-    private boolean passing; // over what belongs to a spoilt object
-    private boolean atStart = true; // of a line
-    private boolean blank = true; // the line so far
+    private boolean skipping; // over what belongs to a spoilt object
+    private boolean atLineStart = true; // of a line
+    private boolean lineBlank = true; // the line so far
 
     /**
      * Objects of at most {@code most} bytes go to {@code object}; {@code spoilt} is told what was wrong where
      * something is passed over.
      */
-    JsonCutter(int most, Consumer<String> object, Consumer<String> spoilt) {
-        this.most = most;
-        this.object = object;
-        this.spoilt = spoilt;
+    JsonObjectSplitter(int maxBytes, Consumer<String> objectConsumer, Consumer<String> faultConsumer) {
+        this.maxBytes = maxBytes;
+        this.objectConsumer = objectConsumer;
+        this.faultConsumer = faultConsumer;
     }
 
     /** The next bytes of the stream. */
     void add(byte[] piece) {
         byte[] input = piece;
-        int at = 0;
-        while (at < input.length) {
-            int end = at;
+        int position = 0;
+        while (position < input.length) {
+            int end = position;
             while (end < input.length && input[end++] != '\n') {
-                blank &= input[end - 1] <= ' ';
+                lineBlank &= input[end - 1] <= ' ';
             }
-            String fault = part(input, at, end);
+            String fault = readPart(input, position, end);
             boolean lineEnds = input[end - 1] == '\n';
-            if (fault == null && lineEnds && blank && parser != null) {
+            if (fault == null && lineEnds && lineBlank && parser != null) {
                 fault = "it ends in the middle";
             }
-            if (fault == null && held.size() > most) {
-                fault = "longer than " + most + " bytes";
+            if (fault == null && partialObject.size() > maxBytes) {
+                fault = "longer than " + maxBytes + " bytes";
             }
-            blank |= lineEnds;
-            atStart = lineEnds;
-            at = end;
+            lineBlank |= lineEnds;
+            atLineStart = lineEnds;
+            position = end;
             if (fault != null) {
-                spoilt.accept(fault);
-                input = again(Arrays.copyOfRange(input, end, input.length));
-                at = 0;
+                faultConsumer.accept(fault);
+                input = inputAfterFault(Arrays.copyOfRange(input, end, input.length));
+                position = 0;
             }
         }
     }
 
     /** Whether an object has begun that is not over. */
-    boolean open() {
+    boolean hasPartialObject() {
         return parser != null;
     }
 
     /** Reads a line or a part of one; what is wrong with it, or null. */
-    private String part(byte[] input, int start, int end) {
-        boolean begins = atStart;
-        int at = start;
-        while (at < end) {
+    private String readPart(byte[] input, int start, int end) {
+        boolean lineStart = atLineStart;
+        int position = start;
+        while (position < end) {
             if (parser == null) {
-                if (input[at] <= ' ') {
-                    begins = false;
-                    at++;
+                if (input[position] <= ' ') {
+                    lineStart = false;
+                    position++;
                     continue;
                 }
-                if (input[at] != '{' || passing && !begins) {
-                    boolean known = passing;
-                    passing = true;
-                    return known ? null : "no object begins with '" + (char) input[at] + "'";
+                if (input[position] != '{' || skipping && !lineStart) {
+                    boolean alreadySkipping = skipping;
+                    skipping = true;
+                    return alreadySkipping ? null : "no object begins with '" + (char) input[position] + "'";
                 }
-                passing = false;
+                skipping = false;
                 depth = 0;
-                parser = begin();
+                parser = newParser();
             }
             try {
-                int over = feed(input, at, end);
-                held.write(input, at, over - at);
-                at = over;
+                int consumedTo = feedParser(input, position, end);
+                partialObject.write(input, position, consumedTo - position);
+                position = consumedTo;
             } catch (IOException e) {
-                held.write(input, at, end - at);
+                partialObject.write(input, position, end - position);
                 return String.valueOf(e.getMessage()).lines().findFirst().orElse("not JSON");
             }
             if (depth == 0) {
-                String text = held.toString(StandardCharsets.UTF_8);
-                close();
-                object.accept(text);
+                String text = partialObject.toString(StandardCharsets.UTF_8);
+                discardPartialObject();
+                objectConsumer.accept(text);
             }
         }
         return null;
     }
 
     /** Has the parser read on, up to the object's end at most; up to where it has read. */
-    private int feed(byte[] input, int start, int end) throws IOException {
-        int before = held.size();
+    private int feedParser(byte[] input, int start, int end) throws IOException {
+        int bytesBefore = partialObject.size();
         ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(input, start, end);
         for (JsonToken token = parser.nextToken(); token != JsonToken.NOT_AVAILABLE; token = parser.nextToken()) {
             depth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
             if (depth == 0) {
-                return start + (int) parser.currentLocation().getByteOffset() - before;
+                return start + (int) parser.currentLocation().getByteOffset() - bytesBefore;
             }
         }
         return end;
     }
 
     /** What is to be read anew after a fault: all that came behind the first line of the spoilt object. */
-    private byte[] again(byte[] rest) {
-        byte[] all = held.toByteArray();
-        close();
-        passing = true;
-        int line = 0;
-        while (line < all.length && all[line] != '\n') {
-            line++;
+    private byte[] inputAfterFault(byte[] rest) {
+        byte[] object = partialObject.toByteArray();
+        discardPartialObject();
+        skipping = true;
+        int lineLength = 0;
+        while (lineLength < object.length && object[lineLength] != '\n') {
+            lineLength++;
         }
-        if (line == all.length) {
+        if (lineLength == object.length) {
             return rest; // the line goes on, or ended with what was wrong
         }
-        int kept = all.length - line - 1;
-        byte[] out = Arrays.copyOfRange(all, line + 1, line + 1 + kept + rest.length);
-        System.arraycopy(rest, 0, out, kept, rest.length);
-        atStart = true;
-        blank = true;
+        int keptBytes = object.length - lineLength - 1;
+        byte[] out = Arrays.copyOfRange(object, lineLength + 1, lineLength + 1 + keptBytes + rest.length);
+        System.arraycopy(rest, 0, out, keptBytes, rest.length);
+        atLineStart = true;
+        lineBlank = true;
         return out;
     }
 
-    private static JsonParser begin() {
+    private static JsonParser newParser() {
         try {
             return JSON.createNonBlockingByteArrayParser();
         } catch (IOException e) {
@@ -152,8 +152,8 @@
         }
     }
 
-    private void close() {
-        held.reset();
+    private void discardPartialObject() {
+        partialObject.reset();
         if (parser == null) {
             return; // what was wrong did not even begin an object
         }
--- a/src/main/java/juniperusher/http/Peers.java
+++ b/src/main/java/juniperusher/http/PeerDatagrams.java
@@ -13,15 +13,16 @@
 import org.slf4j.LoggerFactory;
 
 /** Notes between relays: datagrams of at most 256 bytes, which may be lost. */
-final class Peers implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Peers.class);
-    private static final int MOST = 256;
-    private static final long PAUSE = 20_000_000; // ns after a failure, so that one that stays costs little
+final class PeerDatagrams implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(PeerDatagrams.class);
+    private static final int MAX_NOTE_BYTES = 256;
+    private static final long FAILURE_DELAY_NANOS =
+            20_000_000; // ns after a failure, so that one that stays costs little
 
     private final Supplier<Config> config;
     private final DatagramChannel channel;
 
-    Peers(Supplier<Config> config) throws IOException {
+    PeerDatagrams(Supplier<Config> config) throws IOException {
         this.config = config;
         InetSocketAddress listen = config.get().peerListen();
         // Guards an upgrade: the process before this one may still hold the same address for a while.
@@ -37,7 +38,7 @@
         InetSocketAddress address = to < 0
                 ? current.peersAll()
                 : to < current.peers().size() ? current.peers().get(to) : null;
-        if (channel == null || address == null || note.length > MOST) {
+        if (channel == null || address == null || note.length > MAX_NOTE_BYTES) {
             return;
         }
         try {
@@ -48,32 +49,32 @@
     }
 
     /** Passes notes on until closed. */
-    void start(Consumer<Noted> noted) {
+    void start(Consumer<Noted> listener) {
         if (channel == null) {
             return;
         }
-        Thread thread = new Thread(null, () -> receive(noted), "notes", 128 * 1024);
+        Thread thread = new Thread(null, () -> receive(listener), "notes", 128 * 1024);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void receive(Consumer<Noted> noted) {
-        ByteBuffer bytes = ByteBuffer.allocate(MOST);
+    private void receive(Consumer<Noted> listener) {
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_NOTE_BYTES);
         while (channel.isOpen()) {
             try {
-                bytes.clear();
-                int from = config.get().peers().indexOf(channel.receive(bytes));
+                buffer.clear();
+                int from = config.get().peers().indexOf(channel.receive(buffer));
                 if (from >= 0) {
-                    byte[] note = new byte[bytes.flip().remaining()];
-                    bytes.get(note);
-                    noted.accept(new Noted(from, note));
+                    byte[] note = new byte[buffer.flip().remaining()];
+                    buffer.get(note);
+                    listener.accept(new Noted(from, note));
                 }
             } catch (ClosedChannelException e) {
                 LOG.debug("notes end: {}", e.toString());
             } catch (IOException e) {
                 // Guards against a failure that passes: without notes this relay would count as alone for good.
                 LOG.debug("a note was not received: {}", e.toString());
-                LockSupport.parkNanos(PAUSE);
+                LockSupport.parkNanos(FAILURE_DELAY_NANOS);
             }
         }
     }
--- a/src/main/java/juniperusher/http/Platform.java
+++ b/src/main/java/juniperusher/http/Platform.java
@@ -32,48 +32,53 @@
 /** A relay on the platform: the core between the platform's front and its endpoints. */
 public final class Platform implements AutoCloseable, Operated {
     private static final Logger LOG = LoggerFactory.getLogger(Platform.class);
-    private static final double IDLE_SHARE = 0.8; // of the endpoints' idle time: closed by us before
-    private static final double IDLE_DESCRIPTORS = 0.15; // of all, for idle connections to endpoints
-    private static final int LEAST_IDLE = 8; // whatever the limit says
-    private static final long FOLLOW = 250; // ms between two looks at the maintenance file
+    private static final double IDLE_TIME_SHARE = 0.8; // of the endpoints' idle time: closed by us before
+    private static final double IDLE_DESCRIPTOR_SHARE = 0.15; // of all, for idle connections to endpoints
+    private static final int MIN_IDLE_CONNECTIONS = 8; // whatever the limit says
+    private static final long MAINTENANCE_POLL_MILLIS = 250; // ms between two looks at the maintenance file
     // ms that a process that comes back waits for discovery's first word: the list known last may be older
     // than a drain that counts as told. An agent that is there answers at once; after the drain rule's half
     // second a silent one is not waited for.
-    private static final long FIRST_WORD = 500;
-    private static final long LOOK = 20; // ms between two looks at what is left at the end
+    private static final long FIRST_LIST_WAIT_MILLIS = 500;
+    private static final long SHUTDOWN_POLL_MILLIS = 20; // ms between two looks at what is left at the end
 
     private final AtomicReference<Config> config;
     private final Network network;
     private final Extension extension;
     private final Relay relay;
     private final Resolver resolver;
-    private final Peers peers;
+    private final PeerDatagrams peerDatagrams;
     private final PlatformFront front;
-    private final StatusReporter notices;
+    private final StatusReporter statusReporter;
     private final Closeable listener;
     private final Counters counters;
-    private final Object held = new Object(); // orders what the module is told of discovery and maintenance
+    private final Object targetsLock = new Object(); // orders what the module is told of discovery and maintenance
     private final MaintenanceFile maintenanceFile;
     private Maintenance maintenance = Maintenance.NONE;
-    private boolean maintenanceUnwritten; // the file lacks what is in force; under the lock of what is told
-    private Snapshot told = Snapshot.EMPTY; // discovery's word, before maintenance
-    private boolean deciding; // the relay has started; under the lock of what it is told
+    private boolean maintenanceUnsaved; // the file lacks what is in force; under the lock of what is told
+    private Snapshot discovered = Snapshot.EMPTY; // discovery's word, before maintenance
+    private boolean relayStarted; // the relay has started; under the lock of what it is told
     private volatile boolean serving;
     private volatile boolean closed;
-    private final boolean handedOn; // the clients' socket is the platform's, and outlives this process
+    private final boolean listenerInherited; // the clients' socket is the platform's, and outlives this process
     private boolean listening = true;
 
     /** Starts a relay that keeps its journal in {@code state}; {@code extension} may be null. */
-    public Platform(Config first, Path state, Counters counters, Network network, Extension extension)
+    public Platform(Config initialConfig, Path state, Counters counters, Network network, Extension extension)
             throws Exception {
-        this(first, state, counters, network, extension, null);
+        this(initialConfig, state, counters, network, extension, null);
     }
 
     /** The same, with the storm package on where {@code storms} is not null. */
     public Platform(
-            Config first, Path state, Counters counters, Network network, Extension extension, StormSettings storms)
+            Config initialConfig,
+            Path state,
+            Counters counters,
+            Network network,
+            Extension extension,
+            StormSettings stormSettings)
             throws Exception {
-        this(first, state, counters, network, extension, storms, null);
+        this(initialConfig, state, counters, network, extension, stormSettings, null);
     }
 
     /**
@@ -81,77 +86,85 @@
      * platform holds across an upgrade. The configuration's {@code listen} is then not bound.
      */
     public Platform(
-            Config first,
+            Config initialConfig,
             Path state,
             Counters counters,
             Network network,
             Extension extension,
-            StormSettings storms,
+            StormSettings stormSettings,
             ServerSocketChannel inherited)
             throws Exception {
-        boolean again = ranBefore(state);
+        boolean restarted = hasState(state);
         this.counters = counters;
-        config = new AtomicReference<>(first);
+        config = new AtomicReference<>(initialConfig);
         this.network = network;
         this.extension = extension;
-        var allowed = first.settings().settings().allowed();
-        HttpPool pool = new HttpPool(network, allowed.keepAlive() * IDLE_SHARE, Math.max(LEAST_IDLE, (int)
-                (first.descriptors() * IDLE_DESCRIPTORS)));
-        peers = new Peers(config::get);
-        Relay[] made = new Relay[1];
+        var allowed = initialConfig.settings().settings().allowed();
+        HttpPool pool =
+                new HttpPool(network, allowed.keepAlive() * IDLE_TIME_SHARE, Math.max(MIN_IDLE_CONNECTIONS, (int)
+                        (initialConfig.descriptors() * IDLE_DESCRIPTOR_SHARE)));
+        peerDatagrams = new PeerDatagrams(config::get);
+        Relay[] relayHolder = new Relay[1];
         maintenanceFile = new MaintenanceFile(state);
         maintenance = readMaintenance(Maintenance.NONE);
-        resolver = new Resolver(first, pool, network, counters, (snapshot, list) -> resolved(made[0], snapshot, list));
-        Subchannels usual = new HttpSubchannels(first, pool, network, resolver);
-        Subchannels subchannels = extension == null ? usual : new RoutedSubchannels(usual, extension);
+        resolver = new Resolver(
+                initialConfig,
+                pool,
+                network,
+                counters,
+                (snapshot, list) -> onDiscovered(relayHolder[0], snapshot, list));
+        Subchannels httpSubchannels = new HttpSubchannels(initialConfig, pool, network, resolver);
+        Subchannels subchannels =
+                extension == null ? httpSubchannels : new RoutedSubchannels(httpSubchannels, extension);
         relay = new Relay(
-                first.settings().settings(),
-                first.seed(),
-                first.gap(),
+                initialConfig.settings().settings(),
+                initialConfig.seed(),
+                initialConfig.minRoundGapSeconds(),
                 state,
-                first.diskBytes(),
+                initialConfig.diskBytes(),
                 counters,
                 subchannels,
-                peers::send,
-                storms == null ? null : new StormCompanion(storms, first, counters));
-        made[0] = relay;
-        notices = new StatusReporter(() -> config.get().discovery(), pool, network);
-        counters.gauge("notices_waiting", notices::waiting);
+                peerDatagrams::send,
+                stormSettings == null ? null : new StormCompanion(stormSettings, initialConfig, counters));
+        relayHolder[0] = relay;
+        statusReporter = new StatusReporter(() -> config.get().discovery(), pool, network);
+        counters.gauge("notices_waiting", statusReporter::unacknowledgedCount);
         counters.gauge("connections_in", network.inbound()::size);
         counters.gauge("connections_shed", network::shed);
         counters.gauge("connections_unopened", network::unopened);
         counters.gauge("connections_coming", network::coming);
         counters.gauge("accept_failures", network::acceptFailures);
-        front = new PlatformFront(config::get, notices, counters, relay);
+        front = new PlatformFront(config::get, statusReporter, counters, relay);
         relay.add(front);
         if (extension != null) {
             extension.join(relay);
         }
-        told = resolver.known(first.known(), extension == null ? List.of() : extension.targets());
-        resolver.start(first.discovery());
-        if (again && !resolver.awaitWord(FIRST_WORD)) {
+        discovered = resolver.loadKnownList(
+                initialConfig.knownEndpoints(), extension == null ? List.of() : extension.targets());
+        resolver.start(initialConfig.discovery());
+        if (restarted && !resolver.awaitFirstList(FIRST_LIST_WAIT_MILLIS)) {
             LOG.info("discovery says nothing; beginning with the list known last");
         }
         if (inherited != null) {
             relay.shareWaits(); // only there can an upgrade's other process run beside this one
         }
-        synchronized (held) {
-            deciding = true;
-            relay.start(maintenance.over(told));
+        synchronized (targetsLock) {
+            relayStarted = true;
+            relay.start(maintenance.over(discovered));
         }
-        peers.start(relay::tell);
+        peerDatagrams.start(relay::tell);
         listener = front.listen(network, inherited);
-        handedOn = inherited != null;
+        listenerInherited = inherited != null;
         if (extension != null) {
             extension.open();
         }
         counters.gauge("endpoints_maintenance", () -> maintenance().held().size());
-        network.scheduler().schedule(this::followMaintenance, FOLLOW, TimeUnit.MILLISECONDS);
+        network.scheduler().schedule(this::pollMaintenanceFile, MAINTENANCE_POLL_MILLIS, TimeUnit.MILLISECONDS);
         serving = true;
     }
 
     /** Whether a process has begun in this folder before: then it comes back, perhaps late. */
-    static boolean ranBefore(Path state) throws IOException {
+    static boolean hasState(Path state) throws IOException {
         if (!Files.isDirectory(state)) {
             return false;
         }
@@ -162,10 +175,10 @@
 
     // ---- endpoint maintenance: what discovery says, with the held endpoints draining ----
 
-    private void resolved(Relay to, Snapshot snapshot, TargetList list) {
-        synchronized (held) {
-            told = snapshot;
-            if (!deciding) {
+    private void onDiscovered(Relay startedRelay, Snapshot snapshot, TargetList list) {
+        synchronized (targetsLock) {
+            discovered = snapshot;
+            if (!relayStarted) {
                 return; // the start hands it on whole
             }
             List<Target> targets = new ArrayList<>();
@@ -173,21 +186,21 @@
                 Endpoint endpoint = snapshot.endpoints().get(target.id());
                 targets.add(endpoint == null ? target : maintenance.over(endpoint.id(), target));
             }
-            to.resolved(maintenance.over(snapshot), new TargetList(list.whole(), targets));
+            startedRelay.resolved(maintenance.over(snapshot), new TargetList(list.whole(), targets));
         }
     }
 
     private Maintenance maintenance() {
-        synchronized (held) {
+        synchronized (targetsLock) {
             return maintenance;
         }
     }
 
     /** Puts {@code next} in force: the module and the guards hear of each endpoint that it changes. */
-    private void hold(Maintenance next) {
-        List<Target> changed = next.changedFrom(maintenance, told);
+    private void activate(Maintenance next) {
+        List<Target> changed = next.changedFrom(maintenance, discovered);
         maintenance = next;
-        relay.resolved(next.over(told), new TargetList(false, changed));
+        relay.resolved(next.over(discovered), new TargetList(false, changed));
     }
 
     @Override
@@ -197,72 +210,72 @@
 
     @Override
     public Answer enter(String id) {
-        return maintain(id, true);
+        return changeMaintenance(id, true);
     }
 
     @Override
     public Answer exit(String id) {
-        return maintain(id, false);
+        return changeMaintenance(id, false);
     }
 
-    private Answer maintain(String id, boolean enter) {
-        synchronized (held) {
-            if (!Maintenance.known(id, told) && !maintenance.holds(id)) {
+    private Answer changeMaintenance(String id, boolean enter) {
+        synchronized (targetsLock) {
+            if (!Maintenance.known(id, discovered) && !maintenance.holds(id)) {
                 return Answer.UNKNOWN;
             }
             Maintenance next = enter ? maintenance.enter(id) : maintenance.exit(id);
             try {
                 // Written before the yes, so that a restart or the other process of an upgrade keeps it.
                 maintenanceFile.write(next);
-                maintenanceUnwritten = false;
+                maintenanceUnsaved = false;
             } catch (IOException e) {
-                maintenanceUnwritten = true; // and is written as soon as that can be
+                maintenanceUnsaved = true; // and is written as soon as that can be
                 LOG.atError().addKeyValue("target", id).log("maintenance is not on disk yet: {}", e.toString());
             }
-            hold(next);
+            activate(next);
             return Answer.DONE;
         }
     }
 
     /** Takes up what the other process of an upgrade wrote; runs on a timer until the end. */
-    private void followMaintenance() {
+    private void pollMaintenanceFile() {
         if (closed) {
             return;
         }
-        synchronized (held) {
-            if (maintenanceUnwritten) {
-                writeMaintenance(); // what the file holds is older than what is in force
+        synchronized (targetsLock) {
+            if (maintenanceUnsaved) {
+                retrySavingMaintenance(); // what the file holds is older than what is in force
             } else {
-                takeMaintenance();
+                adoptSavedMaintenance();
             }
         }
-        network.scheduler().schedule(this::followMaintenance, FOLLOW, TimeUnit.MILLISECONDS);
+        network.scheduler().schedule(this::pollMaintenanceFile, MAINTENANCE_POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void writeMaintenance() {
+    private void retrySavingMaintenance() {
         try {
             maintenanceFile.write(maintenance);
-            maintenanceUnwritten = false;
+            maintenanceUnsaved = false;
             LOG.info("maintenance is on disk now");
         } catch (IOException e) {
             LOG.debug("maintenance is not on disk yet: {}", e.toString());
         }
     }
 
-    private void takeMaintenance() {
-        Maintenance onDisk = readMaintenance(maintenance);
-        if (!onDisk.equals(maintenance)) {
-            LOG.atInfo().addKeyValue("held", onDisk.held()).log("maintenance taken from the folder");
-            hold(onDisk);
+    private void adoptSavedMaintenance() {
+        Maintenance saved = readMaintenance(maintenance);
+        if (!saved.equals(maintenance)) {
+            LOG.atInfo().addKeyValue("held", saved.held()).log("maintenance taken from the folder");
+            activate(saved);
         }
     }
 
-    private Maintenance readMaintenance(Maintenance otherwise) {
+    private Maintenance readMaintenance(Maintenance fallback) {
         try {
             return maintenanceFile.read();
         } catch (IOException e) {
             LOG.atWarn().log("maintenance in force stays: {}", e.getMessage());
-            return otherwise;
+            return fallback;
         }
     }
 
@@ -280,7 +293,7 @@
             return;
         }
         Config before = config.get();
-        Config after = before.movedTo(newer);
+        Config after = before.reloadedFrom(newer);
         if (!after.settings().settings().equals(before.settings().settings())) {
             // The module hears of new classes before the front lets the first message of one in.
             relay.retune(after.settings().settings());
@@ -291,33 +304,37 @@
                     .log("settings read anew");
         }
         config.set(after);
-        resolver.moved(newer.discovery());
+        resolver.discoveryMoved(newer.discovery());
         counters.add("reloads_total", "result", "done");
         LOG.info("configuration read anew; discovery is at {}", newer.discovery());
     }
 
-    /** What SIGTERM asks for, see {@link Ending}. */
+    /** What SIGTERM asks for, see {@link ShutdownPlan}. */
     public void drain() throws InterruptedException, IOException {
         serving = false;
-        long from = SteadyClock.millis();
-        relay.noCallsAfter(from + Ending.LAST_UNSAFE, from + Ending.LAST_CALL);
-        Ending ending = new Ending(handedOn);
+        long startMillis = SteadyClock.millis();
+        relay.noCallsAfter(
+                startMillis + ShutdownPlan.LAST_UNSAFE_CALL_MILLIS, startMillis + ShutdownPlan.LAST_CALL_MILLIS);
+        ShutdownPlan plan = new ShutdownPlan(listenerInherited);
         while (true) {
-            List<Ending.Step> steps =
-                    ending.at(SteadyClock.millis() - from, network.inbound().size(), relay.held(), notices.waiting());
-            for (Ending.Step step : steps) {
-                switch (step) {
-                    case LAST_ANSWERS -> front.close();
+            List<ShutdownPlan.Action> actions = plan.nextActions(
+                    SteadyClock.millis() - startMillis,
+                    network.inbound().size(),
+                    relay.held(),
+                    statusReporter.unacknowledgedCount());
+            for (ShutdownPlan.Action action : actions) {
+                switch (action) {
+                    case CLOSE_WITH_ANSWERS -> front.close();
                     case STOP_LISTENING -> stopListening();
-                    case END_RESTING -> network.inbound().endAll(true);
-                    case END_ALL -> network.inbound().endAll(false);
+                    case CLOSE_IDLE -> network.inbound().endAll(true);
+                    case CLOSE_ALL -> network.inbound().endAll(false);
                     default -> {
                         LOG.info("ending with {} RPCs owed", relay.held());
                         return;
                     }
                 }
             }
-            Thread.sleep(LOOK);
+            Thread.sleep(SHUTDOWN_POLL_MILLIS);
         }
     }
 
@@ -343,7 +360,7 @@
         if (extension != null) {
             extension.close();
         }
-        peers.close();
+        peerDatagrams.close();
         relay.close();
         network.close();
         relay.closeJournal();
--- a/src/main/java/juniperusher/http/PlatformFront.java
+++ b/src/main/java/juniperusher/http/PlatformFront.java
@@ -25,38 +25,41 @@
  */
 final class PlatformFront implements Front, HttpServerConnection.Handler {
     /** By which an endpoint knows repeats, see draft-ietf-httpapi-idempotency-key. */
-    static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+    static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
     /** The query parameter that holds the key of a message's order. */
-    private static final String ORDER_KEY = "subject";
+    private static final String ORDER_KEY_PARAMETER = "subject";
 
-    private static final String TENANT = "X-Caller";
-    private static final Pattern PATH = Pattern.compile("(?:https?://[^/]*)?/([^/?]*)");
-    private static final Pattern PARTS = Pattern.compile("[,;]");
+    private static final String TENANT_HEADER = "X-Caller";
+    private static final Pattern FIRST_PATH_SEGMENT = Pattern.compile("(?:https?://[^/]*)?/([^/?]*)");
+    private static final Pattern ENVELOPE_SEPARATOR = Pattern.compile("[,;]");
     private static final Pattern NUMBER = Pattern.compile("\\d{1,9}");
     private static final Pattern BUDGET = Pattern.compile("\\d{1,12}(\\.\\d{1,6})?[mu]");
-    private static final long UNREAD = 100; // ms for which a request may have waited to be read
-    private static final int MOST_BODY = 64 * 1024;
+    private static final long MAX_UNREAD_MILLIS = 100; // ms for which a request may have waited to be read
+    private static final int MAX_BODY_BYTES = 64 * 1024;
 
-    private final Config first; // what may not change while the relay runs: the listening address
+    private final Config initialConfig; // what may not change while the relay runs: the listening address
     private final java.util.function.Supplier<Config> config; // the classes in force
-    private final StatusReporter notices;
+    private final StatusReporter statusReporter;
     private final Counters counters;
     private final Relay relay;
     private volatile boolean closing;
 
-    PlatformFront(java.util.function.Supplier<Config> config, StatusReporter notices, Counters counters, Relay relay) {
+    PlatformFront(
+            java.util.function.Supplier<Config> config, StatusReporter statusReporter, Counters counters, Relay relay) {
         this.config = config;
-        first = config.get();
-        this.notices = notices;
+        initialConfig = config.get();
+        this.statusReporter = statusReporter;
         this.counters = counters;
         this.relay = relay;
     }
 
     Closeable listen(Network network, ServerSocketChannel inherited) throws IOException {
         if (inherited != null) {
-            return network.listen(inherited, endPoint -> new HttpServerConnection(endPoint, network, MOST_BODY, this));
+            return network.listen(
+                    inherited, endPoint -> new HttpServerConnection(endPoint, network, MAX_BODY_BYTES, this));
         }
-        return network.listen(first.listen(), endPoint -> new HttpServerConnection(endPoint, network, MOST_BODY, this));
+        return network.listen(
+                initialConfig.listen(), endPoint -> new HttpServerConnection(endPoint, network, MAX_BODY_BYTES, this));
     }
 
     void close() {
@@ -75,7 +78,7 @@
 
     @Override
     public void report(RpcEnd end, boolean again, Runnable acknowledged) {
-        notices.add(end, acknowledged);
+        statusReporter.add(end, acknowledged);
     }
 
     @Override
@@ -95,16 +98,16 @@
         } else if (request.method().equals("GET") && request.path().equals("/metrics")) {
             responder.respond(HttpMessage.response(200, counters.text(), "Content-Type", "text/plain; version=0.0.4"));
         } else if (request.method().equals("POST")) {
-            take(request, responder);
+            accept(request, responder);
         } else {
             responder.respond(HttpMessage.response(404, ""));
         }
     }
 
-    private void take(HttpMessage request, Responder responder) {
+    private void accept(HttpMessage request, Responder responder) {
         RpcRequest rpc;
         try {
-            rpc = read(request);
+            rpc = parseRpc(request);
         } catch (IllegalArgumentException e) {
             refused(400);
             responder.respond(HttpMessage.response(400, e.getMessage() + '\n'));
@@ -131,41 +134,42 @@
         });
     }
 
-    private RpcRequest read(HttpMessage request) {
+    private RpcRequest parseRpc(HttpMessage request) {
         String id = request.get("X-Call-Id");
         if (id == null || id.isEmpty() || id.length() > 200) {
             throw new IllegalArgumentException("X-Call-Id is missing or too long");
         }
         String messageClass = String.valueOf(request.get("X-Call-Class"));
-        Config now = config.get();
-        int place = now.classes().indexOf(messageClass);
-        if (place < 0) {
+        Config current = config.get();
+        int classIndex = current.classes().indexOf(messageClass);
+        if (classIndex < 0) {
             throw new IllegalArgumentException("X-Call-Class is unknown");
         }
-        Matcher path = PATH.matcher(request.path());
+        Matcher path = FIRST_PATH_SEGMENT.matcher(request.path());
         if (!path.lookingAt() || !path.group(1).equals(messageClass)) {
             throw new IllegalArgumentException("the path does not begin with the class");
         }
-        double most = now.settings().settings().classes().get(place).deadline() * 1000;
-        long budget = Math.min(budget(request.get("X-Budget")), (long) most);
+        double maxMillis =
+                current.settings().settings().classes().get(classIndex).deadline() * 1000;
+        long budgetMillis = Math.min(budgetMillis(request.get("X-Budget")), (long) maxMillis);
         // Guards the end of the RPC's time, which counts from the client's sending: it may have waited here.
-        budget -= Math.min(UNREAD, budget / 10);
+        budgetMillis -= Math.min(MAX_UNREAD_MILLIS, budgetMillis / 10);
         return new RpcRequest(
                 id,
                 name(),
-                place,
+                classIndex,
                 destination(request.get("X-Envelope")),
-                SteadyClock.millis() + budget,
+                SteadyClock.millis() + budgetMillis,
                 "",
                 false,
                 request.body(),
                 request.get("X-Again") != null,
-                text(request, IDEMPOTENCY_KEY),
+                header(request, IDEMPOTENCY_KEY_HEADER),
                 orderKey(request.path()),
-                text(request, TENANT));
+                header(request, TENANT_HEADER));
     }
 
-    private static String text(HttpMessage request, String field) {
+    private static String header(HttpMessage request, String field) {
         String value = request.get(field);
         return value == null ? "" : value;
     }
@@ -182,16 +186,16 @@
         } catch (RuntimeException e) {
             throw new IllegalArgumentException("the path's query cannot be read", e);
         }
-        String key = parameters.getValue(ORDER_KEY);
+        String key = parameters.getValue(ORDER_KEY_PARAMETER);
         return key == null ? "" : key;
     }
 
     private static int destination(String envelope) {
-        for (String part : envelope == null ? new String[0] : PARTS.split(envelope)) {
+        for (String part : envelope == null ? new String[0] : ENVELOPE_SEPARATOR.split(envelope)) {
             if (part.strip().startsWith("dest=")) {
-                String number = part.strip().substring("dest=".length());
-                if (NUMBER.matcher(number).matches()) {
-                    return Integer.parseInt(number);
+                String value = part.strip().substring("dest=".length());
+                if (NUMBER.matcher(value).matches()) {
+                    return Integer.parseInt(value);
                 }
             }
         }
@@ -199,7 +203,7 @@
     }
 
     /** Milliseconds of a budget such as 480m or 480000u. */
-    static long budget(String text) {
+    static long budgetMillis(String text) {
         if (text == null || !BUDGET.matcher(text).matches()) {
             throw new IllegalArgumentException("X-Budget is missing or unreadable");
         }
--- a/src/main/java/juniperusher/http/Resolver.java
+++ b/src/main/java/juniperusher/http/Resolver.java
@@ -35,45 +35,55 @@
 final class Resolver implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(Resolver.class);
     // bytes of a whole list or of a change: 20,000 endpoints or so
-    private static final int MOST_LIST = 4 << 20;
-    private static final long LOOK = 500; // ms after which the machine is asked, whatever it said is due
+    private static final int MAX_LIST_BYTES = 4 << 20;
+    private static final long MAX_POLL_MILLIS = 500; // ms after which the machine is asked, whatever it said is due
     // ms for which a change may stand open without a further byte. A drain that was cut off is told all the
     // same and has to be heeded within 500 ms; a change that was only slow is taken in the end.
-    private static final long CUT_OFF = 150;
-    private static final long STACK = 256 * 1024; // bytes
+    private static final long PARTIAL_CHANGE_MILLIS = 150;
+    private static final long STACK_BYTES = 256 * 1024; // bytes
 
     private final HttpPool pool;
     private final Counters counters;
-    private final AgentList reader;
-    private final BiConsumer<Snapshot, TargetList> told;
+    private final AgentList listParser;
+    private final BiConsumer<Snapshot, TargetList> snapshotListener;
     private final Membership membership;
     private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
-    private final Map<Integer, Reader> open = new HashMap<>();
-    private final long origin = System.nanoTime();
-    private final Thread thread = new Thread(null, this, "membership", STACK);
-    private final CountDownLatch word = new CountDownLatch(1); // until discovery has told a list here
+    private final Map<Integer, ResponseReader> openReaders = new HashMap<>();
+    private final long originNanos = System.nanoTime();
+    private final Thread thread = new Thread(null, this, "membership", STACK_BYTES);
+    private final CountDownLatch listReceived = new CountDownLatch(1); // until discovery has told a list here
     private volatile Snapshot snapshot = Snapshot.EMPTY;
-    private volatile double heardAt;
+    private volatile double lastHeardSeconds;
     private volatile boolean stopped;
 
     /** Something that the machine is told, at the time at which it is taken up. */
     private interface Event {
-        List<Step> tell(double now);
+        List<Step> apply(double now);
     }
 
     /** {@code told} hears each new snapshot and what is different in it. */
-    Resolver(Config config, HttpPool pool, Network network, Counters counters, BiConsumer<Snapshot, TargetList> told) {
-        this(config, Timing.USUAL, pool, counters, told);
+    Resolver(
+            Config config,
+            HttpPool pool,
+            Network network,
+            Counters counters,
+            BiConsumer<Snapshot, TargetList> snapshotListener) {
+        this(config, Timing.USUAL, pool, counters, snapshotListener);
     }
 
-    Resolver(Config config, Timing timing, HttpPool pool, Counters counters, BiConsumer<Snapshot, TargetList> told) {
+    Resolver(
+            Config config,
+            Timing timing,
+            HttpPool pool,
+            Counters counters,
+            BiConsumer<Snapshot, TargetList> snapshotListener) {
         this.pool = pool;
         this.counters = counters;
-        this.told = told;
-        reader = new AgentList(config.kinds(), config.zones());
+        this.snapshotListener = snapshotListener;
+        listParser = new AgentList(config.kindNames(), config.zoneNames());
         membership = new Membership(timing, List.of(), config.seed());
         thread.setDaemon(true);
-        counters.gauge("discovery_age_seconds", () -> now() - heardAt);
+        counters.gauge("discovery_age_seconds", () -> now() - lastHeardSeconds);
         counters.gauge("membership_version", () -> snapshot.version());
         counters.gauge("membership_confirmed", () -> snapshot.confirmed() ? 1 : 0);
         counters.gauge("endpoints_ready", () -> snapshot.count(Phase.READY));
@@ -81,14 +91,14 @@
     }
 
     private double now() {
-        return (System.nanoTime() - origin) / 1e9;
+        return (System.nanoTime() - originNanos) / 1e9;
     }
 
     /** The list known last, which may be old, and the endpoints that no list names. */
-    Snapshot known(JsonObject old, List<Target> fixed) {
+    Snapshot loadKnownList(JsonObject lastKnownList, List<Target> fixed) {
         Update update;
         try {
-            update = reader.read(old);
+            update = listParser.read(lastKnownList);
         } catch (IllegalArgumentException | UnsupportedOperationException e) {
             LOG.warn("the list known last cannot be read; beginning without: {}", e.getMessage());
             update = new Update(true, 0, List.of(), Set.of());
@@ -108,17 +118,17 @@
     }
 
     void start(InetSocketAddress discovery) {
-        moved(discovery);
+        discoveryMoved(discovery);
         thread.start();
     }
 
     /** Waits for discovery's first word, so many milliseconds at most; whether it has come. */
-    boolean awaitWord(long millis) throws InterruptedException {
-        return word.await(millis, TimeUnit.MILLISECONDS);
+    boolean awaitFirstList(long millis) throws InterruptedException {
+        return listReceived.await(millis, TimeUnit.MILLISECONDS);
     }
 
     /** The agent has another address: the old one is left at once, whether or not it still talks. */
-    void moved(InetSocketAddress discovery) {
+    void discoveryMoved(InetSocketAddress discovery) {
         events.add(now -> membership.moved(discovery, now));
     }
 
@@ -133,7 +143,7 @@
     public void run() {
         while (!stopped) {
             try {
-                turn();
+                processNext();
             } catch (InterruptedException e) {
                 LOG.debug("membership ends");
                 return;
@@ -145,32 +155,34 @@
         }
     }
 
-    private void turn() throws InterruptedException {
-        long look = open.values().stream().anyMatch(Reader::inTheMiddle) ? CUT_OFF / 3 : LOOK;
-        long wait = Math.max(1, Math.min(look, (long) Math.ceil((membership.due() - now()) * 1000)));
-        Event event = events.poll(wait, TimeUnit.MILLISECONDS);
+    private void processNext() throws InterruptedException {
+        long maxWaitMillis = openReaders.values().stream().anyMatch(ResponseReader::hasPartialChange)
+                ? PARTIAL_CHANGE_MILLIS / 3
+                : MAX_POLL_MILLIS;
+        long waitMillis = Math.max(1, Math.min(maxWaitMillis, (long) Math.ceil((membership.due() - now()) * 1000)));
+        Event event = events.poll(waitMillis, TimeUnit.MILLISECONDS);
         try {
             if (event != null) {
-                carryOut(event.tell(now()));
+                execute(event.apply(now()));
             }
         } finally {
             // also when events never cease, or one of them failed
-            for (Reader reader : List.copyOf(open.values())) {
-                carryOut(reader.look(now()));
+            for (ResponseReader reader : List.copyOf(openReaders.values())) {
+                execute(reader.checkPartialChange(now()));
             }
-            carryOut(membership.tick(now()));
-            heardAt = membership.heardAt();
+            execute(membership.tick(now()));
+            lastHeardSeconds = membership.heardAt();
         }
     }
 
-    private void carryOut(List<Step> steps) {
+    private void execute(List<Step> steps) {
         for (Step step : steps) {
             if (step instanceof Step.Open watch) {
-                open(watch);
+                openWatch(watch);
             } else if (step instanceof Step.Abandon abandoned) {
-                Reader left = open.remove(abandoned.watch());
-                if (left != null && left.exchange != null) {
-                    left.exchange.abandon(CallEnd.CALLED_OFF);
+                ResponseReader abandonedReader = openReaders.remove(abandoned.watch());
+                if (abandonedReader != null && abandonedReader.exchange != null) {
+                    abandonedReader.exchange.abandon(CallEnd.CALLED_OFF);
                 }
             } else if (step instanceof Step.Publish publish) {
                 publish(publish);
@@ -178,17 +190,17 @@
         }
     }
 
-    private void open(Step.Open watch) {
+    private void openWatch(Step.Open watch) {
         counters.add("watch_openings_total", "what", watch.whole() ? "list" : "watch");
         LOG.atInfo()
                 .addKeyValue("watch", watch.watch())
                 .addKeyValue("discovery", watch.address())
                 .addKeyValue("index", watch.whole() ? "none" : Long.toString(watch.index()))
                 .log(watch.whole() ? "asking for the whole list" : "opening the watch");
-        Reader answer = new Reader(watch.watch(), watch.whole());
-        open.put(watch.watch(), answer);
+        ResponseReader responseReader = new ResponseReader(watch.watch(), watch.whole());
+        openReaders.put(watch.watch(), responseReader);
         try {
-            answer.exchange = pool.exchange(
+            responseReader.exchange = pool.exchange(
                     watch.address(),
                     HttpMessage.request(
                             "GET",
@@ -197,11 +209,11 @@
                             "Host",
                             "discovery"),
                     () -> true,
-                    answer);
+                    responseReader);
         } catch (RuntimeException | Error e) {
             // Guards against a watch in force that nobody holds: it would be due only when its silence is
             // over.
-            open.remove(watch.watch());
+            openReaders.remove(watch.watch());
             membership.ended(watch.watch(), now());
             throw e;
         }
@@ -210,14 +222,14 @@
     private void publish(Step.Publish change) {
         snapshot = change.snapshot();
         try {
-            told.accept(change.snapshot(), change.told());
+            snapshotListener.accept(change.snapshot(), change.told());
         } finally {
             if (snapshot.confirmed()) {
-                word.countDown();
+                listReceived.countDown();
             }
             change.left()
-                    .forEach(
-                            left -> pool.closeIdle(left.address(), left.target().id()));
+                    .forEach(departed ->
+                            pool.closeIdle(departed.address(), departed.target().id()));
         }
         if (!change.told().targets().isEmpty()) {
             LOG.atInfo()
@@ -230,114 +242,115 @@
     }
 
     /** Cuts what comes on a watch into changes, on the threads of the network. */
-    private final class Reader implements HttpPool.Listener {
-        private final int number;
-        private final boolean whole;
-        private final JsonCutter changes;
+    private final class ResponseReader implements HttpPool.Listener {
+        private final int watchNumber;
+        private final boolean wholeList;
+        private final JsonObjectSplitter changeSplitter;
         private HttpPool.Exchange exchange; // of the thread that owns the machine
-        private volatile long openSince; // ns of the last byte of a change that is not over, 0 for none
+        private volatile long partialSinceNanos; // ns of the last byte of a change that is not over, 0 for none
 
-        Reader(int number, boolean whole) {
-            this.number = number;
-            this.whole = whole;
-            changes = whole ? null : new JsonCutter(MOST_LIST, this::tell, this::spoilt);
+        ResponseReader(int watchNumber, boolean wholeList) {
+            this.watchNumber = watchNumber;
+            this.wholeList = wholeList;
+            changeSplitter =
+                    wholeList ? null : new JsonObjectSplitter(MAX_LIST_BYTES, this::parseAndReport, this::reportDamage);
         }
 
         @Override
         public void begun(int status) {
             if (status == 200) {
-                events.add(now -> membership.heard(number, now)); // it is not silent, be there no news
+                events.add(now -> membership.heard(watchNumber, now)); // it is not silent, be there no news
             }
         }
 
         @Override
         public boolean streamed(int status, byte[] piece) {
-            if (whole) {
+            if (wholeList) {
                 return false;
             }
             if (status == 200) {
-                events.add(now -> membership.heard(number, now));
-                changes.add(piece);
-                openSince = changes.open() ? System.nanoTime() | 1 : 0;
+                events.add(now -> membership.heard(watchNumber, now));
+                changeSplitter.add(piece);
+                partialSinceNanos = changeSplitter.hasPartialObject() ? System.nanoTime() | 1 : 0;
             }
             return true;
         }
 
-        boolean inTheMiddle() {
-            return openSince != 0;
+        boolean hasPartialChange() {
+            return partialSinceNanos != 0;
         }
 
         /** Asks for the whole list where a change seems to have been cut off. */
-        List<Step> look(double now) {
-            long since = openSince;
-            if (since == 0 || System.nanoTime() - since < CUT_OFF * 1_000_000) {
+        List<Step> checkPartialChange(double now) {
+            long since = partialSinceNanos;
+            if (since == 0 || System.nanoTime() - since < PARTIAL_CHANGE_MILLIS * 1_000_000) {
                 return List.of();
             }
-            openSince = 0;
-            return spoilt("a change stands open", now);
+            partialSinceNanos = 0;
+            return reportDamage("a change stands open", now);
         }
 
-        private void spoilt(String why) {
-            events.add(now -> spoilt(why, now));
+        private void reportDamage(String reason) {
+            events.add(now -> reportDamage(reason, now));
         }
 
-        private List<Step> spoilt(String why, double now) {
-            LOG.atWarn().addKeyValue("watch", number).log("what discovery said cannot be read: {}", why);
+        private List<Step> reportDamage(String reason, double now) {
+            LOG.atWarn().addKeyValue("watch", watchNumber).log("what discovery said cannot be read: {}", reason);
             counters.add("watch_damaged_total");
-            return membership.damaged(number, now);
+            return membership.damaged(watchNumber, now);
         }
 
-        private void tell(String text) {
+        private void parseAndReport(String text) {
             events.add(now -> {
                 Update update;
                 try {
-                    update = reader.read(text);
+                    update = listParser.read(text);
                 } catch (IllegalArgumentException e) {
-                    return spoilt(e.getMessage(), now);
+                    return reportDamage(e.getMessage(), now);
                 }
                 if (!update.unread().isEmpty()) {
                     LOG.atWarn()
-                            .addKeyValue("watch", number)
+                            .addKeyValue("watch", watchNumber)
                             .addKeyValue("ids", update.unread())
                             .log("entries that cannot be read; what was known of these stands");
                 }
-                return membership.told(number, update, now);
+                return membership.told(watchNumber, update, now);
             });
         }
 
         @Override
         public long most() {
-            return whole ? MOST_LIST : Long.MAX_VALUE;
+            return wholeList ? MAX_LIST_BYTES : Long.MAX_VALUE;
         }
 
         @Override
         public void answered(HttpMessage response) {
-            if (whole && response.status() == 200) {
-                tell(response.text());
+            if (wholeList && response.status() == 200) {
+                parseAndReport(response.text());
             } else if (response.status() == 429 || response.status() == 503) {
-                double told = response.retryAfter();
+                double retryAfterSeconds = response.retryAfter();
                 LOG.atWarn()
-                        .addKeyValue("watch", number)
-                        .addKeyValue("wait", told)
+                        .addKeyValue("watch", watchNumber)
+                        .addKeyValue("wait", retryAfterSeconds)
                         .log("discovery turned it away with {}", response.status());
                 counters.add("watch_turned_away_total");
-                events.add(now -> membership.turnedAway(number, told, now));
+                events.add(now -> membership.turnedAway(watchNumber, retryAfterSeconds, now));
             } else if (response.status() != 200) {
-                LOG.atWarn().addKeyValue("watch", number).log("discovery answered {}", response.status());
-                events.add(now -> membership.damaged(number, now)); // it may not know the index any more
+                LOG.atWarn().addKeyValue("watch", watchNumber).log("discovery answered {}", response.status());
+                events.add(now -> membership.damaged(watchNumber, now)); // it may not know the index any more
             }
-            over();
+            reportEnd();
         }
 
         @Override
-        public void ended(CallEnd why, int firstLine) {
-            over();
+        public void ended(CallEnd reason, int firstLine) {
+            reportEnd();
         }
 
-        private void over() {
+        private void reportEnd() {
             events.add(now -> {
-                open.remove(number);
-                return membership.ended(number, now);
+                openReaders.remove(watchNumber);
+                return membership.ended(watchNumber, now);
             });
         }
     }
--- a/src/main/java/juniperusher/http/StatusReporter.java
+++ b/src/main/java/juniperusher/http/StatusReporter.java
@@ -28,15 +28,16 @@
 final class StatusReporter {
     private static final Logger LOG = LoggerFactory.getLogger(StatusReporter.class);
     private static final int NO_CONTENT = 204;
-    private static final int OWN = -1; // owner of its connections: those of the watch at that address are not its own
+    private static final int CONNECTION_OWNER =
+            -1; // owner of its connections: those of the watch at that address are not its own
 
     private final Supplier<InetSocketAddress> platform;
     private final HttpPool pool;
     private final Network network;
     private final ReportQueue<Report> queue;
-    private final Map<Integer, HttpPool.Exchange> out = new HashMap<>(); // by the post's number
+    private final Map<Integer, HttpPool.Exchange> postsInFlight = new HashMap<>(); // by the post's number
     private Scheduler.Task timer;
-    private long timerAt = ReportQueue.NEVER;
+    private long timerAtMillis = ReportQueue.NEVER;
 
     /** An end that the platform has to hear, and who wants to know that it has. */
     private record Report(RpcEnd end, Runnable acknowledged) {}
@@ -61,96 +62,97 @@
     }
 
     /** Ends that are not yet acknowledged. */
-    synchronized int waiting() {
+    synchronized int unacknowledgedCount() {
         return queue.waiting();
     }
 
     /** Something that the queue hears, with its time. */
     private interface QueueEvent {
-        List<Step<Report>> tell(long now);
+        List<Step<Report>> apply(long now);
     }
 
     private void handle(QueueEvent event) {
-        List<Runnable> acknowledged = new ArrayList<>();
+        List<Runnable> callbacks = new ArrayList<>();
         synchronized (this) {
-            for (Step<Report> step : event.tell(now())) {
+            for (Step<Report> step : event.apply(nowMillis())) {
                 if (step instanceof Step.Post<Report> post) {
                     send(post);
                 } else if (step instanceof Step.Abandon<Report> abandon) {
                     abandon(abandon.number());
-                } else if (step instanceof Step.Acknowledged<Report> done) {
-                    acknowledged.add(done.report().acknowledged());
+                } else if (step instanceof Step.Acknowledged<Report> acknowledged) {
+                    callbacks.add(acknowledged.report().acknowledged());
                 }
             }
             schedule();
         }
-        acknowledged.forEach(Runnable::run); // not under the lock: they write the journal
+        callbacks.forEach(Runnable::run); // not under the lock: they write the journal
     }
 
     private void send(Step.Post<Report> post) {
         InetSocketAddress address = platform.get();
         if (post.newConnection()) {
-            pool.closeIdle(address, OWN); // they may have fallen silent as the last one did
+            pool.closeIdle(address, CONNECTION_OWNER); // they may have fallen silent as the last one did
         }
         HttpMessage request = HttpMessage.request("POST", "/status", body(post.reports()), "Host", "platform");
-        HttpPool.Exchange exchange = pool.exchange(address, OWN, request, () -> true, new PostListener(post.number()));
+        HttpPool.Exchange exchange =
+                pool.exchange(address, CONNECTION_OWNER, request, () -> true, new PostListener(post.number()));
         if (queue.isOut(post.number())) { // else it failed at once
-            out.put(post.number(), exchange);
-            queue.posted(post.number(), now());
+            postsInFlight.put(post.number(), exchange);
+            queue.posted(post.number(), nowMillis());
         }
     }
 
-    private void abandon(int number) {
-        HttpPool.Exchange exchange = out.remove(number);
+    private void abandon(int postNumber) {
+        HttpPool.Exchange exchange = postsInFlight.remove(postNumber);
         if (exchange != null) {
             exchange.abandon(CallEnd.CALLED_OFF);
         }
     }
 
-    private synchronized void forget(int number) {
-        out.remove(number);
+    private synchronized void forget(int postNumber) {
+        postsInFlight.remove(postNumber);
     }
 
     /** Sets the timer to when the queue wants to be asked again, or to none. */
     private void schedule() {
         long next = queue.nextPostAt();
-        if (next == timerAt) {
+        if (next == timerAtMillis) {
             return;
         }
         if (timer != null) {
             timer.cancel();
             timer = null;
         }
-        timerAt = next;
+        timerAtMillis = next;
         if (next != ReportQueue.NEVER) {
-            timer = network.scheduler().schedule(this::tick, Math.max(1, next - now()), TimeUnit.MILLISECONDS);
+            timer = network.scheduler().schedule(this::tick, Math.max(1, next - nowMillis()), TimeUnit.MILLISECONDS);
         }
     }
 
     private void tick() {
-        List<HttpPool.Exchange> waiting;
+        List<HttpPool.Exchange> exchanges;
         synchronized (this) {
-            waiting = List.copyOf(out.values());
+            exchanges = List.copyOf(postsInFlight.values());
         }
         // Guards a busy core: an answer may have come that the selector has not got to.
-        waiting.forEach(HttpPool.Exchange::poll);
+        exchanges.forEach(HttpPool.Exchange::poll);
         handle(now -> {
-            timerAt = ReportQueue.NEVER;
+            timerAtMillis = ReportQueue.NEVER;
             return queue.tick(now);
         });
     }
 
-    private static long now() {
+    private static long nowMillis() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
     private static byte[] body(List<Report> reports) {
         StringBuilder lines = new StringBuilder();
-        reports.forEach(report -> lines.append(line(report.end())).append('\n'));
+        reports.forEach(report -> lines.append(toJson(report.end())).append('\n'));
         return lines.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static String line(RpcEnd end) {
+    private static String toJson(RpcEnd end) {
         JsonObject json = new JsonObject().add("message", end.id());
         if (end.kind() == RpcEnd.Kind.GIVEN_UP) {
             return json.add("outcome", "given_up").toString();
@@ -161,27 +163,27 @@
 
     /** Hears how a post ends. */
     private final class PostListener implements HttpPool.Listener {
-        private final int number;
+        private final int postNumber;
 
-        PostListener(int number) {
-            this.number = number;
+        PostListener(int postNumber) {
+            this.postNumber = postNumber;
         }
 
         @Override
         public void answered(HttpMessage response) {
-            forget(number);
+            forget(postNumber);
             if (response.status() == NO_CONTENT) {
-                handle(now -> queue.answered(number, now));
+                handle(now -> queue.answered(postNumber, now));
             } else {
                 LOG.warn("a status report was answered {}", response.status());
-                handle(now -> queue.failed(number, now));
+                handle(now -> queue.failed(postNumber, now));
             }
         }
 
         @Override
-        public void ended(CallEnd why, int firstLine) {
-            forget(number);
-            handle(now -> queue.failed(number, now));
+        public void ended(CallEnd reason, int firstLine) {
+            forget(postNumber);
+            handle(now -> queue.failed(postNumber, now));
         }
     }
 }
--- a/src/main/java/juniperusher/http/StormCompanion.java
+++ b/src/main/java/juniperusher/http/StormCompanion.java
@@ -17,40 +17,40 @@
  * The storm package beside the decision loop, with what it shows in the counters. Only made where it is on.
  */
 final class StormCompanion implements Companion {
-    private static final int MOST_UNHEARD = 4096;
-    private static final int LEAST_BODY = 8; // bytes, what is shorter is the same for many messages
+    private static final int MAX_PENDING_REFUSALS = 4096;
+    private static final int MIN_BODY_BYTES = 8; // bytes, what is shorter is the same for many messages
 
     private final Storms storms;
-    private final Queue<Long> unheard = new ConcurrentLinkedQueue<>(); // refused since the last round
-    private volatile int stormy;
-    private volatile int recovering;
-    private volatile int out;
-    private volatile long changes;
+    private final Queue<Long> pendingRefusals = new ConcurrentLinkedQueue<>(); // refused since the last round
+    private volatile int stormCount;
+    private volatile int recoveringCount;
+    private volatile int outageCount;
+    private volatile long changeCount;
 
     StormCompanion(StormSettings settings, Config config, Counters counters) {
         // The wall clock, so that it goes on over a restart; rounds count from the start of this process.
         storms = new Storms(
                 settings, config.settings().settings(), config.number(), System.currentTimeMillis() / 1000.0, 0);
-        counters.gauge("storms", () -> stormy);
-        counters.gauge("storms_recovering", () -> recovering);
-        counters.gauge("storms_out", () -> out);
-        counters.gauge("storm_changes", () -> changes);
+        counters.gauge("storms", () -> stormCount);
+        counters.gauge("storms_recovering", () -> recoveringCount);
+        counters.gauge("storms_out", () -> outageCount);
+        counters.gauge("storm_changes", () -> changeCount);
     }
 
     @Override
     public boolean comesAgain(int message, RpcRequest request) {
-        return request.body().length >= LEAST_BODY && storms.comesAgain(message, print(request));
+        return request.body().length >= MIN_BODY_BYTES && storms.comesAgain(message, fingerprint(request));
     }
 
     @Override
     public void turnedAway(RpcRequest request) {
-        if (request.body().length >= LEAST_BODY && unheard.size() < MOST_UNHEARD) {
-            unheard.add(print(request));
+        if (request.body().length >= MIN_BODY_BYTES && pendingRefusals.size() < MAX_PENDING_REFUSALS) {
+            pendingRefusals.add(fingerprint(request));
         }
     }
 
     /** What stays the same when a client hands a message in again, and its id does not. */
-    private static long print(RpcRequest request) {
+    private static long fingerprint(RpcRequest request) {
         CRC32C sum = new CRC32C();
         sum.update(request.body());
         return sum.getValue() << 32 ^ request.destination() * 31L + request.messageClass();
@@ -58,8 +58,8 @@
 
     @Override
     public List<Event> before(double now, List<Event> events) {
-        for (Long print = unheard.poll(); print != null; print = unheard.poll()) {
-            storms.turnedAway(now, print);
+        for (Long fingerprint = pendingRefusals.poll(); fingerprint != null; fingerprint = pendingRefusals.poll()) {
+            storms.turnedAway(now, fingerprint);
         }
         return storms.before(now, events);
     }
@@ -67,10 +67,10 @@
     @Override
     public List<Action> after(double now, List<Action> actions) {
         List<Action> further = storms.after(now, actions);
-        stormy = storms.count(StormState.STORM);
-        recovering = storms.count(StormState.RECOVERING);
-        out = storms.out();
-        changes = storms.changes();
+        stormCount = storms.count(StormState.STORM);
+        recoveringCount = storms.count(StormState.RECOVERING);
+        outageCount = storms.out();
+        changeCount = storms.changes();
         return further;
     }
 }
--- a/src/main/java/juniperusher/http/WarmUp.java
+++ b/src/main/java/juniperusher/http/WarmUp.java
@@ -30,10 +30,10 @@
  * waited for and does without.
  */
 public final class WarmUp {
-    private static final int MOST = 600; // RPCs
-    private static final int AT_ONCE = 6; // RPCs handed in before the relay has a moment to send them
-    private static final long PAUSE = 6; // ms, longer than a round
-    private static final byte[] OK = ("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"
+    private static final int MAX_RPCS = 600; // RPCs
+    private static final int RPCS_PER_BURST = 6; // RPCs handed in before the relay has a moment to send them
+    private static final long BURST_GAP_MILLIS = 6; // ms, longer than a round
+    private static final byte[] OK_RESPONSE = ("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"
                     + "X-Load-Report: x0=0.5,x1=100\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII);
 
@@ -44,29 +44,29 @@
      * Returns how many were delivered.
      */
     public static long run(Config config, Path state, long millis) throws Exception {
-        if (Platform.ranBefore(state)) {
+        if (Platform.hasState(state)) {
             return 0;
         }
-        String temporary = System.getenv("TMPDIR"); // the only place that may be written on the platform
-        Path folder = temporary == null
+        String temporaryFolder = System.getenv("TMPDIR"); // the only place that may be written on the platform
+        Path folder = temporaryFolder == null
                 ? Files.createTempDirectory("warm-up")
-                : Files.createTempDirectory(Path.of(temporary), "warm-up");
-        Memory memory = new Memory();
-        try (Platform platform = new Platform(config.alone(), folder, new Counters(), memory, null)) {
+                : Files.createTempDirectory(Path.of(temporaryFolder), "warm-up");
+        InMemoryNetwork network = new InMemoryNetwork();
+        try (Platform platform = new Platform(config.withoutPeers(), folder, new Counters(), network, null)) {
             List<Integer> destinations = new ArrayList<>();
-            for (JsonValue server : config.known().get("servers").asArray()) {
+            for (JsonValue server : config.knownEndpoints().get("servers").asArray()) {
                 destinations.add(server.asObject().getInt("cell", 0));
             }
-            long until = System.nanoTime() + millis * 1_000_000;
-            for (int i = 0; i < MOST && System.nanoTime() < until && !destinations.isEmpty(); i++) {
-                memory.handIn(
+            long untilNanos = System.nanoTime() + millis * 1_000_000;
+            for (int i = 0; i < MAX_RPCS && System.nanoTime() < untilNanos && !destinations.isEmpty(); i++) {
+                network.submit(
                         i,
                         config.classes().get(i % config.classes().size()),
                         destinations.get(i % destinations.size()));
-                if (i % AT_ONCE == 0) {
-                    Thread.sleep(PAUSE);
+                if (i % RPCS_PER_BURST == 0) {
+                    Thread.sleep(BURST_GAP_MILLIS);
                 }
-                memory.answer();
+                network.answerCalls();
             }
             return platform.counters().get("attempts_total", "end", "delivered");
         } finally {
@@ -85,84 +85,84 @@
     public static boolean readsChanges() {
         List<String> changes = new ArrayList<>();
         String change = "{\n \"version\": 1}";
-        new JsonCutter(100, changes::add, changes::add).add((change + '\n').getBytes(StandardCharsets.UTF_8));
+        new JsonObjectSplitter(100, changes::add, changes::add).add((change + '\n').getBytes(StandardCharsets.UTF_8));
         return changes.equals(List.of(change));
     }
 
     /** Connections that end in this process's memory. */
-    private static final class Memory extends Network {
-        private final List<ByteArrayEndPoint> calls = new CopyOnWriteArrayList<>();
-        private Function<EndPoint, Connection> clients;
-        private ByteArrayEndPoint client;
+    private static final class InMemoryNetwork extends Network {
+        private final List<ByteArrayEndPoint> callEndPoints = new CopyOnWriteArrayList<>();
+        private Function<EndPoint, Connection> connectionFactory;
+        private ByteArrayEndPoint clientEndPoint;
 
-        Memory() throws Exception {
+        InMemoryNetwork() throws Exception {
             super(1);
         }
 
         @Override
         public Closeable listen(InetSocketAddress address, Function<EndPoint, Connection> factory) {
-            clients = factory;
+            connectionFactory = factory;
             return () -> {};
         }
 
         @Override
         public void connect(InetSocketAddress address, Dial dial) {
-            ByteArrayEndPoint end = end();
-            calls.add(end);
-            open(end, dial.connected(end));
+            ByteArrayEndPoint endPoint = newEndPoint();
+            callEndPoints.add(endPoint);
+            open(endPoint, dial.connected(endPoint));
         }
 
-        private ByteArrayEndPoint end() {
-            ByteArrayEndPoint end = new ByteArrayEndPoint(scheduler(), 0) {
+        private ByteArrayEndPoint newEndPoint() {
+            ByteArrayEndPoint endPoint = new ByteArrayEndPoint(scheduler(), 0) {
                 @Override
                 protected void execute(Runnable task) {
                     threads().execute(task);
                 }
             };
-            end.setGrowOutput(true);
-            return end;
+            endPoint.setGrowOutput(true);
+            return endPoint;
         }
 
-        private static void open(ByteArrayEndPoint end, Connection connection) {
-            end.setConnection(connection);
-            end.onOpen();
+        private static void open(ByteArrayEndPoint endPoint, Connection connection) {
+            endPoint.setConnection(connection);
+            endPoint.onOpen();
             connection.onOpen();
         }
 
-        void handIn(int number, String kind, int destination) {
-            if (client == null || !client.isOpen()) {
-                client = end();
-                open(client, clients.apply(client));
+        void submit(int number, String className, int destination) {
+            if (clientEndPoint == null || !clientEndPoint.isOpen()) {
+                clientEndPoint = newEndPoint();
+                open(clientEndPoint, connectionFactory.apply(clientEndPoint));
             }
-            client.takeOutput();
-            client.addInput("POST /" + kind + " HTTP/1.1\r\nHost: relay\r\nX-Call-Id: warm-up-" + number
-                    + "\r\nX-Call-Class: " + kind + "\r\nX-Budget: 5000m\r\nX-Envelope: dest=" + destination
+            clientEndPoint.takeOutput();
+            clientEndPoint.addInput("POST /" + className + " HTTP/1.1\r\nHost: relay\r\nX-Call-Id: warm-up-" + number
+                    + "\r\nX-Call-Class: " + className + "\r\nX-Budget: 5000m\r\nX-Envelope: dest=" + destination
                     + "\r\nContent-Length: 200\r\n\r\n" + "x".repeat(200));
         }
 
         /** Answers the calls that are out. */
-        void answer() throws IOException {
-            for (ByteArrayEndPoint call : calls) {
+        void answerCalls() throws IOException {
+            for (ByteArrayEndPoint call : callEndPoints) {
                 String request = BufferUtil.toString(call.takeOutput(), StandardCharsets.US_ASCII);
                 if (request.startsWith("POST /receive-many")) {
-                    String body = many(request.substring(request.indexOf("\r\n\r\n") + 4));
+                    String body = batchAnswer(request.substring(request.indexOf("\r\n\r\n") + 4));
                     call.addInput("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
                 } else if (request.startsWith("POST /status")) {
                     call.addInput("HTTP/1.1 204 No Content\r\n\r\n");
                 } else if (request.startsWith("POST")) {
-                    call.addInput(BufferUtil.toBuffer(OK));
+                    call.addInput(BufferUtil.toBuffer(OK_RESPONSE));
                 }
             }
         }
 
-        private static String many(String asked) {
-            JsonArray told = new JsonArray();
-            Json.parse(asked)
+        private static String batchAnswer(String request) {
+            JsonArray results = new JsonArray();
+            Json.parse(request)
                     .asArray()
-                    .forEach(entry -> told.add(new JsonObject()
+                    .forEach(entry -> results.add(new JsonObject()
                             .add("id", entry.asObject().get("id"))
                             .add("state", "delivered")));
-            return told.toString();
+            return results.toString();
         }
     }
 }
--- a/src/test/java/juniperusher/http/ReplacementTest.java
+++ b/src/test/java/juniperusher/http/EndpointReplacementTest.java
@@ -17,33 +17,38 @@
 import org.junit.jupiter.api.Test;
 
 /** 1,000 endpoints replaced at once while RPCs arrive at 100 a second. */
-class ReplacementTest {
+class EndpointReplacementTest {
     private static final int ENDPOINTS = 1_000;
     private static final int DESTINATIONS = 50;
-    private static final int PORTS = 10; // that the endpoints of one generation share
+    private static final int PORTS_PER_GENERATION = 10; // that the endpoints of one generation share
     private static final int RPCS = 300;
-    private static final long GAP = 10; // ms between two RPCs
+    private static final long RPC_GAP_MILLIS = 10; // ms between two RPCs
     // ms after a change was told, in which the old ones may still be called
-    private static final long GRACE = 500;
+    private static final long GRACE_MILLIS = 500;
 
     /** Endpoints that share some stand-ins. */
     private static final class Generation implements AutoCloseable {
-        private final List<EndpointStandIn> servers = new ArrayList<>();
+        private final List<FakeEndpoint> servers = new ArrayList<>();
 
         Generation() throws IOException {
-            for (int i = 0; i < PORTS; i++) {
-                servers.add(new EndpointStandIn());
+            for (int i = 0; i < PORTS_PER_GENERATION; i++) {
+                servers.add(new FakeEndpoint());
             }
         }
 
-        List<Long> called() {
-            return servers.stream().flatMap(server -> server.called.stream()).toList();
+        List<Long> callTimesMillis() {
+            return servers.stream()
+                    .flatMap(server -> server.callTimesMillis.stream())
+                    .toList();
         }
 
-        String[] listed(String prefix, String state) {
+        String[] listEntries(String prefix, String state) {
             String[] out = new String[ENDPOINTS];
             for (int i = 0; i < ENDPOINTS; i++) {
-                out[i] = AgentStandIn.server(prefix + i, servers.get(i % PORTS).port(), state)
+                out[i] = FakeAgent.server(
+                                prefix + i,
+                                servers.get(i % PORTS_PER_GENERATION).port(),
+                                state)
                         .replace("\"cell\":7", "\"cell\":" + i % DESTINATIONS);
             }
             return out;
@@ -51,39 +56,44 @@
 
         @Override
         public void close() throws IOException {
-            for (EndpointStandIn server : servers) {
+            for (FakeEndpoint server : servers) {
                 server.close();
             }
         }
     }
 
     @Test
-    void nothingGoesToTheOldOnesAfterTheGraceAndNothingIsLost() throws Exception {
+    void replacedEndpointsGetNoCallsAfterTheGracePeriodAndNoRpcIsLost() throws Exception {
         Path folder = Files.createTempDirectory("replacement");
         try (Generation before = new Generation();
                 Generation after = new Generation();
-                AgentStandIn agent = new AgentStandIn(AgentStandIn.list(1, true, before.listed("a", "up")));
+                FakeAgent agent = new FakeAgent(FakeAgent.list(1, true, before.listEntries("a", "up")));
                 Network network = new Network(1)) {
-            int listen = StandIn.unused();
+            int listen = FakeServer.unusedPort();
             Counters counters = new Counters();
             Platform platform = new Platform(
-                    StandIn.config(folder, listen, agent.port()), folder.resolve("state"), counters, network, null);
+                    FakeServer.config(folder, listen, agent.port()), folder.resolve("state"), counters, network, null);
             try {
-                StandIn.await(
+                FakeServer.await(
                         "endpoints or ends",
                         () -> counters.text().contains("juniperusher_endpoints_ready " + (double) ENDPOINTS));
-                long told = replaceUnderLoad(agent, before, after, listen);
-                StandIn.await(
+                long announcedMillis = replaceUnderLoad(agent, before, after, listen);
+                FakeServer.await(
                         "endpoints or ends",
                         () -> counters.get("answered_total", "front", "http", "class", "0", "end", "delivered")
                                 == RPCS);
-                long late =
-                        before.called().stream().filter(at -> at > told + GRACE).count();
+                long late = before.callTimesMillis().stream()
+                        .filter(at -> at > announcedMillis + GRACE_MILLIS)
+                        .count();
                 assertEquals(0, late, "calls to endpoints that were replaced");
                 assertTrue(
-                        after.called().size() > RPCS / 4,
-                        "only " + after.called().size() + " calls to new ones");
-                assertEquals(RPCS, before.called().size() + after.called().size(), "calls");
+                        after.callTimesMillis().size() > RPCS / 4,
+                        "only " + after.callTimesMillis().size() + " calls to new ones");
+                assertEquals(
+                        RPCS,
+                        before.callTimesMillis().size()
+                                + after.callTimesMillis().size(),
+                        "calls");
             } finally {
                 platform.close();
             }
@@ -91,10 +101,10 @@
     }
 
     /** When the change was told. */
-    private static long replaceUnderLoad(AgentStandIn agent, Generation before, Generation after, int listen)
+    private static long replaceUnderLoad(FakeAgent agent, Generation before, Generation after, int listen)
             throws Exception {
-        AtomicInteger taken = new AtomicInteger();
-        long told = 0;
+        AtomicInteger accepted = new AtomicInteger();
+        long announcedMillis = 0;
         try (Socket client = new Socket("127.0.0.1", listen)) {
             client.setTcpNoDelay(true);
             InputStream in = client.getInputStream();
@@ -107,18 +117,18 @@
                                 .getBytes(StandardCharsets.US_ASCII));
                 byte[] answer = new byte["HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n".length()];
                 assertEquals(answer.length, in.readNBytes(answer, 0, answer.length));
-                taken.addAndGet(new String(answer, StandardCharsets.US_ASCII).contains("202") ? 1 : 0);
-                Thread.sleep(GAP);
+                accepted.addAndGet(new String(answer, StandardCharsets.US_ASCII).contains("202") ? 1 : 0);
+                Thread.sleep(RPC_GAP_MILLIS);
                 if (i == RPCS / 3) {
-                    agent.tell(AgentStandIn.list(2, false, after.listed("b", "up")));
-                    agent.tell(AgentStandIn.list(3, false, before.listed("a", "draining")));
-                    told = System.currentTimeMillis();
+                    agent.send(FakeAgent.list(2, false, after.listEntries("b", "up")));
+                    agent.send(FakeAgent.list(3, false, before.listEntries("a", "draining")));
+                    announcedMillis = System.currentTimeMillis();
                 } else if (i == 2 * RPCS / 3) {
-                    agent.tell(AgentStandIn.list(4, false, before.listed("a", "removed")));
+                    agent.send(FakeAgent.list(4, false, before.listEntries("a", "removed")));
                 }
             }
         }
-        assertEquals(RPCS, taken.get(), "taken on");
-        return told;
+        assertEquals(RPCS, accepted.get(), "taken on");
+        return announcedMillis;
     }
 }
--- a/src/test/java/juniperusher/http/AgentStandIn.java
+++ b/src/test/java/juniperusher/http/FakeAgent.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** Discovery's agent, as its protocol describes it, with the ways in which it can fail. */
-final class AgentStandIn extends StandIn {
+final class FakeAgent extends FakeServer {
     /** How a request for the whole list is answered; overbooked, a watch as well. */
-    enum Mood {
-        USUAL,
+    enum Behavior {
+        NORMAL,
         SILENT,
         CUT_IN_HALF,
         NOT_JSON,
@@ -24,14 +24,14 @@
         OVERBOOKED
     }
 
-    volatile Mood mood = Mood.USUAL;
-    volatile long late; // ms before the whole list is answered
+    volatile Behavior behavior = Behavior.NORMAL;
+    volatile long listDelayMillis; // ms before the whole list is answered
     volatile String list;
-    final List<String> asked = new CopyOnWriteArrayList<>();
+    final List<String> requestPaths = new CopyOnWriteArrayList<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final List<Socket> watches = new CopyOnWriteArrayList<>();
 
-    AgentStandIn(String list) throws IOException {
+    FakeAgent(String list) throws IOException {
         this.list = list;
     }
 
@@ -49,7 +49,7 @@
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    int watching() {
+    int watchCount() {
         watches.removeIf(Socket::isClosed);
         return watches.size();
     }
@@ -61,7 +61,7 @@
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.startsWith("GET ")) {
-                asked.add(line.split(" ")[1]);
+                requestPaths.add(line.split(" ")[1]);
                 answer(socket, line.contains("stream=1"));
             }
         }
@@ -70,7 +70,7 @@
 
     private void answer(Socket socket, boolean stream) throws Exception {
         OutputStream out = socket.getOutputStream();
-        if (mood == Mood.OVERBOOKED) {
+        if (behavior == Behavior.OVERBOOKED) {
             out.write("HTTP/1.1 503 Busy\r\nRetry-After: 0.2\r\nContent-Length: 0\r\n\r\n"
                     .getBytes(StandardCharsets.US_ASCII));
             return;
@@ -80,20 +80,20 @@
             watches.add(socket);
             return;
         }
-        Thread.sleep(late);
+        Thread.sleep(listDelayMillis);
         byte[] body =
-                switch (mood) {
+                switch (behavior) {
                     case NOT_JSON -> "{\"servers\": [{]".getBytes(StandardCharsets.US_ASCII);
                     case NO_ADDRESS -> list.replace("127.0.0.1:", "nowhere").getBytes(StandardCharsets.US_ASCII);
                     default -> list.getBytes(StandardCharsets.US_ASCII);
                 };
-        if (mood == Mood.SILENT) {
+        if (behavior == Behavior.SILENT) {
             return;
         }
-        out.write(("HTTP/1.1 " + (mood == Mood.REFUSED ? "500 Broken" : "200 OK") + "\r\nContent-Length: " + body.length
-                        + "\r\n\r\n")
+        out.write(("HTTP/1.1 " + (behavior == Behavior.REFUSED ? "500 Broken" : "200 OK") + "\r\nContent-Length: "
+                        + body.length + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII));
-        if (mood == Mood.CUT_IN_HALF) {
+        if (behavior == Behavior.CUT_IN_HALF) {
             out.write(body, 0, body.length / 2);
             socket.close();
         } else {
@@ -102,15 +102,15 @@
     }
 
     /** Says a line on all watches, in chunks of so many bytes each. */
-    void tell(String line, int piece) throws Exception {
+    void send(String line, int chunkBytes) throws Exception {
         byte[] bytes = (line + '\n').getBytes(StandardCharsets.UTF_8);
         for (Socket watch : watches) {
             if (watch.isClosed()) {
                 continue; // the relay has left it
             }
             OutputStream out = watch.getOutputStream();
-            for (int from = 0; from < bytes.length; from += piece) {
-                int size = Math.min(piece, bytes.length - from);
+            for (int from = 0; from < bytes.length; from += chunkBytes) {
+                int size = Math.min(chunkBytes, bytes.length - from);
                 out.write((Integer.toHexString(size) + "\r\n").getBytes(StandardCharsets.US_ASCII));
                 out.write(bytes, from, size);
                 out.write("\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -119,12 +119,12 @@
         }
     }
 
-    void tell(String line) throws Exception {
-        tell(line, Integer.MAX_VALUE);
+    void send(String line) throws Exception {
+        send(line, Integer.MAX_VALUE);
     }
 
     /** Closes what is open, as an agent does that has moved; it still listens. */
-    void hangUp() throws IOException {
+    void closeConnections() throws IOException {
         for (Socket socket : new ArrayList<>(sockets)) {
             socket.close();
         }
@@ -135,6 +135,6 @@
     @Override
     public void close() throws IOException {
         super.close();
-        hangUp();
+        closeConnections();
     }
 }
--- a/src/test/java/juniperusher/http/EndpointStandIn.java
+++ b/src/test/java/juniperusher/http/FakeEndpoint.java
@@ -10,23 +10,23 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** An endpoint that notes when it is called and answers at once with the status of the moment. */
-final class EndpointStandIn extends StandIn {
+final class FakeEndpoint extends FakeServer {
     volatile String status = "200 OK";
-    final List<Long> called = new CopyOnWriteArrayList<>(); // wall clock in ms
+    final List<Long> callTimesMillis = new CopyOnWriteArrayList<>(); // wall clock in ms
 
-    EndpointStandIn() throws IOException {}
+    FakeEndpoint() throws IOException {}
 
     /** Requests without content, one after the other: a call begins once its last byte is there. */
     @Override
     void serve(Socket socket) throws IOException {
         InputStream in = new BufferedInputStream(socket.getInputStream());
         OutputStream out = socket.getOutputStream();
-        int ends = 0; // of the line ends that close a head
+        int lineEnds = 0; // of the line ends that close a head
         for (int b = in.read(); b >= 0; b = in.read()) {
-            ends = b == '\n' ? ends + 1 : b == '\r' ? ends : 0;
-            if (ends == 2) {
-                ends = 0;
-                called.add(System.currentTimeMillis());
+            lineEnds = b == '\n' ? lineEnds + 1 : b == '\r' ? lineEnds : 0;
+            if (lineEnds == 2) {
+                lineEnds = 0;
+                callTimesMillis.add(System.currentTimeMillis());
                 out.write(("HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             }
         }
--- a/src/test/java/juniperusher/http/StandIn.java
+++ b/src/test/java/juniperusher/http/FakeServer.java
@@ -14,30 +14,30 @@
 /**
  * A server on loopback that plays an outside system, a thread for each connection; and what its tests share.
  */
-abstract class StandIn implements AutoCloseable {
+abstract class FakeServer implements AutoCloseable {
     // ms for what must come; none of it is waited for if it comes
-    private static final long PATIENCE = 20_000;
+    private static final long AWAIT_MILLIS = 20_000;
 
     final ServerSocket server = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
 
-    StandIn() throws IOException {
-        daemon(() -> {
+    FakeServer() throws IOException {
+        startThread(() -> {
             while (true) {
                 Socket socket = server.accept();
                 socket.setTcpNoDelay(true);
-                daemon(() -> serve(socket));
+                startThread(() -> serve(socket));
             }
         });
     }
 
     /** What one thread does until the socket is closed. */
-    private interface Work {
+    private interface ServerTask {
         void run() throws Exception;
     }
 
     abstract void serve(Socket socket) throws Exception;
 
-    private void daemon(Work work) {
+    private void startThread(ServerTask work) {
         Thread thread = new Thread(
                 () -> {
                     try {
@@ -60,7 +60,7 @@
         server.close();
     }
 
-    static int unused() throws IOException {
+    static int unusedPort() throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return free.getLocalPort();
         }
@@ -76,7 +76,7 @@
     }
 
     static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.currentTimeMillis() + PATIENCE;
+        long until = System.currentTimeMillis() + AWAIT_MILLIS;
         while (!condition.getAsBoolean()) {
             if (System.currentTimeMillis() >= until) {
                 throw new AssertionError("does not come: " + what);
--- a/src/test/java/juniperusher/http/CrowdWhileDiscoveryIsDownTest.java
+++ b/src/test/java/juniperusher/http/IdleClientsWhileDiscoveryIsDownTest.java
@@ -19,15 +19,15 @@
 import org.testng.annotations.Test;
 
 /** Idle clients take all connections that they can get while discovery says nothing. */
-public class CrowdWhileDiscoveryIsDownTest {
+public class IdleClientsWhileDiscoveryIsDownTest {
     private static final int DESCRIPTORS = 64;
-    private static final int BOUND = 28; // of them, for what comes in
+    private static final int MAX_INBOUND = 28; // of them, for what comes in
     private static final String LIST = "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"e-1\",\"addr\":"
             + "\"127.0.0.1:%d\",\"zone\":\"lisboa-1\",\"kind\":\"pequeno-projeto\",\"cell\":7,"
             + "\"state\":\"up\",\"weight\":1.0,\"started_ms\":0}]}";
 
     @Test
-    public void theListIsHeardInTimeAndWhoHasSomethingToSayIsServed() throws Exception {
+    public void theListIsReceivedAndAClientWithARequestIsServed() throws Exception {
         Path folder = Files.createTempDirectory("crowd");
         List<Socket> idle = new ArrayList<>();
         try (Player player = new Player();
@@ -58,7 +58,9 @@
                                 + "platform2> HTTP/1.1 200 OK\\r\\nContent-Length: " + list.length() + "\\r\\n\\r\\n"
                                 + list + "\nplatform2< GET /discovery/hosts?stream=1&index=1 HTTP/1.1\\r\\n"
                                 + "Host: discovery\\r\\n\\r\\n\n"));
-                assertTrue(network.inbound().size() <= BOUND, network.inbound().size() + " clients are held");
+                assertTrue(
+                        network.inbound().size() <= MAX_INBOUND,
+                        network.inbound().size() + " clients are held");
                 player.play(Files.writeString(
                         folder.resolve("exchange.txt"),
                         "client1> POST /aviso-push HTTP/1.1\\r\\nHost: a\\r\\nX-Call-Id: m1\\r\\n"
@@ -68,7 +70,7 @@
                                 + "endpoint1< POST /receive HTTP/1.1\\r\\nHost: endpoint\\r\\nX-Call-Id: m1\\r\\n"
                                 + "X-Budget: {*}m\\r\\nContent-Length: 0\\r\\n\\r\\n\n"
                                 + "endpoint1> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n"));
-                StandIn.await(
+                FakeServer.await(
                         "a delivery",
                         () -> counters.get("answered_total", "front", "http", "class", "0", "end", "delivered") == 1);
                 assertEquals(counters.get("membership_failures_total"), 0L);
--- a/src/test/java/juniperusher/http/SizeTest.java
+++ b/src/test/java/juniperusher/http/PartialRequestTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Operators' days, size: messages cut at any byte, connections that fall quiet, clients that depart. */
-class SizeTest {
-    private static final byte[] TAKEN_ON =
+class PartialRequestTest {
+    private static final byte[] ACCEPTED =
             "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private static byte[] message(String id) {
@@ -32,18 +32,17 @@
 
     private static void withRelay(Client client) throws Exception {
         Path folder = Files.createTempDirectory("size");
-        try (EndpointStandIn endpoint = new EndpointStandIn();
-                AgentStandIn agent =
-                        new AgentStandIn(AgentStandIn.list(1, true, AgentStandIn.server("a", endpoint.port(), "up")));
+        try (FakeEndpoint endpoint = new FakeEndpoint();
+                FakeAgent agent = new FakeAgent(FakeAgent.list(1, true, FakeAgent.server("a", endpoint.port(), "up")));
                 Network network = new Network(1)) {
-            int listen = StandIn.unused();
+            int listen = FakeServer.unusedPort();
             Counters counters = new Counters();
             Platform platform = new Platform(
-                    StandIn.config(folder, listen, agent.port()), folder.resolve("state"), counters, network, null);
+                    FakeServer.config(folder, listen, agent.port()), folder.resolve("state"), counters, network, null);
             try {
-                StandIn.await("the list", () -> counters.text().contains("juniperusher_endpoints_ready 1.0"));
+                FakeServer.await("the list", () -> counters.text().contains("juniperusher_endpoints_ready 1.0"));
                 client.act(listen, counters);
-                StandIn.await("no connection left", () -> network.inbound().size() == 0);
+                FakeServer.await("no connection left", () -> network.inbound().size() == 0);
             } finally {
                 platform.close();
             }
@@ -51,7 +50,7 @@
     }
 
     @Test
-    void aMessageCutAtAnyByteIsTakenOnOnceAndDelivered() throws Exception {
+    void aMessageSplitAtAnyByteIsAcceptedOnceAndDelivered() throws Exception {
         withRelay((port, counters) -> {
             int cuts = message("m1000").length;
             try (Socket client = new Socket("127.0.0.1", port)) {
@@ -65,12 +64,12 @@
                     Thread.sleep(1); // so that the parts are read apart; the verdict does not hang on it
                     client.getOutputStream().write(bytes, cut, bytes.length - cut);
                     assertEquals(
-                            new String(TAKEN_ON, StandardCharsets.US_ASCII),
-                            new String(in.readNBytes(TAKEN_ON.length), StandardCharsets.US_ASCII),
+                            new String(ACCEPTED, StandardCharsets.US_ASCII),
+                            new String(in.readNBytes(ACCEPTED.length), StandardCharsets.US_ASCII),
                             "cut at " + cut);
                 }
             }
-            StandIn.await(
+            FakeServer.await(
                     "deliveries",
                     () -> counters.get("answered_total", "front", "http", "class", "0", "end", "delivered")
                             == cuts - 1);
@@ -78,9 +77,9 @@
     }
 
     @Test
-    void clientsThatDepartOrFallQuietLeaveNoConnection() throws Exception {
+    void clientsThatDisconnectOrStopSendingLeaveNoConnection() throws Exception {
         withRelay((port, counters) -> {
-            List<Socket> quiet = new ArrayList<>();
+            List<Socket> stalled = new ArrayList<>();
             byte[] bytes = message("never");
             for (int i = 0; i < 60; i++) {
                 Socket socket = new Socket("127.0.0.1", port);
@@ -88,15 +87,16 @@
                 if (i % 2 == 0) {
                     socket.close();
                 } else {
-                    quiet.add(socket); // says nothing more, and stays open on this side
+                    stalled.add(socket); // says nothing more, and stays open on this side
                 }
             }
-            StandIn.await(
+            FakeServer.await(
                     "each quiet one is refused",
-                    () -> counters.get("unreadable_total", "status", "408") == quiet.size());
-            StandIn.await("all ended by the relay", () -> counters.text().contains("juniperusher_connections_in 0.0"));
+                    () -> counters.get("unreadable_total", "status", "408") == stalled.size());
+            FakeServer.await(
+                    "all ended by the relay", () -> counters.text().contains("juniperusher_connections_in 0.0"));
             assertEquals(0, counters.get("taken_total", "front", "http", "class", "0"));
-            for (Socket socket : quiet) {
+            for (Socket socket : stalled) {
                 socket.close();
             }
         });
--- a/src/test/java/juniperusher/http/RetuneTest.java
+++ b/src/test/java/juniperusher/http/ReloadTest.java
@@ -21,25 +21,25 @@
 import org.testng.annotations.Test;
 
 /** Settings read anew at SIGHUP: classes added, removed and made stricter, attempts lowered, broken files. */
-public class RetuneTest {
-    private static JsonObject base(int listen) throws Exception {
+public class ReloadTest {
+    private static JsonObject baseFile(int listen) throws Exception {
         JsonObject json = Json.parse(Files.readString(Path.of("src/main/resources/selftest.json")))
                 .asObject();
-        json.set("listen", "127.0.0.1:" + listen).set("discovery", "127.0.0.1:" + StandIn.unused());
+        json.set("listen", "127.0.0.1:" + listen).set("discovery", "127.0.0.1:" + FakeServer.unusedPort());
         json.get("known")
                 .asObject()
                 .set(
                         "servers",
                         new JsonArray()
                                 .add(Json.parse("{\"id\":\"s-1\","
-                                        + "\"addr\":\"127.0.0.1:" + StandIn.unused()
+                                        + "\"addr\":\"127.0.0.1:" + FakeServer.unusedPort()
                                         + "\",\"zone\":\"a\",\"kind\":\"pequeno-projeto\","
                                         + "\"cell\":7,\"state\":\"up\",\"weight\":1.0,\"started_ms\":0}")));
         return json;
     }
 
     /** The newer file: ordem-build first now, aviso-push gone, a stricter new class, fewer attempts. */
-    private static JsonObject newer(JsonObject old) {
+    private static JsonObject newerFile(JsonObject old) {
         JsonObject json = Json.parse(old.toString()).asObject();
         JsonObject settings = json.get("settings").asObject();
         JsonArray classes = settings.get("requestClasses").asArray();
@@ -53,13 +53,13 @@
     }
 
     @Test
-    public void classesKeepTheirPlacesNewOnesComeAfterAndLimitsAreTheNewFiles() throws Exception {
+    public void classesKeepTheirIndexNewOnesAreAppendedAndNewLimitsApply() throws Exception {
         Path folder = Files.createTempDirectory("retune");
-        JsonObject old = base(StandIn.unused());
+        JsonObject old = baseFile(FakeServer.unusedPort());
         Config first = Config.read(Files.writeString(folder.resolve("a.json"), old.toString()));
         Config read = Config.read(
-                Files.writeString(folder.resolve("b.json"), newer(old).toString()));
-        Config after = first.movedTo(read);
+                Files.writeString(folder.resolve("b.json"), newerFile(old).toString()));
+        Config after = first.reloadedFrom(read);
         assertEquals(after.classes(), List.of("aviso-push", "ordem-build", "aviso-push-ii"));
         assertEquals(after.settings().settings().classes().size(), 3);
         assertEquals(
@@ -77,9 +77,9 @@
     }
 
     @Test
-    public void brokenFilesAreOneLineEach() throws Exception {
+    public void anInvalidFileIsReportedInOneLine() throws Exception {
         Path folder = Files.createTempDirectory("broken");
-        JsonObject old = base(StandIn.unused());
+        JsonObject old = baseFile(FakeServer.unusedPort());
         String whole = old.toString();
         JsonObject noKey = Json.parse(whole).asObject();
         noKey.get("settings").asObject().remove("allowed");
@@ -110,7 +110,7 @@
     }
 
     /** One request on its own connection; the answer's status. */
-    private static int handIn(int port, String messageClass) throws Exception {
+    private static int submit(int port, String messageClass) throws Exception {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(5_000);
             OutputStream out = socket.getOutputStream();
@@ -126,22 +126,22 @@
     }
 
     @Test
-    public void aRelayTakesANewClassAfterSighupAndABrokenFileChangesNothing() throws Exception {
+    public void aReloadAddsANewClassAndAnInvalidFileChangesNothing() throws Exception {
         Path folder = Files.createTempDirectory("retune-socket");
-        int listen = StandIn.unused();
-        JsonObject old = base(listen);
+        int listen = FakeServer.unusedPort();
+        JsonObject old = baseFile(listen);
         Path file = Files.writeString(folder.resolve("config.json"), old.toString());
         Counters counters = new Counters();
         Network network = new Network(1.0);
         try (Platform platform = new Platform(Config.read(file), folder.resolve("state"), counters, network, null)) {
-            assertEquals(handIn(listen, "aviso-push-ii"), 400);
-            Files.writeString(file, newer(old).toString());
+            assertEquals(submit(listen, "aviso-push-ii"), 400);
+            Files.writeString(file, newerFile(old).toString());
             platform.reload(file);
-            assertEquals(handIn(listen, "aviso-push-ii"), 202);
-            assertEquals(handIn(listen, "aviso-push"), 202, "a class the newer file lacks was refused");
+            assertEquals(submit(listen, "aviso-push-ii"), 202);
+            assertEquals(submit(listen, "aviso-push"), 202, "a class the newer file lacks was refused");
             Files.writeString(file, "");
             platform.reload(file);
-            assertEquals(handIn(listen, "aviso-push-ii"), 202);
+            assertEquals(submit(listen, "aviso-push-ii"), 202);
             assertTrue(counters.text().contains("juniperusher_reloads_total{result=\"refused\"} 1"), counters.text());
         }
     }
--- a/src/test/java/juniperusher/http/ResolverTest.java
+++ b/src/test/java/juniperusher/http/ResolverTest.java
@@ -1,7 +1,7 @@
 package juniperusher.http;
 
-import static juniperusher.http.AgentStandIn.list;
-import static juniperusher.http.AgentStandIn.server;
+import static juniperusher.http.FakeAgent.list;
+import static juniperusher.http.FakeAgent.server;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
@@ -16,7 +16,7 @@
 import java.util.TreeMap;
 import juniperusher.Protocol.Phase;
 import juniperusher.core.Counters;
-import juniperusher.http.AgentStandIn.Mood;
+import juniperusher.http.FakeAgent.Behavior;
 import juniperusher.membership.Timing;
 import juniperusher.net.HttpPool;
 import juniperusher.net.Network;
@@ -29,16 +29,16 @@
     private static final Timing TIMING = new Timing(1.5, 0.4, 0.2, 0.4, 0.4, 30);
 
     private final Counters counters = new Counters();
-    private AgentStandIn old;
-    private AgentStandIn other;
+    private FakeAgent firstAgent;
+    private FakeAgent secondAgent;
     private Network network;
     private Resolver resolver;
-    private volatile boolean broken;
+    private volatile boolean listenerFails;
 
     @BeforeEach
     void start() throws Exception {
-        old = new AgentStandIn(list(41, true, server("a", 10, "up"), server("b", 11, "up")));
-        other = new AgentStandIn(list(3, true, server("a", 10, "up"), server("b", 11, "up")));
+        firstAgent = new FakeAgent(list(41, true, server("a", 10, "up"), server("b", 11, "up")));
+        secondAgent = new FakeAgent(list(3, true, server("a", 10, "up"), server("b", 11, "up")));
         network = new Network(1);
         Path file = Files.createTempDirectory("resolver").resolve("c.json");
         JsonObject json = Json.parse(Files.readString(Path.of("src/main/resources/selftest.json")))
@@ -49,7 +49,7 @@
                         .set("discovery", "127.0.0.1:1")
                         .toString());
         resolver = new Resolver(Config.read(file), TIMING, new HttpPool(network, 5, 8), counters, (snapshot, told) -> {
-            if (broken) {
+            if (listenerFails) {
                 throw new IllegalStateException("what hears of it has failed, as the test wants");
             }
         });
@@ -59,16 +59,16 @@
     void end() throws Exception {
         resolver.stop();
         network.close();
-        old.close();
-        other.close();
+        firstAgent.close();
+        secondAgent.close();
     }
 
-    private void begin(InetSocketAddress address) {
-        resolver.known(Json.parse(list(7, true)).asObject(), List.of());
+    private void startResolver(InetSocketAddress address) {
+        resolver.loadKnownList(Json.parse(list(7, true)).asObject(), List.of());
         resolver.start(address);
     }
 
-    private TreeMap<String, Phase> believed() {
+    private TreeMap<String, Phase> knownPhases() {
         TreeMap<String, Phase> out = new TreeMap<>();
         resolver.snapshot().endpoints().values().stream()
                 .filter(one -> one.target().phase() != Phase.GONE)
@@ -76,155 +76,158 @@
         return out;
     }
 
-    private void awaitBelieved(String wanted) throws InterruptedException {
-        StandIn.await(wanted, () -> believed().toString().equals(wanted));
+    private void awaitPhases(String expected) throws InterruptedException {
+        FakeServer.await(expected, () -> knownPhases().toString().equals(expected));
     }
 
-    private void watching(AgentStandIn agent) throws InterruptedException {
-        StandIn.await("a watch", () -> agent.watching() == 1);
+    private void awaitWatch(FakeAgent agent) throws InterruptedException {
+        FakeServer.await("a watch", () -> agent.watchCount() == 1);
     }
 
     @Test
-    void theListThenTheWatchThenAChangeInPieces() throws Exception {
-        begin(old.address());
-        watching(old);
-        assertEquals(List.of("/discovery/hosts", "/discovery/hosts?stream=1&index=41"), old.asked);
-        old.tell(list(42, false, server("b", 11, "draining")), 1);
-        awaitBelieved("{a=READY, b=DRAINING}");
+    void theListIsReadThenAChangeThatArrivesInPieces() throws Exception {
+        startResolver(firstAgent.address());
+        awaitWatch(firstAgent);
+        assertEquals(List.of("/discovery/hosts", "/discovery/hosts?stream=1&index=41"), firstAgent.requestPaths);
+        firstAgent.send(list(42, false, server("b", 11, "draining")), 1);
+        awaitPhases("{a=READY, b=DRAINING}");
     }
 
     @Test
-    void anOldAddressThatKeepsTalkingIsNotHeardAndTheNewOneNumbersOtherwise() throws Exception {
-        begin(old.address());
-        watching(old);
-        resolver.moved(other.address());
-        watching(other);
-        assertEquals("/discovery/hosts?stream=1&index=3", other.asked.get(1));
-        old.tell(list(43, false, server("a", 10, "removed")));
-        other.tell(list(4, false, server("b", 11, "draining")));
-        awaitBelieved("{a=READY, b=DRAINING}");
+    void theOldAddressIsIgnoredAfterAMoveAndTheNewAgentsVersionsCount() throws Exception {
+        startResolver(firstAgent.address());
+        awaitWatch(firstAgent);
+        resolver.discoveryMoved(secondAgent.address());
+        awaitWatch(secondAgent);
+        assertEquals("/discovery/hosts?stream=1&index=3", secondAgent.requestPaths.get(1));
+        firstAgent.send(list(43, false, server("a", 10, "removed")));
+        secondAgent.send(list(4, false, server("b", 11, "draining")));
+        awaitPhases("{a=READY, b=DRAINING}");
         assertEquals(4, resolver.snapshot().version());
-        StandIn.await("the old watch is closed", () -> old.watching() == 0);
+        FakeServer.await("the old watch is closed", () -> firstAgent.watchCount() == 0);
     }
 
     @Test
-    void anOldAddressThatIsSilentOrClosesDoesNoHarm() throws Exception {
-        old.mood = Mood.SILENT;
-        begin(old.address());
-        StandIn.await("asked", () -> !old.asked.isEmpty());
-        resolver.moved(other.address());
-        old.hangUp();
-        watching(other);
-        awaitBelieved("{a=READY, b=READY}");
+    void anOldAddressThatIsUnresponsiveOrClosesDoesNotDelayAMove() throws Exception {
+        firstAgent.behavior = Behavior.SILENT;
+        startResolver(firstAgent.address());
+        FakeServer.await("asked", () -> !firstAgent.requestPaths.isEmpty());
+        resolver.discoveryMoved(secondAgent.address());
+        firstAgent.closeConnections();
+        awaitWatch(secondAgent);
+        awaitPhases("{a=READY, b=READY}");
     }
 
     @Test
-    void aNewAddressThatAnswersLateIsHeard() throws Exception {
-        begin(old.address());
-        watching(old);
-        other.late = 900; // longer than the first patience with a whole list
-        other.list = list(3, true, server("a", 10, "draining"));
-        resolver.moved(other.address());
-        awaitBelieved("{a=DRAINING}");
-        other.late = 0;
+    void aNewAddressThatAnswersLateIsAccepted() throws Exception {
+        startResolver(firstAgent.address());
+        awaitWatch(firstAgent);
+        secondAgent.listDelayMillis = 900; // longer than the first patience with a whole list
+        secondAgent.list = list(3, true, server("a", 10, "draining"));
+        resolver.discoveryMoved(secondAgent.address());
+        awaitPhases("{a=DRAINING}");
+        secondAgent.listDelayMillis = 0;
     }
 
     @Test
-    void aListThatIsCutOrUnreadableOrRefusedShrinksNothingAndIsAskedForAgain() throws Exception {
-        begin(old.address());
-        watching(old);
-        for (Mood mood : List.of(Mood.CUT_IN_HALF, Mood.NOT_JSON, Mood.REFUSED, Mood.SILENT, Mood.NO_ADDRESS)) {
-            other.mood = mood;
-            other.asked.clear();
-            resolver.moved(other.address());
-            StandIn.await("asked twice though " + mood, () -> other.asked.size() > 1);
-            assertEquals("{a=READY, b=READY}", believed().toString(), mood.name());
+    void aListThatFailsRemovesNoEndpointsAndIsRequestedAgain() throws Exception {
+        startResolver(firstAgent.address());
+        awaitWatch(firstAgent);
+        for (Behavior mood : List.of(
+                Behavior.CUT_IN_HALF, Behavior.NOT_JSON, Behavior.REFUSED, Behavior.SILENT, Behavior.NO_ADDRESS)) {
+            secondAgent.behavior = mood;
+            secondAgent.requestPaths.clear();
+            resolver.discoveryMoved(secondAgent.address());
+            FakeServer.await("asked twice though " + mood, () -> secondAgent.requestPaths.size() > 1);
+            assertEquals("{a=READY, b=READY}", knownPhases().toString(), mood.name());
         }
-        other.mood = Mood.USUAL;
-        other.list = list(9, true, server("b", 11, "up"), server("c", 12, "up"));
-        awaitBelieved("{a=READY, b=READY}");
-        other.hangUp();
-        resolver.moved(other.address());
-        awaitBelieved("{b=READY, c=READY}");
+        secondAgent.behavior = Behavior.NORMAL;
+        secondAgent.list = list(9, true, server("b", 11, "up"), server("c", 12, "up"));
+        awaitPhases("{a=READY, b=READY}");
+        secondAgent.closeConnections();
+        resolver.discoveryMoved(secondAgent.address());
+        awaitPhases("{b=READY, c=READY}");
     }
 
     @Test
-    void aLineThatCannotBeReadIsMadeGoodByTheWholeList() throws Exception {
-        begin(old.address());
-        watching(old);
-        old.list = list(44, true, server("a", 10, "draining"), server("b", 11, "up"));
-        old.tell("{\"version\":44,\"full\":false,\"servers\":[{\"id\":\"a\",");
-        awaitBelieved("{a=DRAINING, b=READY}");
+    void aTruncatedChangeIsReplacedByTheWholeList() throws Exception {
+        startResolver(firstAgent.address());
+        awaitWatch(firstAgent);
+        firstAgent.list = list(44, true, server("a", 10, "draining"), server("b", 11, "up"));
+        firstAgent.send("{\"version\":44,\"full\":false,\"servers\":[{\"id\":\"a\",");
+        awaitPhases("{a=DRAINING, b=READY}");
         assertEquals(1, counters.get("watch_damaged_total"));
     }
 
     @Test
-    void anIndentedChangeIsReadFromTheWatchAndSoundOnesBesideASpoiltOneToo() throws Exception {
-        begin(old.address());
-        watching(old);
-        old.mood = Mood.SILENT; // the whole list does not come to the rescue
-        old.tell(Json.parse(list(42, false, server("b", 11, "draining"))).toString(WriterConfig.PRETTY_PRINT), 7);
-        awaitBelieved("{a=READY, b=DRAINING}");
+    void anIndentedChangeIsReadAndAMalformedOneDoesNotAffectItsNeighbors() throws Exception {
+        startResolver(firstAgent.address());
+        awaitWatch(firstAgent);
+        firstAgent.behavior = Behavior.SILENT; // the whole list does not come to the rescue
+        firstAgent.send(
+                Json.parse(list(42, false, server("b", 11, "draining"))).toString(WriterConfig.PRETTY_PRINT), 7);
+        awaitPhases("{a=READY, b=DRAINING}");
         assertEquals(0, counters.get("watch_damaged_total"));
-        old.tell(list(43, false, server("c", 12, "up")) + "\n{\"version\" 44}\n"
+        firstAgent.send(list(43, false, server("c", 12, "up")) + "\n{\"version\" 44}\n"
                 + list(45, false, server("a", 10, "draining")));
-        awaitBelieved("{a=DRAINING, b=DRAINING, c=READY}");
+        awaitPhases("{a=DRAINING, b=DRAINING, c=READY}");
         assertEquals(1, counters.get("watch_damaged_total"));
     }
 
     @Test
-    void aWatchThatIsTurnedAwayComesBackByItsIndexAndHearsWhatItMissed() throws Exception {
-        begin(old.address());
-        watching(old);
-        old.mood = Mood.OVERBOOKED;
-        int before = old.asked.size();
-        old.hangUp();
-        StandIn.await("turned away", () -> counters.get("watch_turned_away_total") > 1);
+    void aRefusedWatchReopensAtItsIndex() throws Exception {
+        startResolver(firstAgent.address());
+        awaitWatch(firstAgent);
+        firstAgent.behavior = Behavior.OVERBOOKED;
+        int before = firstAgent.requestPaths.size();
+        firstAgent.closeConnections();
+        FakeServer.await("turned away", () -> counters.get("watch_turned_away_total") > 1);
         assertEquals(
-                Set.of("/discovery/hosts?stream=1&index=41"), Set.copyOf(old.asked.subList(before, old.asked.size())));
-        assertEquals("{a=READY, b=READY}", believed().toString());
-        old.mood = Mood.USUAL;
-        watching(old);
-        old.tell(list(42, false, server("b", 11, "draining")));
-        awaitBelieved("{a=READY, b=DRAINING}");
+                Set.of("/discovery/hosts?stream=1&index=41"),
+                Set.copyOf(firstAgent.requestPaths.subList(before, firstAgent.requestPaths.size())));
+        assertEquals("{a=READY, b=READY}", knownPhases().toString());
+        firstAgent.behavior = Behavior.NORMAL;
+        awaitWatch(firstAgent);
+        firstAgent.send(list(42, false, server("b", 11, "draining")));
+        awaitPhases("{a=READY, b=DRAINING}");
         assertEquals(0, counters.get("watch_damaged_total"));
     }
 
     @Test
-    void threeMovesWithinASecondEndAtTheLast() throws Exception {
-        begin(old.address());
-        watching(old);
-        other.list = list(3, true, server("c", 12, "up"));
-        resolver.moved(other.address());
+    void threeMovesWithinASecondEndAtTheLastAddress() throws Exception {
+        startResolver(firstAgent.address());
+        awaitWatch(firstAgent);
+        secondAgent.list = list(3, true, server("c", 12, "up"));
+        resolver.discoveryMoved(secondAgent.address());
         Thread.sleep(50);
-        resolver.moved(old.address());
+        resolver.discoveryMoved(firstAgent.address());
         Thread.sleep(50);
-        resolver.moved(other.address());
-        awaitBelieved("{c=READY}");
-        StandIn.await("one watch", () -> other.watching() == 1 && old.watching() == 0);
+        resolver.discoveryMoved(secondAgent.address());
+        awaitPhases("{c=READY}");
+        FakeServer.await("one watch", () -> secondAgent.watchCount() == 1 && firstAgent.watchCount() == 0);
     }
 
     @Test
-    void whatFailsBehindTheWatchDoesNotEndIt() throws Exception {
-        begin(old.address());
-        watching(old);
-        broken = true;
-        old.tell(list(42, false, server("a", 10, "draining")));
-        StandIn.await("the failure", () -> counters.get("membership_failures_total") > 0);
-        broken = false;
-        old.tell(list(43, false, server("b", 11, "draining")));
-        awaitBelieved("{a=DRAINING, b=DRAINING}");
+    void aFailingListenerDoesNotEndTheWatch() throws Exception {
+        startResolver(firstAgent.address());
+        awaitWatch(firstAgent);
+        listenerFails = true;
+        firstAgent.send(list(42, false, server("a", 10, "draining")));
+        FakeServer.await("the failure", () -> counters.get("membership_failures_total") > 0);
+        listenerFails = false;
+        firstAgent.send(list(43, false, server("b", 11, "draining")));
+        awaitPhases("{a=DRAINING, b=DRAINING}");
     }
 
     @Test
-    void aWatchThatIsLostOrGoesSilentIsOpenedAgainWithinItsTime() throws Exception {
-        begin(old.address());
-        watching(old);
-        old.hangUp();
-        watching(old);
-        int before = old.asked.size();
+    void aWatchThatClosesOrBecomesUnresponsiveIsReopened() throws Exception {
+        startResolver(firstAgent.address());
+        awaitWatch(firstAgent);
+        firstAgent.closeConnections();
+        awaitWatch(firstAgent);
+        int before = firstAgent.requestPaths.size();
         // it says nothing, not an empty line
-        StandIn.await("opened again after silence", () -> old.asked.size() > before);
-        assertFalse(old.asked.get(before).equals("/discovery/hosts"), "its index still counts");
+        FakeServer.await("opened again after silence", () -> firstAgent.requestPaths.size() > before);
+        assertFalse(firstAgent.requestPaths.get(before).equals("/discovery/hosts"), "its index still counts");
     }
 }
--- a/src/test/java/juniperusher/http/ComesBackTest.java
+++ b/src/test/java/juniperusher/http/RestartTest.java
@@ -16,45 +16,45 @@
  * roll+mass, seed 189362440431: a relay that came back called an endpoint which its old list named, 0.76 s
  * after the drain counted as told, since clients were served before discovery's first word had come.
  */
-class ComesBackTest {
-    private static final long LATE = 150; // ms of the agent, or of a relay that reads on part of a core
+class RestartTest {
+    private static final long AGENT_DELAY_MILLIS = 150; // ms of the agent, or of a relay that reads on part of a core
 
     /** Hands one RPC in as soon as the relay takes clients; where it went: old, new. */
-    private static int[] calls(boolean cameBack, AgentStandIn.Mood mood) throws Exception {
+    private static int[] callsToOldAndNewEndpoint(boolean restarted, FakeAgent.Behavior behavior) throws Exception {
         Path folder = Files.createTempDirectory("comes-back");
         Path state = Files.createDirectory(folder.resolve("state"));
-        if (cameBack) {
+        if (restarted) {
             Files.createFile(state.resolve("maintenance")); // a process has begun here before
         }
-        try (EndpointStandIn old = new EndpointStandIn();
-                EndpointStandIn now = new EndpointStandIn();
-                AgentStandIn agent = new AgentStandIn(AgentStandIn.list(
+        try (FakeEndpoint oldEndpoint = new FakeEndpoint();
+                FakeEndpoint newEndpoint = new FakeEndpoint();
+                FakeAgent agent = new FakeAgent(FakeAgent.list(
                         5,
                         true,
-                        AgentStandIn.server("a", old.port(), "draining"),
-                        AgentStandIn.server("b", now.port(), "up")));
+                        FakeAgent.server("a", oldEndpoint.port(), "draining"),
+                        FakeAgent.server("b", newEndpoint.port(), "up")));
                 Network network = new Network(1)) {
-            agent.late = LATE;
-            agent.mood = mood;
-            int listen = StandIn.unused();
-            Config fresh = StandIn.config(folder, listen, agent.port());
+            agent.listDelayMillis = AGENT_DELAY_MILLIS;
+            agent.behavior = behavior;
+            int listen = FakeServer.unusedPort();
+            Config withoutEndpoints = FakeServer.config(folder, listen, agent.port());
             JsonObject json =
                     Json.parse(Files.readString(folder.resolve("c.json"))).asObject();
-            json.set("known", Json.parse(AgentStandIn.list(1, true, AgentStandIn.server("a", old.port(), "up"))));
-            Config known = Config.read(Files.writeString(folder.resolve("known.json"), json.toString()));
-            assertEquals(fresh.listen(), known.listen());
+            json.set("known", Json.parse(FakeAgent.list(1, true, FakeAgent.server("a", oldEndpoint.port(), "up"))));
+            Config withOldEndpoint = Config.read(Files.writeString(folder.resolve("known.json"), json.toString()));
+            assertEquals(withoutEndpoints.listen(), withOldEndpoint.listen());
             Counters counters = new Counters();
-            Platform platform = new Platform(known, state, counters, network, null);
+            Platform platform = new Platform(withOldEndpoint, state, counters, network, null);
             try (Socket client = new Socket("127.0.0.1", listen)) {
                 client.getOutputStream()
                         .write(("POST /aviso-push HTTP/1.1\r\nHost: a\r\nX-Call-Id: m\r\n"
                                         + "X-Call-Class: aviso-push\r\nX-Budget: 5000m\r\nContent-Length: 0\r\n"
                                         + "X-Envelope: dest=7\r\n\r\n")
                                 .getBytes(StandardCharsets.US_ASCII));
-                StandIn.await(
+                FakeServer.await(
                         "the call",
                         () -> counters.get("answered_total", "front", "http", "class", "0", "end", "delivered") == 1);
-                return new int[] {old.called.size(), now.called.size()};
+                return new int[] {oldEndpoint.callTimesMillis.size(), newEndpoint.callTimesMillis.size()};
             } finally {
                 platform.close();
             }
@@ -62,19 +62,19 @@
     }
 
     @Test
-    void aRelayThatComesBackHearsDiscoveryBeforeItServes() throws Exception {
-        int[] calls = calls(true, AgentStandIn.Mood.USUAL);
+    void aRestartedRelayWaitsForDiscoveryBeforeServing() throws Exception {
+        int[] calls = callsToOldAndNewEndpoint(true, FakeAgent.Behavior.NORMAL);
         assertEquals(0, calls[0], "calls to the endpoint that drains");
         assertEquals(1, calls[1], "calls to the new one");
     }
 
     @Test
-    void aSilentDiscoveryIsNotWaitedForLong() throws Exception {
-        assertEquals(1, calls(true, AgentStandIn.Mood.SILENT)[0], "calls by the list known last");
+    void aRestartedRelayServesFromItsSavedListIfDiscoveryDoesNotAnswer() throws Exception {
+        assertEquals(1, callsToOldAndNewEndpoint(true, FakeAgent.Behavior.SILENT)[0], "calls by the list known last");
     }
 
     @Test
-    void aFirstStartServesAtOnceWithTheListItWasGiven() throws Exception {
-        assertEquals(1, calls(false, AgentStandIn.Mood.SILENT)[0], "calls by the list known last");
+    void aFirstStartServesFromTheConfiguredListWithoutWaiting() throws Exception {
+        assertEquals(1, callsToOldAndNewEndpoint(false, FakeAgent.Behavior.SILENT)[0], "calls by the list known last");
     }
 }
--- a/src/test/java/juniperusher/http/StatusReporterTest.java
+++ b/src/test/java/juniperusher/http/StatusReporterTest.java
@@ -28,16 +28,17 @@
 
 /** Status reports to a platform that is slow with its answers, or whose connections fall silent. */
 class StatusReporterTest {
-    private static final int ENDS = 250;
+    private static final int REPORTS = 250;
     // One post at a time goes every 200 ms, so that all 250 are there before the second, however slow the machine.
     private static final ReportTiming SLOW_HEDGES = new ReportTiming(100, 8, 200, 200, 1_600, 50);
     private static final int ROUNDS = 5;
-    private static final double DUE_MS = 300; // in which the platform wants to hear of an end that came just in time
+    private static final double MAX_DELAY_MILLIS =
+            300; // in which the platform wants to hear of an end that came just in time
 
     /** Reads each notice; answers none until it is told to. */
-    private static final class SlowPlatform extends StandIn {
-        final Set<String> heard = Collections.synchronizedSet(new LinkedHashSet<>());
-        final List<Integer> fresh = new CopyOnWriteArrayList<>(); // by notice: lines not heard before
+    private static final class SlowPlatform extends FakeServer {
+        final Set<String> received = Collections.synchronizedSet(new LinkedHashSet<>());
+        final List<Integer> newLinesByPost = new CopyOnWriteArrayList<>(); // by notice: lines not heard before
         volatile boolean answers;
 
         SlowPlatform() throws java.io.IOException {}
@@ -55,11 +56,11 @@
                     .findFirst()
                     .orElseThrow();
             byte[] body = in.readNBytes(Integer.parseInt(length.split(": ")[1].strip()));
-            int news = 0;
+            int newLines = 0;
             for (String line : new String(body, StandardCharsets.UTF_8).split("\n")) {
-                news += heard.add(Json.parse(line).asObject().getString("message", "")) ? 1 : 0;
+                newLines += received.add(Json.parse(line).asObject().getString("message", "")) ? 1 : 0;
             }
-            fresh.add(news);
+            newLinesByPost.add(newLines);
             if (answers) {
                 socket.getOutputStream()
                         .write("HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
@@ -70,20 +71,20 @@
     }
 
     /** Answers at once; connections that it is told to silence stay open and hear and say nothing more. */
-    private static final class SilentPlatform extends StandIn {
-        final Map<String, Long> heardAt = new ConcurrentHashMap<>();
+    private static final class UnresponsivePlatform extends FakeServer {
+        final Map<String, Long> receivedAtNanos = new ConcurrentHashMap<>();
         final AtomicInteger connections = new AtomicInteger();
-        volatile int silentUpTo; // numbers of connections
+        volatile int unresponsiveUpTo; // numbers of connections
 
-        SilentPlatform() throws java.io.IOException {}
+        UnresponsivePlatform() throws java.io.IOException {}
 
         @Override
         void serve(Socket socket) throws Exception {
             int number = connections.incrementAndGet();
             while (true) {
                 List<String> ids = read(socket.getInputStream());
-                if (number > silentUpTo) {
-                    ids.forEach(id -> heardAt.putIfAbsent(id, System.nanoTime()));
+                if (number > unresponsiveUpTo) {
+                    ids.forEach(id -> receivedAtNanos.putIfAbsent(id, System.nanoTime()));
                     socket.getOutputStream()
                             .write("HTTP/1.1 204 No Content\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 }
@@ -91,8 +92,8 @@
         }
 
         /** Silences all connections that there are, and the next {@code more} new ones. */
-        void silence(int more) {
-            silentUpTo = connections.get() + more;
+        void stopAnswering(int newConnections) {
+            unresponsiveUpTo = connections.get() + newConnections;
         }
 
         private static List<String> read(InputStream in) throws Exception {
@@ -118,12 +119,12 @@
     }
 
     /** A reporter on a network of its own, and what it was told. */
-    private static final class Reporting implements AutoCloseable {
+    private static final class ReporterFixture implements AutoCloseable {
         final Network network = new Network(1);
         final Map<String, AtomicInteger> acknowledged = new ConcurrentHashMap<>();
         final StatusReporter reporter;
 
-        Reporting(Supplier<InetSocketAddress> platform) throws Exception {
+        ReporterFixture(Supplier<InetSocketAddress> platform) throws Exception {
             reporter = new StatusReporter(platform, new HttpPool(network, 5, 8), network);
         }
 
@@ -139,7 +140,8 @@
         }
 
         void awaitAll(int count) throws InterruptedException {
-            StandIn.await("all acknowledged", () -> acknowledged.size() == count && reporter.waiting() == 0);
+            FakeServer.await(
+                    "all acknowledged", () -> acknowledged.size() == count && reporter.unacknowledgedCount() == 0);
             assertTrue(acknowledged.values().stream().allMatch(times -> times.get() == 1), "each told once");
         }
 
@@ -149,7 +151,7 @@
         }
     }
 
-    private static InetSocketAddress at(StandIn platform) {
+    private static InetSocketAddress address(FakeServer platform) {
         return new InetSocketAddress("127.0.0.1", platform.port());
     }
 
@@ -162,24 +164,24 @@
      * median of the slowest one's milliseconds to its hearing. A median, as the machine itself may stand
      * still in one round.
      */
-    private static double slowestWhere(int newOnesSilent) throws Exception {
+    private static double medianSlowestMillis(int unresponsiveNewConnections) throws Exception {
         List<Double> slowest = new ArrayList<>();
-        try (SilentPlatform platform = new SilentPlatform();
-                Reporting reporting = new Reporting(() -> at(platform))) {
+        try (UnresponsivePlatform platform = new UnresponsivePlatform();
+                ReporterFixture fixture = new ReporterFixture(() -> address(platform))) {
             int count = 0;
             for (int round = 0; round < ROUNDS; round++) {
-                reporting.add("before" + round);
-                reporting.awaitAll(++count);
-                platform.silence(newOnesSilent);
+                fixture.add("before" + round);
+                fixture.awaitAll(++count);
+                platform.stopAnswering(unresponsiveNewConnections);
                 Map<String, Long> added = new LinkedHashMap<>();
                 for (int i = 0; i < 4; i++) {
                     String id = "r" + round + '-' + i;
-                    added.put(id, reporting.add(id));
+                    added.put(id, fixture.add(id));
                 }
                 count += added.size();
-                reporting.awaitAll(count);
+                fixture.awaitAll(count);
                 slowest.add(added.entrySet().stream()
-                        .mapToDouble(entry -> (platform.heardAt.get(entry.getKey()) - entry.getValue()) / 1e6)
+                        .mapToDouble(entry -> (platform.receivedAtNanos.get(entry.getKey()) - entry.getValue()) / 1e6)
                         .max()
                         .orElseThrow());
             }
@@ -189,80 +191,80 @@
 
     /** One POST at a time with 200 ms for its answer and a pause of 50 ms took 250 ms and more here. */
     @Test
-    void behindASilentConnectionEachIsHeardWithinTwoTenthsOfASecond() throws Exception {
-        double slowest = slowestWhere(0);
+    void afterOneUnresponsiveConnectionReportsArriveWithin200Millis() throws Exception {
+        double slowest = medianSlowestMillis(0);
         assertTrue(slowest < 200, "ms: " + slowest);
     }
 
     /** The same took 500 ms and more. */
     @Test
-    void behindASecondSilentConnectionEachIsHeardInItsTime() throws Exception {
-        double slowest = slowestWhere(1);
-        assertTrue(slowest < DUE_MS, "ms: " + slowest);
+    void afterTwoUnresponsiveConnectionsReportsArriveInTime() throws Exception {
+        double slowest = medianSlowestMillis(1);
+        assertTrue(slowest < MAX_DELAY_MILLIS, "ms: " + slowest);
     }
 
     @Test
-    void whereAllAreSilentForAWhileEachIsHeardInItsTimeAfterTheReturn() throws Exception {
+    void afterAnOutageOfThePlatformReportsArriveInTime() throws Exception {
         List<Double> slowest = new ArrayList<>();
-        try (SilentPlatform platform = new SilentPlatform();
-                Reporting reporting = new Reporting(() -> at(platform))) {
+        try (UnresponsivePlatform platform = new UnresponsivePlatform();
+                ReporterFixture fixture = new ReporterFixture(() -> address(platform))) {
             int count = 0;
             for (int round = 0; round < ROUNDS; round++) {
                 int before = platform.connections.get();
-                platform.silence(1_000_000);
+                platform.stopAnswering(1_000_000);
                 for (int i = 0; i < 150; i++) {
-                    reporting.add("r" + round + '-' + i);
+                    fixture.add("r" + round + '-' + i);
                 }
-                StandIn.await("posts on new connections", () -> platform.connections.get() >= before + 4);
-                reporting.add("late" + round);
+                FakeServer.await("posts on new connections", () -> platform.connections.get() >= before + 4);
+                fixture.add("late" + round);
                 long returned = System.nanoTime();
-                platform.silence(0); // those of before stay silent
+                platform.stopAnswering(0); // those of before stay silent
                 count += 151;
-                reporting.awaitAll(count);
-                long last = platform.heardAt.values().stream()
+                fixture.awaitAll(count);
+                long last = platform.receivedAtNanos.values().stream()
                         .mapToLong(Long::longValue)
                         .max()
                         .orElseThrow();
                 slowest.add((last - returned) / 1e6);
             }
         }
-        assertTrue(median(slowest) < DUE_MS, "ms after the return: " + slowest);
+        assertTrue(median(slowest) < MAX_DELAY_MILLIS, "ms after the return: " + slowest);
     }
 
     @Test
-    void whereThePlatformMovesWhileItIsSilentTheNewOneHearsAll() throws Exception {
-        try (SilentPlatform old = new SilentPlatform();
-                SilentPlatform moved = new SilentPlatform()) {
-            AtomicReference<InetSocketAddress> address = new AtomicReference<>(at(old));
-            try (Reporting reporting = new Reporting(address::get)) {
-                old.silence(1_000_000);
-                reporting.add("a");
-                StandIn.await("a post to the old address", () -> old.connections.get() > 0);
-                address.set(at(moved));
-                reporting.add("b");
-                reporting.awaitAll(2);
-                assertEquals(Set.of("a", "b"), moved.heardAt.keySet());
+    void afterAMoveOfAnUnresponsivePlatformTheNewAddressGetsAllReports() throws Exception {
+        try (UnresponsivePlatform old = new UnresponsivePlatform();
+                UnresponsivePlatform moved = new UnresponsivePlatform()) {
+            AtomicReference<InetSocketAddress> address = new AtomicReference<>(address(old));
+            try (ReporterFixture fixture = new ReporterFixture(address::get)) {
+                old.stopAnswering(1_000_000);
+                fixture.add("a");
+                FakeServer.await("a post to the old address", () -> old.connections.get() > 0);
+                address.set(address(moved));
+                fixture.add("b");
+                fixture.awaitAll(2);
+                assertEquals(Set.of("a", "b"), moved.receivedAtNanos.keySet());
             }
         }
     }
 
     /** upgrade+hand: 182 were owed at a take-over, and the first hundred went again and again. */
     @Test
-    void whatHasNotGoneYetGoesBeforeWhatGoesAgain() throws Exception {
+    void unsentReportsArePostedBeforeRepeats() throws Exception {
         try (SlowPlatform platform = new SlowPlatform()) {
             Network network = new Network(1);
             StatusReporter reporter =
-                    new StatusReporter(() -> at(platform), new HttpPool(network, 5, 8), network, SLOW_HEDGES);
+                    new StatusReporter(() -> address(platform), new HttpPool(network, 5, 8), network, SLOW_HEDGES);
             AtomicInteger acknowledged = new AtomicInteger();
-            for (int i = 0; i < ENDS; i++) {
+            for (int i = 0; i < REPORTS; i++) {
                 reporter.add(new RpcEnd("m" + i, "", RpcEnd.Kind.GIVEN_UP, 0), acknowledged::incrementAndGet);
             }
-            StandIn.await("all, though none was answered", () -> platform.heard.size() == ENDS);
-            assertTrue(platform.fresh.size() <= 4, "new ones by notice: " + platform.fresh);
+            FakeServer.await("all, though none was answered", () -> platform.received.size() == REPORTS);
+            assertTrue(platform.newLinesByPost.size() <= 4, "new ones by notice: " + platform.newLinesByPost);
             assertEquals(0, acknowledged.get());
             platform.answers = true;
-            StandIn.await("every one acknowledged", () -> acknowledged.get() == ENDS);
-            assertEquals(0, reporter.waiting());
+            FakeServer.await("every one acknowledged", () -> acknowledged.get() == REPORTS);
+            assertEquals(0, reporter.unacknowledgedCount());
             network.close();
         }
     }
--- a/src/test/java/juniperusher/http/StormOnSocketsTest.java
+++ b/src/test/java/juniperusher/http/StormPackageTest.java
@@ -15,64 +15,68 @@
 import org.junit.jupiter.api.Test;
 
 /** A relay with the storm package on, its endpoint shut for a while: seen, and the return kept to. */
-class StormOnSocketsTest {
-    private static final int LISTED = 40; // calls a second
-    private static final double COLD = 0.14; // as the settings say
-    private static final double WARM = 13;
-    private static final long WATCHED = 3_000; // ms after the return
-    private static final double SLACK = 3; // calls that may go at once
+class StormPackageTest {
+    private static final int LISTED_CALLS_PER_SECOND = 40; // calls a second
+    private static final double COLD_SHARE = 0.14; // as the settings say
+    private static final double WARM_SECONDS = 13;
+    private static final long WATCHED_MILLIS = 3_000; // ms after the return
+    private static final double BURST_CALLS = 3; // calls that may go at once
 
     @Test
-    void theReturnOfAnEndpointIsNeverAskedForMoreThanItTakesCold() throws Exception {
+    void aRecoveringEndpointIsNotCalledFasterThanItsColdCapacity() throws Exception {
         Path folder = Files.createTempDirectory("storm");
-        try (EndpointStandIn endpoint = new EndpointStandIn();
-                AgentStandIn agent = new AgentStandIn("{}");
+        try (FakeEndpoint endpoint = new FakeEndpoint();
+                FakeAgent agent = new FakeAgent("{}");
                 Network network = new Network(1)) {
-            int listen = StandIn.unused();
-            agent.list = AgentStandIn.list(
+            int listen = FakeServer.unusedPort();
+            agent.list = FakeAgent.list(
                     1,
                     true,
-                    AgentStandIn.server("a", endpoint.port(), "up").replace("\"weight\":5.0", "\"weight\":" + LISTED));
+                    FakeAgent.server("a", endpoint.port(), "up")
+                            .replace("\"weight\":5.0", "\"weight\":" + LISTED_CALLS_PER_SECOND));
             Counters counters = new Counters();
             Platform platform = new Platform(
-                    StandIn.config(folder, listen, agent.port()),
+                    FakeServer.config(folder, listen, agent.port()),
                     folder.resolve("state"),
                     counters,
                     network,
                     null,
                     StormSettings.USUAL);
             try (Socket client = new Socket("127.0.0.1", listen)) {
-                StandIn.await("endpoints or ends", () -> counters.text().contains("juniperusher_endpoints_ready 1.0"));
+                FakeServer.await(
+                        "endpoints or ends", () -> counters.text().contains("juniperusher_endpoints_ready 1.0"));
                 endpoint.status = "500 Broken";
                 int number = 0;
                 while (!counters.text().contains("juniperusher_storms_out 1.0")) {
                     assertTrue(number < 1_000, "the outage is not seen");
-                    handIn(client, number++);
+                    submit(client, number++);
                 }
                 endpoint.status = "200 OK";
-                long from = 0;
-                while (from == 0 || System.currentTimeMillis() < from + WATCHED) {
+                long recoveryMillis = 0;
+                while (recoveryMillis == 0 || System.currentTimeMillis() < recoveryMillis + WATCHED_MILLIS) {
                     assertTrue(number < 3_000, "the return is not seen");
-                    handIn(client, number++);
-                    if (from == 0 && counters.text().contains("juniperusher_storms_recovering 1.0")) {
-                        from = System.currentTimeMillis();
+                    submit(client, number++);
+                    if (recoveryMillis == 0 && counters.text().contains("juniperusher_storms_recovering 1.0")) {
+                        recoveryMillis = System.currentTimeMillis();
                     }
                 }
-                double seconds = WATCHED / 1000.0;
-                double takes = LISTED * (COLD + (1 - COLD) * seconds / 2 / WARM) * seconds;
-                long began = from;
-                long calls = endpoint.called.stream()
-                        .filter(at -> at >= began && at < began + WATCHED)
+                double seconds = WATCHED_MILLIS / 1000.0;
+                double capacity = LISTED_CALLS_PER_SECOND
+                        * (COLD_SHARE + (1 - COLD_SHARE) * seconds / 2 / WARM_SECONDS)
+                        * seconds;
+                long startMillis = recoveryMillis;
+                long calls = endpoint.callTimesMillis.stream()
+                        .filter(at -> at >= startMillis && at < startMillis + WATCHED_MILLIS)
                         .count();
-                assertTrue(calls <= takes + SLACK, calls + " calls, takes " + takes);
-                assertTrue(calls >= takes / 3, "only " + calls + " calls, takes " + takes);
+                assertTrue(calls <= capacity + BURST_CALLS, calls + " calls, takes " + capacity);
+                assertTrue(calls >= capacity / 3, "only " + calls + " calls, takes " + capacity);
             } finally {
                 platform.close();
             }
         }
     }
 
-    private static void handIn(Socket client, int number) throws Exception {
+    private static void submit(Socket client, int number) throws Exception {
         client.getOutputStream()
                 .write(("POST /aviso-push HTTP/1.1\r\nHost: a\r\nX-Call-Id: m" + number
                                 + "\r\nX-Call-Class: aviso-push\r\nX-Budget: 5000m\r\nContent-Length: 0"
@@ -88,7 +92,7 @@
     }
 
     @Test
-    void whatIsOffLoadsNoClass() throws Exception {
+    void disabledPackagesLoadNoClasses() throws Exception {
         Process selftest = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xlog:class+load:stdout",
--- a/src/test/java/juniperusher/http/ForeignNamesTest.java
+++ b/src/test/java/juniperusher/http/UnfamiliarNamesTest.java
@@ -30,7 +30,7 @@
 import org.testng.annotations.Test;
 
 /** A customer of whom the program knows nothing but the settings, with a class of each effect. */
-public class ForeignNamesTest {
+public class UnfamiliarNamesTest {
     private static final List<String> CLASSES = List.of("leitura", "recibo", "levantamento");
     private static final List<String> EFFECTS = List.of("idempotent", "deduplicated", "at_most_once");
 
@@ -87,7 +87,7 @@
     }
 
     @AfterMethod(alwaysRun = true)
-    public void end() throws IOException {
+    public void closeAll() throws IOException {
         player.close();
         network.close();
     }
@@ -97,7 +97,7 @@
     }
 
     @Test
-    public void classesKindsAndKeysOfAnotherCustomerPassUnchanged() throws Exception {
+    public void unfamiliarClassesKindsAndKeysPassUnchanged() throws Exception {
         assertEquals(
                 config.settings().settings().classes().stream()
                         .map(one -> one.effect())
@@ -108,7 +108,7 @@
         try {
             for (int i = 0; i < CLASSES.size(); i++) {
                 int before = i; // the connection is free once the answer before is read: else a second one is opened
-                StandIn.await("the answer", () -> counters.get("attempts_total", "end", "delivered") == before);
+                FakeServer.await("the answer", () -> counters.get("attempts_total", "end", "delivered") == before);
                 String key = i == 1 ? "Idempotency-Key: 85281f\"37\\r\\n" : "";
                 play("client1> POST /" + CLASSES.get(i) + " HTTP/1.1\\r\\nHost: a\\r\\nX-Call-Id: m" + i
                         + "\\r\\nX-Call-Class: " + CLASSES.get(i) + "\\r\\nX-Budget: 9000m\\r\\n" + key
@@ -128,31 +128,31 @@
         }
     }
 
-    private static String handIn(String client, String id, String query, String answer) {
+    private static String submission(String client, String id, String query, String answer) {
         return client + "> POST /recibo" + query + " HTTP/1.1\\r\\nHost: a\\r\\nX-Call-Id: " + id
                 + "\\r\\nX-Call-Class: recibo\\r\\nX-Caller: agencia\\r\\nX-Budget: 9000m\\r\\n"
                 + "Content-Length: 2\\r\\nX-Envelope: dest=7\\r\\n\\r\\nab\n"
                 + client + "< HTTP/1.1 " + answer + "\n";
     }
 
-    private static String called(String id) {
+    private static String expectedCall(String id) {
         return "endpoint1< POST /receive HTTP/1.1\\r\\nHost: endpoint\\r\\nX-Call-Id: " + id
                 + "\\r\\nX-Budget: {*}m\\r\\nContent-Length: 2\\r\\n\\r\\nab\n";
     }
 
     @Test
-    public void messagesOfOneSubjectGoOneAtATimeAndASubjectThatCannotBeReadIsRefused() throws Exception {
+    public void messagesOfOneSubjectAreCalledInTurnAndAnUnreadableSubjectIsRefused() throws Exception {
         String accepted = "202 Accepted\\r\\nContent-Length: 0\\r\\n\\r\\n";
         Platform platform = new Platform(config, folder.resolve("state"), new Counters(), network, null);
         try {
             // The second one's call would come on a connection of its own if it did not wait for the first.
-            play(handIn("client1", "m1", "?subject=a%2Fb%20c", accepted)
-                    + called("m1")
-                    + handIn("client2", "m2", "?other=1&subject=a/b+c", accepted)
+            play(submission("client1", "m1", "?subject=a%2Fb%20c", accepted)
+                    + expectedCall("m1")
+                    + submission("client2", "m2", "?other=1&subject=a/b+c", accepted)
                     + "endpoint1> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n"
-                    + called("m2")
+                    + expectedCall("m2")
                     + "endpoint1> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n"
-                    + handIn(
+                    + submission(
                             "client1",
                             "m3",
                             "?subject=%zz",
@@ -168,10 +168,10 @@
     }
 
     @Test
-    public void ofSeveralInACallEachGoesWithItsKey() throws Exception {
+    public void eachMessageOfABatchCarriesItsIdempotencyKey() throws Exception {
         HttpPool pool = new HttpPool(network, 5, 8);
         Resolver resolver = new Resolver(config, pool, network, new Counters(), (snapshot, list) -> {});
-        Target target = resolver.known(config.known(), List.of())
+        Target target = resolver.loadKnownList(config.knownEndpoints(), List.of())
                 .endpoints()
                 .values()
                 .iterator()
@@ -197,7 +197,7 @@
     }
 
     @Test
-    public void aKeyOutlivesTheProcess() throws Exception {
+    public void anIdempotencyKeySurvivesARestart() throws Exception {
         Journal before = new Journal(folder.resolve("state"), 3 << 20, 10);
         before.taken(keyed("m1", "85281f"), "recibo");
         before.close();
--- a/src/test/java/juniperusher/http/WarmUpTest.java
+++ b/src/test/java/juniperusher/http/WarmUpTest.java
@@ -13,7 +13,7 @@
 /** The RPCs in memory before a first start. */
 public class WarmUpTest {
     @Test
-    public void rpcsAreDeliveredInMemoryBeforeAFirstStartAndNotBeforeAnother() throws Exception {
+    public void rpcsAreDeliveredInMemoryBeforeTheFirstStartOnly() throws Exception {
         Path folder = Files.createTempDirectory("warm");
         JsonObject json = Json.parse(Files.readString(Path.of("src/main/resources/selftest.json")))
                 .asObject();
