--- a/src/main/java/juniperusher/http/AgentList.java
+++ b/src/main/java/juniperusher/http/AgentList.java
@@ -13,22 +13,22 @@
 import juniperusher.membership.Entry;
 import juniperusher.membership.Update;
 
-/** Reads the platform's form of a list of endpoints, whole or of changes. */
+/** Parses the JSON format in which discovery's agent lists endpoints, a whole list or a change. Thread-safe. */
 public final class AgentList {
     private final List<String> kinds;
     private final List<String> zones;
 
-    /** Knows kinds and zones by their names, in the settings' order. */
+    /** Creates a parser that maps the names of kinds and zones to their indexes in these lists. */
     public AgentList(List<String> kinds, List<String> zones) {
         this.kinds = List.copyOf(kinds);
         this.zones = List.copyOf(zones);
     }
 
     /**
-     * What the text says.
+     * Parses a list. An entry that cannot be parsed does not affect the others: its id is returned among the unread
+     * ones, and an entry without an id is dropped.
      *
-     * @throws IllegalArgumentException if it is no list: cut off, not JSON, or without its entries. One entry
-     *     that cannot be read spoils itself alone.
+     * @throws IllegalArgumentException if the text is truncated, is not JSON, or has no array of entries
      */
     public Update read(String text) {
         try {
@@ -48,7 +48,7 @@
         for (JsonValue value : servers.asArray()) {
             String id = value.isObject() ? text(value.asObject(), "id") : "";
             if (id.isEmpty()) {
-                continue; // it names nobody
+                continue; // there is no endpoint to assign it to
             }
             try {
                 entries.add(entry(id, value.asObject()));
@@ -66,7 +66,7 @@
                 switch (text(entry, "state")) {
                     case "up" -> Phase.READY;
                     case "removed" -> Phase.GONE;
-                    // also for a state that is not known here: nothing new, but not forgotten
+                    // Also for an unknown state: the endpoint gets no new calls but stays in the list.
                     default -> Phase.DRAINING;
                 };
         return new Entry(
--- a/src/main/java/juniperusher/http/Config.java
+++ b/src/main/java/juniperusher/http/Config.java
@@ -16,25 +16,26 @@
 import juniperusher.sim.WireException;
 
 /**
- * What the platform tells a relay at its start.
+ * The configuration file that the platform gives to a relay.
  *
- * @param name      the relay's name
- * @param listen    where channels connect
- * @param discovery the platform's agent
- * @param seed      for random numbers
- * @param diskBytes room in the folder that lasts
- * @param descriptors how many the process may hold
- * @param peerListen where notes arrive, or null
- * @param peers     the relays of the tier, in the order of their numbers
- * @param peersAll  the address for all of them, or null
- * @param knownEndpoints     the list of endpoints as this relay had it last
- * @param settings  the module's settings and the places of the report's values
- * @param classes   names of the classes, in the settings' order
- * @param kindNames     names of the kinds of destination, in the settings' order
- * @param zoneNames     names of the zones, in the settings' order
- * @param minRoundGapSeconds       shortest time between two rounds in seconds
- * @param number    this relay's place among the relays of its tier, as in {@code peers}
- * @param mgmt      the operators' address, from {@code RELAY_MGMT} or else the file's {@code mgmt}; or null
+ * @param name the relay's name
+ * @param listen the address on which clients connect
+ * @param discovery the address of the platform's agent, which serves discovery and takes status reports
+ * @param seed the seed of the random number generators
+ * @param diskBytes the space that the state folder may use
+ * @param descriptors how many file descriptors the process may open
+ * @param peerListen the UDP address on which notes from other relays arrive, or null
+ * @param peers the addresses of the tier's relays, in the order of their numbers
+ * @param peersAll one address that reaches all of them, or null
+ * @param knownEndpoints the last list of endpoints that this relay had, which may be outdated
+ * @param settings the settings of the decision module, and the positions of the values in load reports
+ * @param classes names of the message classes, in the settings' order
+ * @param kindNames names of the kinds of destination, in the settings' order
+ * @param zoneNames names of the zones, in the settings' order
+ * @param minRoundGapSeconds the minimum interval between two rounds of the decision loop, in seconds
+ * @param number the index of this relay in {@code peers}
+ * @param mgmt the address on which operators connect, from {@code RELAY_MGMT} or else from the file's
+ *     {@code mgmt}; or null
  */
 public record Config(
         String name,
@@ -55,7 +56,11 @@
         int number,
         InetSocketAddress mgmt) {
 
-    /** Reads the file; an {@link IllegalArgumentException} says in one line what is wrong with it. */
+    /**
+     * Reads a configuration file.
+     *
+     * @throws IllegalArgumentException if the file is invalid; the message says why in one line
+     */
     public static Config read(Path file) throws IOException {
         try {
             return parse(Json.parse(Files.readString(file)).asObject());
@@ -64,7 +69,7 @@
                 | NullPointerException
                 | WireException
                 | IllegalArgumentException e) {
-            String reason = e instanceof NullPointerException ? "a part that is needed is missing" : e.getMessage();
+            String reason = e instanceof NullPointerException ? "a required part is missing" : e.getMessage();
             throw new IllegalArgumentException("configuration " + file.getFileName() + " cannot be read: " + reason, e);
         }
     }
@@ -98,12 +103,12 @@
                 names(settings.get("azs")),
                 settings.getDouble("quantumS", 0.005),
                 settings.getInt("me", 0),
-                mgmt(json.get("mgmt")));
+                operatorAddress(json.get("mgmt")));
     }
 
     /**
-     * This configuration with the addresses of a newer file: what may change while a relay runs. The rest of
-     * a file takes effect at the next start.
+     * This configuration with what may change while a relay runs taken from a newer file: the addresses of discovery
+     * and of peers, the classes and the limits. The rest of that file takes effect at the next start.
      */
     Config reloadedFrom(Config newer) {
         return new Config(
@@ -126,7 +131,7 @@
                 mgmt);
     }
 
-    /** The names of the classes: these in their places, then those that only the newer file has. */
+    /** The names of these classes at their present indexes, then those that only the newer file has. */
     private List<String> mergedClassNames(Config newer) {
         List<String> names = new ArrayList<>(classes);
         newer.classes.stream().filter(name -> !names.contains(name)).forEach(names::add);
@@ -134,9 +139,9 @@
     }
 
     /**
-     * The settings with the newer file's classes and limits: a class keeps its place, one that is new comes
-     * after the others, and one that the newer file lacks stays as it was, for messages that still come with
-     * it. The rest (kinds, tenants, rules) takes effect at the next start.
+     * These settings with the newer file's classes and limits. A class keeps its index and a new one is appended. A
+     * class that the newer file lacks stays unchanged, since clients may still send messages of it. The rest (kinds,
+     * tenants, rules) takes effect at the next start.
      */
     private SettingsParser.Parsed reloadedSettings(Config newer) {
         List<String> names = mergedClassNames(newer);
@@ -170,7 +175,7 @@
         return new SettingsParser.Parsed(reloaded, settings.leftField(), settings.limitField());
     }
 
-    /** This configuration without relays to send notes to. */
+    /** This configuration without other relays and without an address for operators. */
     Config withoutPeers() {
         return new Config(
                 name,
@@ -202,8 +207,8 @@
         return out;
     }
 
-    /** The operators' address: the environment's word goes before the file's. */
-    private static InetSocketAddress mgmt(JsonValue inFile) {
+    /** The address for operators; the environment variable takes precedence over the file. */
+    private static InetSocketAddress operatorAddress(JsonValue inFile) {
         String fromEnvironment = System.getenv("RELAY_MGMT");
         return fromEnvironment != null && !fromEnvironment.isBlank()
                 ? address(fromEnvironment.strip())
@@ -214,20 +219,27 @@
         return value == null || value.isNull() || value.asString().isEmpty() ? null : address(value.asString());
     }
 
-    /** An address given as host:port. */
+    /**
+     * Parses an address of the form host:port, and resolves the host.
+     *
+     * @throws IllegalArgumentException if the text has another form
+     */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 1) {
-            throw new IllegalArgumentException("'" + text + "' is no address of the form host:port");
+            throw new IllegalArgumentException("'" + text + "' is not an address of the form host:port");
         }
         try {
             return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("'" + text + "' is no address of the form host:port", e);
+            throw new IllegalArgumentException("'" + text + "' is not an address of the form host:port", e);
         }
     }
 
-    /** Writes nested settings as path=value lines, the form that the simulator gives them in. */
+    /**
+     * Appends nested settings to {@code out} as path=value lines, the form in which the simulator passes them and that
+     * {@link SettingsParser} reads.
+     */
     static void flatten(String path, JsonValue value, StringBuilder out) {
         if (value.isObject()) {
             value.asObject()
--- a/src/main/java/juniperusher/http/HttpSubchannels.java
+++ b/src/main/java/juniperusher/http/HttpSubchannels.java
@@ -26,9 +26,12 @@
 import juniperusher.net.HttpPool;
 import juniperusher.net.Network;
 
-/** Calls to endpoints over HTTP/1.1: one message by /receive, several by /receive-many. */
+/**
+ * Calls endpoints over HTTP/1.1: POST /receive for one message, POST /receive-many for several, GET /alive for a probe.
+ * Thread-safe.
+ */
 final class HttpSubchannels implements Subchannels {
-    private static final long PROBE_TIMEOUT_MILLIS = 1_500; // an endpoint that answers no probe by then is down
+    private static final long PROBE_TIMEOUT_MILLIS = 1_500; // without an answer by then the endpoint is down
 
     private final HttpPool pool;
     private final Network network;
@@ -56,7 +59,8 @@
                 subchannel.id(),
                 request,
                 () -> {
-                    // Guards told waits while the core is busy: one may have come and not be read yet.
+                    // On a busy CPU a refusal by this destination may have arrived that is not read yet. Its
+                    // retry-after delay has to count before another call starts.
                     sameDestination.forEach(HttpPool.Exchange::poll);
                     return clearance.mayStart();
                 },
@@ -136,7 +140,7 @@
                 Math.max(1, Math.round(timeout * 1000)) + "m");
     }
 
-    // ---- what an answer means ----
+    // ---- responses ----
 
     private static List<CallEnd> callEnds(HttpMessage response, List<RpcRequest> rpcs) {
         if (response.status() != 200 || rpcs.size() == 1) {
@@ -166,7 +170,7 @@
                         });
             }
         } catch (ParseException | UnsupportedOperationException e) {
-            byId.clear(); // unreadable: each may have run
+            byId.clear(); // none of the results can be trusted, so each message may have run
         }
         return rpcs.stream()
                 .map(rpc -> byId.getOrDefault(rpc.id(), CallEnd.FAILED))
@@ -184,7 +188,7 @@
             int equalsSign = part.indexOf('=');
             double value = equalsSign < 0 ? Double.NaN : HttpMessage.number(part.substring(equalsSign + 1));
             if (!(value >= 0)) {
-                return null; // a report that cannot be read is none; the answer stands
+                return null; // a malformed report is ignored; the response itself counts
             }
             limit = part.substring(0, equalsSign).strip().equals("x1") ? value : limit;
             remaining = part.substring(0, equalsSign).strip().equals("x0") ? value : remaining;
--- a/src/main/java/juniperusher/http/JsonObjectSplitter.java
+++ b/src/main/java/juniperusher/http/JsonObjectSplitter.java
@@ -11,29 +11,34 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream that never ends into the JSON objects in it, wherever their lines break. Jackson's parser,
- * which does not block, finds where an object ends. A spoilt one is passed over up to the next line that
- * begins with a brace, so that what comes behind it is read; and since a blank line is what the agent sends
- * while nothing changes, it ends an object that is still open.
+ * Splits an endless byte stream into its JSON objects, which may span several lines. Jackson's non-blocking parser
+ * finds the end of each object.
+ *
+ * <p>After a malformed object, input is skipped up to the next line that begins with a brace, so that later objects are
+ * still read. The agent sends blank lines as heartbeats between changes, so a blank line inside an object means that
+ * the object was truncated. Not thread-safe.
  */
 final class JsonObjectSplitter {
     private static final JsonFactory JSON = JsonFactory.builder()
             .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
-            .build(); // names from outside stay no longer
+            .build(); // field names come from outside, and interned strings would stay in memory
 
     private final int maxBytes;
     private final Consumer<String> objectConsumer;
     private final Consumer<String> faultConsumer;
-    private final ByteArrayOutputStream partialObject = new ByteArrayOutputStream(); // of the object that is open
-    private JsonParser parser; // of the object that is open, or null
+    private final ByteArrayOutputStream partialObject = new ByteArrayOutputStream();
+    private JsonParser parser; // of the incomplete object; null between objects
     private int depth;
-    private boolean skipping; // over what belongs to a spoilt object
-    private boolean atLineStart = true; // of a line
-    private boolean lineBlank = true; // the line so far
+    private boolean skipping; // the rest of a malformed object
+    private boolean atLineStart = true;
+    private boolean lineBlank = true; // the current line has only blanks so far
 
     /**
-     * Objects of at most {@code most} bytes go to {@code object}; {@code spoilt} is told what was wrong where
-     * something is passed over.
+     * Creates a splitter.
+     *
+     * @param maxBytes       the largest object that is accepted
+     * @param objectConsumer receives the text of each complete object
+     * @param faultConsumer  receives the reason each time that input is skipped
      */
     JsonObjectSplitter(int maxBytes, Consumer<String> objectConsumer, Consumer<String> faultConsumer) {
         this.maxBytes = maxBytes;
@@ -41,7 +46,7 @@
         this.faultConsumer = faultConsumer;
     }
 
-    /** The next bytes of the stream. */
+    /** Reads the next bytes of the stream; the consumers are called before this returns. */
     void add(byte[] piece) {
         byte[] input = piece;
         int position = 0;
@@ -53,7 +58,7 @@
             String fault = readPart(input, position, end);
             boolean lineEnds = input[end - 1] == '\n';
             if (fault == null && lineEnds && lineBlank && parser != null) {
-                fault = "it ends in the middle";
+                fault = "the object is truncated";
             }
             if (fault == null && partialObject.size() > maxBytes) {
                 fault = "longer than " + maxBytes + " bytes";
@@ -69,12 +74,12 @@
         }
     }
 
-    /** Whether an object has begun that is not over. */
+    /** Whether an object has begun and is not yet complete. */
     boolean hasPartialObject() {
         return parser != null;
     }
 
-    /** Reads a line or a part of one; what is wrong with it, or null. */
+    /** Reads a line or a part of one; returns the fault found in it, or null. */
     private String readPart(byte[] input, int start, int end) {
         boolean lineStart = atLineStart;
         int position = start;
@@ -88,7 +93,7 @@
                 if (input[position] != '{' || skipping && !lineStart) {
                     boolean alreadySkipping = skipping;
                     skipping = true;
-                    return alreadySkipping ? null : "no object begins with '" + (char) input[position] + "'";
+                    return alreadySkipping ? null : "an object cannot begin with '" + (char) input[position] + "'";
                 }
                 skipping = false;
                 depth = 0;
@@ -100,7 +105,7 @@
                 position = consumedTo;
             } catch (IOException e) {
                 partialObject.write(input, position, end - position);
-                return String.valueOf(e.getMessage()).lines().findFirst().orElse("not JSON");
+                return String.valueOf(e.getMessage()).lines().findFirst().orElse("malformed JSON");
             }
             if (depth == 0) {
                 String text = partialObject.toString(StandardCharsets.UTF_8);
@@ -111,7 +116,7 @@
         return null;
     }
 
-    /** Has the parser read on, up to the object's end at most; up to where it has read. */
+    /** Feeds input to the parser up to the end of the object; returns the position after the bytes that it used. */
     private int feedParser(byte[] input, int start, int end) throws IOException {
         int bytesBefore = partialObject.size();
         ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(input, start, end);
@@ -124,7 +129,10 @@
         return end;
     }
 
-    /** What is to be read anew after a fault: all that came behind the first line of the spoilt object. */
+    /**
+     * The input to continue with after a fault: all that followed the first line of the malformed object, including
+     * lines that were already read as part of it.
+     */
     private byte[] inputAfterFault(byte[] rest) {
         byte[] object = partialObject.toByteArray();
         discardPartialObject();
@@ -134,7 +142,7 @@
             lineLength++;
         }
         if (lineLength == object.length) {
-            return rest; // the line goes on, or ended with what was wrong
+            return rest; // the first line goes on in later input, or no object had begun
         }
         int keptBytes = object.length - lineLength - 1;
         byte[] out = Arrays.copyOfRange(object, lineLength + 1, lineLength + 1 + keptBytes + rest.length);
@@ -148,19 +156,19 @@
         try {
             return JSON.createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new IllegalStateException("a parser of bytes in memory opens nothing", e);
+            throw new IllegalStateException("a parser of a byte array does no I/O", e);
         }
     }
 
     private void discardPartialObject() {
         partialObject.reset();
         if (parser == null) {
-            return; // what was wrong did not even begin an object
+            return; // the fault was found before any object began
         }
         try {
             parser.close();
         } catch (IOException e) {
-            throw new IllegalStateException("a parser of bytes in memory has nothing to close", e);
+            throw new IllegalStateException("closing a parser of a byte array does no I/O", e);
         }
         parser = null;
     }
--- a/src/main/java/juniperusher/http/PeerDatagrams.java
+++ b/src/main/java/juniperusher/http/PeerDatagrams.java
@@ -12,12 +12,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Notes between relays: datagrams of at most 256 bytes, which may be lost. */
+/** Sends and receives peer notes: UDP datagrams of at most 256 bytes between relays, which may be lost. Thread-safe. */
 final class PeerDatagrams implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(PeerDatagrams.class);
     private static final int MAX_NOTE_BYTES = 256;
-    private static final long FAILURE_DELAY_NANOS =
-            20_000_000; // ns after a failure, so that one that stays costs little
+    // The delay after a failed receive, so that a persistent failure does not keep the thread busy.
+    private static final long FAILURE_DELAY_NANOS = 20_000_000;
 
     private final Supplier<Config> config;
     private final DatagramChannel channel;
@@ -25,7 +25,7 @@
     PeerDatagrams(Supplier<Config> config) throws IOException {
         this.config = config;
         InetSocketAddress listen = config.get().peerListen();
-        // Guards an upgrade: the process before this one may still hold the same address for a while.
+        // During an upgrade the previous process may still have this address open for a while.
         channel = listen == null
                 ? null
                 : DatagramChannel.open()
@@ -33,6 +33,7 @@
                         .bind(listen);
     }
 
+    /** Sends a note to the relay with this index, or to all relays if it is negative; drops it where that fails. */
     void send(int to, byte[] note) {
         Config current = config.get();
         InetSocketAddress address = to < 0
@@ -44,11 +45,11 @@
         try {
             channel.send(ByteBuffer.wrap(note), address);
         } catch (IOException e) {
-            LOG.debug("a note was lost: {}", e.toString());
+            LOG.debug("sending a note failed: {}", e.toString());
         }
     }
 
-    /** Passes notes on until closed. */
+    /** Starts a thread that passes received notes to {@code listener} until this is closed. */
     void start(Consumer<Noted> listener) {
         if (channel == null) {
             return;
@@ -70,10 +71,11 @@
                     listener.accept(new Noted(from, note));
                 }
             } catch (ClosedChannelException e) {
-                LOG.debug("notes end: {}", e.toString());
+                LOG.debug("the channel for notes was closed: {}", e.toString());
             } catch (IOException e) {
-                // Guards against a failure that passes: without notes this relay would count as alone for good.
-                LOG.debug("a note was not received: {}", e.toString());
+                // The thread continues after a temporary failure. Without notes this relay would act as the only one
+                // of its tier until its next start.
+                LOG.debug("receiving a note failed: {}", e.toString());
                 LockSupport.parkNanos(FAILURE_DELAY_NANOS);
             }
         }
--- a/src/main/java/juniperusher/http/Platform.java
+++ b/src/main/java/juniperusher/http/Platform.java
@@ -29,18 +29,26 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A relay on the platform: the core between the platform's front and its endpoints. */
+/**
+ * A complete relay process on the platform: accepts RPCs from clients over HTTP, calls endpoints that discovery lists,
+ * and reports failed RPCs to the platform. An extension may add a further front, such as AMQP.
+ *
+ * <p>The constructor starts the relay; {@link #drain} and then {@link #close} end it. Endpoint maintenance may be
+ * entered and exited by any thread.
+ */
 public final class Platform implements AutoCloseable, Operated {
     private static final Logger LOG = LoggerFactory.getLogger(Platform.class);
-    private static final double IDLE_TIME_SHARE = 0.8; // of the endpoints' idle time: closed by us before
-    private static final double IDLE_DESCRIPTOR_SHARE = 0.15; // of all, for idle connections to endpoints
-    private static final int MIN_IDLE_CONNECTIONS = 8; // whatever the limit says
-    private static final long MAINTENANCE_POLL_MILLIS = 250; // ms between two looks at the maintenance file
-    // ms that a process that comes back waits for discovery's first word: the list known last may be older
-    // than a drain that counts as told. An agent that is there answers at once; after the drain rule's half
-    // second a silent one is not waited for.
+    // Idle connections are closed at this share of the endpoints' idle timeout, so that this side closes first.
+    private static final double IDLE_TIME_SHARE = 0.8;
+    // The share of the process's file descriptors that idle connections to endpoints may use.
+    private static final double IDLE_DESCRIPTOR_SHARE = 0.15;
+    private static final int MIN_IDLE_CONNECTION_LIMIT = 8; // kept even if the share of descriptors is smaller
+    private static final long MAINTENANCE_POLL_MILLIS = 250;
+    // How long a restarted process waits for the first list from discovery before it serves. Its last known list may
+    // be older than a drain that already counts as announced. An available agent answers at once; the wait ends after
+    // the 500 ms within which a drain must be obeyed.
     private static final long FIRST_LIST_WAIT_MILLIS = 500;
-    private static final long SHUTDOWN_POLL_MILLIS = 20; // ms between two looks at what is left at the end
+    private static final long SHUTDOWN_POLL_MILLIS = 20;
 
     private final AtomicReference<Config> config;
     private final Network network;
@@ -52,24 +60,31 @@
     private final StatusReporter statusReporter;
     private final Closeable listener;
     private final Counters counters;
-    private final Object targetsLock = new Object(); // orders what the module is told of discovery and maintenance
+    // Orders the changes by discovery and by maintenance that are passed to the relay; guards the fields down to
+    // relayStarted.
+    private final Object targetsLock = new Object();
     private final MaintenanceFile maintenanceFile;
     private Maintenance maintenance = Maintenance.NONE;
-    private boolean maintenanceUnsaved; // the file lacks what is in force; under the lock of what is told
-    private Snapshot discovered = Snapshot.EMPTY; // discovery's word, before maintenance
-    private boolean relayStarted; // the relay has started; under the lock of what it is told
+    private boolean maintenanceUnsaved; // the last write failed, so the file is older than the active maintenance
+    private Snapshot discovered = Snapshot.EMPTY; // as listed by discovery, without maintenance
+    private boolean relayStarted;
     private volatile boolean serving;
     private volatile boolean closed;
-    private final boolean listenerInherited; // the clients' socket is the platform's, and outlives this process
+    private final boolean listenerInherited; // the listening socket belongs to the platform and outlives this process
     private boolean listening = true;
 
-    /** Starts a relay that keeps its journal in {@code state}; {@code extension} may be null. */
+    /**
+     * Starts a relay without the storm package on a listening socket of its own.
+     *
+     * @param state     the folder of the journal and of other state that survives a restart
+     * @param extension a further front and its endpoints, or null
+     */
     public Platform(Config initialConfig, Path state, Counters counters, Network network, Extension extension)
             throws Exception {
         this(initialConfig, state, counters, network, extension, null);
     }
 
-    /** The same, with the storm package on where {@code storms} is not null. */
+    /** Starts a relay on a listening socket of its own; the storm package is on if {@code storms} is not null. */
     public Platform(
             Config initialConfig,
             Path state,
@@ -82,8 +97,14 @@
     }
 
     /**
-     * The same, serving clients on {@code inherited} where it is not null: the listening socket that the
-     * platform holds across an upgrade. The configuration's {@code listen} is then not bound.
+     * Starts a relay.
+     *
+     * @param initialConfig the configuration; {@link #reload} may change a part of it later
+     * @param state         the folder of the journal and of other state that survives a restart
+     * @param extension     a further front and its endpoints, or null
+     * @param stormSettings settings of the storm package, or null to leave it off
+     * @param inherited     the listening socket that the platform keeps open across an upgrade, or null to bind the
+     *     configuration's {@code listen}
      */
     public Platform(
             Config initialConfig,
@@ -101,7 +122,7 @@
         this.extension = extension;
         var allowed = initialConfig.settings().settings().allowed();
         HttpPool pool =
-                new HttpPool(network, allowed.keepAlive() * IDLE_TIME_SHARE, Math.max(MIN_IDLE_CONNECTIONS, (int)
+                new HttpPool(network, allowed.keepAlive() * IDLE_TIME_SHARE, Math.max(MIN_IDLE_CONNECTION_LIMIT, (int)
                         (initialConfig.descriptors() * IDLE_DESCRIPTOR_SHARE)));
         peerDatagrams = new PeerDatagrams(config::get);
         Relay[] relayHolder = new Relay[1];
@@ -146,7 +167,7 @@
             LOG.info("discovery says nothing; beginning with the list known last");
         }
         if (inherited != null) {
-            relay.shareWaits(); // only there can an upgrade's other process run beside this one
+            relay.shareWaits(); // only with an inherited socket can the other process of an upgrade run meanwhile
         }
         synchronized (targetsLock) {
             relayStarted = true;
@@ -163,7 +184,7 @@
         serving = true;
     }
 
-    /** Whether a process has begun in this folder before: then it comes back, perhaps late. */
+    /** Whether an earlier process left files in this folder, so that the process that starts now is a restart. */
     static boolean hasState(Path state) throws IOException {
         if (!Files.isDirectory(state)) {
             return false;
@@ -173,13 +194,13 @@
         }
     }
 
-    // ---- endpoint maintenance: what discovery says, with the held endpoints draining ----
+    // ---- endpoint maintenance: endpoints under maintenance are passed to the relay as draining ----
 
     private void onDiscovered(Relay startedRelay, Snapshot snapshot, TargetList list) {
         synchronized (targetsLock) {
             discovered = snapshot;
             if (!relayStarted) {
-                return; // the start hands it on whole
+                return; // the relay gets the whole snapshot when it starts
             }
             List<Target> targets = new ArrayList<>();
             for (Target target : list.targets()) {
@@ -196,7 +217,7 @@
         }
     }
 
-    /** Puts {@code next} in force: the module and the guards hear of each endpoint that it changes. */
+    /** Activates {@code next} and passes each endpoint whose target it changes to the relay; needs the lock. */
     private void activate(Maintenance next) {
         List<Target> changed = next.changedFrom(maintenance, discovered);
         maintenance = next;
@@ -225,26 +246,27 @@
             }
             Maintenance next = enter ? maintenance.enter(id) : maintenance.exit(id);
             try {
-                // Written before the yes, so that a restart or the other process of an upgrade keeps it.
+                // Saved before the operator gets the answer, so that a restart and the other process of an upgrade
+                // keep the change.
                 maintenanceFile.write(next);
                 maintenanceUnsaved = false;
             } catch (IOException e) {
-                maintenanceUnsaved = true; // and is written as soon as that can be
-                LOG.atError().addKeyValue("target", id).log("maintenance is not on disk yet: {}", e.toString());
+                maintenanceUnsaved = true; // pollMaintenanceFile tries again
+                LOG.atError().addKeyValue("target", id).log("maintenance could not be saved: {}", e.toString());
             }
             activate(next);
             return Answer.DONE;
         }
     }
 
-    /** Takes up what the other process of an upgrade wrote; runs on a timer until the end. */
+    /** Adopts what the other process of an upgrade saved, or retries a failed save; runs on a timer until closed. */
     private void pollMaintenanceFile() {
         if (closed) {
             return;
         }
         synchronized (targetsLock) {
             if (maintenanceUnsaved) {
-                retrySavingMaintenance(); // what the file holds is older than what is in force
+                retrySavingMaintenance(); // the file is older than the active maintenance and must not replace it
             } else {
                 adoptSavedMaintenance();
             }
@@ -256,16 +278,16 @@
         try {
             maintenanceFile.write(maintenance);
             maintenanceUnsaved = false;
-            LOG.info("maintenance is on disk now");
+            LOG.info("maintenance was saved on retry");
         } catch (IOException e) {
-            LOG.debug("maintenance is not on disk yet: {}", e.toString());
+            LOG.debug("maintenance could not be saved on retry: {}", e.toString());
         }
     }
 
     private void adoptSavedMaintenance() {
         Maintenance saved = readMaintenance(maintenance);
         if (!saved.equals(maintenance)) {
-            LOG.atInfo().addKeyValue("held", saved.held()).log("maintenance taken from the folder");
+            LOG.atInfo().addKeyValue("held", saved.held()).log("maintenance adopted from the saved file");
             activate(saved);
         }
     }
@@ -274,42 +296,42 @@
         try {
             return maintenanceFile.read();
         } catch (IOException e) {
-            LOG.atWarn().log("maintenance in force stays: {}", e.getMessage());
+            LOG.atWarn().log("the maintenance file cannot be read; keeping the active maintenance: {}", e.getMessage());
             return fallback;
         }
     }
 
     /**
-     * What SIGHUP asks for: puts the newer file's addresses in force in one step and keeps all that is held.
-     * A file that cannot be read changes nothing and costs one line in the log.
+     * Reloads the configuration on SIGHUP: addresses, classes and limits change in one step, and pending RPCs stay.
+     * A file that cannot be read or parsed changes nothing and is logged in one line.
      */
     public void reload(Path file) {
         Config newer;
         try {
             newer = Config.read(file);
         } catch (IOException | IllegalArgumentException e) {
-            LOG.error("the configuration in force stays: {}", e.getMessage());
+            LOG.error("reload failed; keeping the active configuration: {}", e.getMessage());
             counters.add("reloads_total", "result", "refused");
             return;
         }
         Config before = config.get();
         Config after = before.reloadedFrom(newer);
         if (!after.settings().settings().equals(before.settings().settings())) {
-            // The module hears of new classes before the front lets the first message of one in.
+            // The relay must know a new class before the front accepts its first message.
             relay.retune(after.settings().settings());
             LOG.atInfo()
                     .addKeyValue("classes", after.classes())
                     .addKeyValue(
                             "attempts", after.settings().settings().allowed().attempts())
-                    .log("settings read anew");
+                    .log("settings reloaded");
         }
         config.set(after);
         resolver.discoveryMoved(newer.discovery());
         counters.add("reloads_total", "result", "done");
-        LOG.info("configuration read anew; discovery is at {}", newer.discovery());
+        LOG.info("configuration reloaded; discovery is at {}", newer.discovery());
     }
 
-    /** What SIGTERM asks for, see {@link ShutdownPlan}. */
+    /** Shuts down on SIGTERM, as {@link ShutdownPlan} decides; blocks until the process may exit. */
     public void drain() throws InterruptedException, IOException {
         serving = false;
         long startMillis = SteadyClock.millis();
@@ -329,7 +351,7 @@
                     case CLOSE_IDLE -> network.inbound().endAll(true);
                     case CLOSE_ALL -> network.inbound().endAll(false);
                     default -> {
-                        LOG.info("ending with {} RPCs owed", relay.held());
+                        LOG.info("shutting down with {} RPCs unfinished", relay.held());
                         return;
                     }
                 }
@@ -345,7 +367,7 @@
         }
     }
 
-    /** The counters. */
+    /** The counters of this process. */
     public Counters counters() {
         return counters;
     }
--- a/src/main/java/juniperusher/http/PlatformFront.java
+++ b/src/main/java/juniperusher/http/PlatformFront.java
@@ -21,12 +21,13 @@
 import org.eclipse.jetty.util.UrlEncoded;
 
 /**
- * The platform's front: channels hand RPCs in over HTTP/1.1, ends that are not deliveries go out as notices.
+ * The HTTP front: clients submit RPCs as POST requests over HTTP/1.1, and RPCs that end undelivered are reported to
+ * the platform by {@link StatusReporter}. It also serves GET /up and GET /metrics.
  */
 final class PlatformFront implements Front, HttpServerConnection.Handler {
-    /** By which an endpoint knows repeats, see draft-ietf-httpapi-idempotency-key. */
+    /** The header by which an endpoint recognizes repeats, see draft-ietf-httpapi-idempotency-key. */
     static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
-    /** The query parameter that holds the key of a message's order. */
+    /** The query parameter with the order key: messages of one key are delivered one at a time, in order. */
     private static final String ORDER_KEY_PARAMETER = "subject";
 
     private static final String TENANT_HEADER = "X-Caller";
@@ -34,11 +35,11 @@
     private static final Pattern ENVELOPE_SEPARATOR = Pattern.compile("[,;]");
     private static final Pattern NUMBER = Pattern.compile("\\d{1,9}");
     private static final Pattern BUDGET = Pattern.compile("\\d{1,12}(\\.\\d{1,6})?[mu]");
-    private static final long MAX_UNREAD_MILLIS = 100; // ms for which a request may have waited to be read
+    private static final long MAX_UNREAD_MILLIS = 100; // how long a request may have waited in the socket unread
     private static final int MAX_BODY_BYTES = 64 * 1024;
 
-    private final Config initialConfig; // what may not change while the relay runs: the listening address
-    private final java.util.function.Supplier<Config> config; // the classes in force
+    private final Config initialConfig; // for the listening address, which a reload does not change
+    private final java.util.function.Supplier<Config> config; // the current one, for the classes and their limits
     private final StatusReporter statusReporter;
     private final Counters counters;
     private final Relay relay;
@@ -53,6 +54,11 @@
         this.relay = relay;
     }
 
+    /**
+     * Accepts connections on {@code inherited}, or on the configured address if that is null.
+     *
+     * @return stops accepting when closed
+     */
     Closeable listen(Network network, ServerSocketChannel inherited) throws IOException {
         if (inherited != null) {
             return network.listen(
@@ -62,6 +68,7 @@
                 initialConfig.listen(), endPoint -> new HttpServerConnection(endPoint, network, MAX_BODY_BYTES, this));
     }
 
+    /** Makes each connection end after its next answer; new requests are still accepted until then. */
     void close() {
         closing = true;
     }
@@ -152,7 +159,8 @@
         double maxMillis =
                 current.settings().settings().classes().get(classIndex).deadline() * 1000;
         long budgetMillis = Math.min(budgetMillis(request.get("X-Budget")), (long) maxMillis);
-        // Guards the end of the RPC's time, which counts from the client's sending: it may have waited here.
+        // The budget counts from when the client sent the request, which may have waited here unread. Subtracting the
+        // longest such wait, but at most a tenth of the budget, keeps the deadline from being too late.
         budgetMillis -= Math.min(MAX_UNREAD_MILLIS, budgetMillis / 10);
         return new RpcRequest(
                 id,
@@ -174,7 +182,7 @@
         return value == null ? "" : value;
     }
 
-    /** The key of the message's order, by the path's query; empty for none. */
+    /** The order key in the query of {@code path}, or an empty string if there is none. */
     private static String orderKey(String path) {
         int query = path.indexOf('?');
         if (query < 0) {
@@ -202,7 +210,7 @@
         throw new IllegalArgumentException("X-Envelope names no destination");
     }
 
-    /** Milliseconds of a budget such as 480m or 480000u. */
+    /** Parses a budget in milliseconds or microseconds, such as 480m or 480000u, into milliseconds. */
     static long budgetMillis(String text) {
         if (text == null || !BUDGET.matcher(text).matches()) {
             throw new IllegalArgumentException("X-Budget is missing or unreadable");
--- a/src/main/java/juniperusher/http/Resolver.java
+++ b/src/main/java/juniperusher/http/Resolver.java
@@ -28,19 +28,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The sockets around {@link Membership}: reads what discovery's agent sends and carries out what the state
- * machine asks for. One thread owns the machine. Whatever fails in a step, that thread goes on, and the
- * machine's own time brings the next watch: nothing here depends on a timer that someone has to set again.
+ * Connects {@link Membership} to discovery's agent over HTTP: requests the whole list of endpoints, then watches
+ * it for changes. The state machine decides when to open or abandon a request and when a snapshot is published.
+ *
+ * <p>One thread owns the state machine. Network threads only add events to its queue. The thread polls the state
+ * machine at least every {@value #MAX_POLL_MILLIS} ms, also after an exception, so that the next watch is opened
+ * without a timer that could be lost.
  */
 final class Resolver implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(Resolver.class);
-    // bytes of a whole list or of a change: 20,000 endpoints or so
+    // Bounds a whole list and a single change; enough for about 20,000 endpoints.
     private static final int MAX_LIST_BYTES = 4 << 20;
-    private static final long MAX_POLL_MILLIS = 500; // ms after which the machine is asked, whatever it said is due
-    // ms for which a change may stand open without a further byte. A drain that was cut off is told all the
-    // same and has to be heeded within 500 ms; a change that was only slow is taken in the end.
+    // The state machine is polled this often even if it asked for a later time.
+    private static final long MAX_POLL_MILLIS = 500;
+    // A change without a further byte for this long is treated as truncated, and the whole list is requested. A drain
+    // counts as announced even if its change was truncated, and the relay must obey it within 500 ms. A change that
+    // was only slow is still applied once it is complete.
     private static final long PARTIAL_CHANGE_MILLIS = 150;
-    private static final long STACK_BYTES = 256 * 1024; // bytes
+    private static final long STACK_BYTES = 256 * 1024;
 
     private final HttpPool pool;
     private final Counters counters;
@@ -51,17 +56,21 @@
     private final Map<Integer, ResponseReader> openReaders = new HashMap<>();
     private final long originNanos = System.nanoTime();
     private final Thread thread = new Thread(null, this, "membership", STACK_BYTES);
-    private final CountDownLatch listReceived = new CountDownLatch(1); // until discovery has told a list here
+    private final CountDownLatch listReceived = new CountDownLatch(1); // released by the first list from discovery
     private volatile Snapshot snapshot = Snapshot.EMPTY;
     private volatile double lastHeardSeconds;
     private volatile boolean stopped;
 
-    /** Something that the machine is told, at the time at which it is taken up. */
+    /** An input of the state machine. It is applied on the owning thread, with the time in seconds at that moment. */
     private interface Event {
         List<Step> apply(double now);
     }
 
-    /** {@code told} hears each new snapshot and what is different in it. */
+    /**
+     * Creates a resolver with the usual timing; {@link #start} starts it.
+     *
+     * @param snapshotListener receives each new snapshot and the targets that changed, on the resolver's thread
+     */
     Resolver(
             Config config,
             HttpPool pool,
@@ -94,40 +103,47 @@
         return (System.nanoTime() - originNanos) / 1e9;
     }
 
-    /** The list known last, which may be old, and the endpoints that no list names. */
+    /**
+     * Loads the state from before the first answer of discovery; call it before {@link #start}.
+     *
+     * @param lastKnownList the last list that this relay had, which may be outdated
+     * @param fixed         endpoints that discovery never lists
+     * @return the snapshot of both; without the list if it cannot be parsed
+     */
     Snapshot loadKnownList(JsonObject lastKnownList, List<Target> fixed) {
         Update update;
         try {
             update = listParser.read(lastKnownList);
         } catch (IllegalArgumentException | UnsupportedOperationException e) {
-            LOG.warn("the list known last cannot be read; beginning without: {}", e.getMessage());
+            LOG.warn("the last known list cannot be parsed; starting without it: {}", e.getMessage());
             update = new Update(true, 0, List.of(), Set.of());
         }
         snapshot = membership.known(update, fixed, now());
         return snapshot;
     }
 
-    /** The state in force. */
+    /** The current snapshot; any thread may call this. */
     Snapshot snapshot() {
         return snapshot;
     }
 
-    /** The address of an endpoint. */
+    /** The address of an endpoint in the current snapshot; any thread may call this. */
     InetSocketAddress address(int subchannel) {
         return snapshot.address(subchannel);
     }
 
+    /** Starts the thread, which requests the list from the agent at this address. */
     void start(InetSocketAddress discovery) {
         discoveryMoved(discovery);
         thread.start();
     }
 
-    /** Waits for discovery's first word, so many milliseconds at most; whether it has come. */
+    /** Waits up to {@code millis} for the first list from discovery; false if none came. */
     boolean awaitFirstList(long millis) throws InterruptedException {
         return listReceived.await(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** The agent has another address: the old one is left at once, whether or not it still talks. */
+    /** Switches to another address of the agent. The old one is abandoned at once, even if it still responds. */
     void discoveryMoved(InetSocketAddress discovery) {
         events.add(now -> membership.moved(discovery, now));
     }
@@ -137,7 +153,7 @@
         events.add(now -> membership.stop());
     }
 
-    // ---- the one thread that owns the machine ----
+    // ---- the thread that owns the state machine ----
 
     @Override
     public void run() {
@@ -145,11 +161,11 @@
             try {
                 processNext();
             } catch (InterruptedException e) {
-                LOG.debug("membership ends");
+                LOG.debug("the membership thread was interrupted and stops");
                 return;
             } catch (RuntimeException | Error e) {
-                // Guards against a relay that never again hears of its endpoints.
-                LOG.error("membership goes on after a failure", e);
+                // If this thread ended, the relay would get no more changes of its endpoints.
+                LOG.error("membership step failed; continuing", e);
                 counters.add("membership_failures_total");
             }
         }
@@ -166,7 +182,7 @@
                 execute(event.apply(now()));
             }
         } finally {
-            // also when events never cease, or one of them failed
+            // Runs even if the event failed, and after each event, so that a steady stream of events cannot delay it.
             for (ResponseReader reader : List.copyOf(openReaders.values())) {
                 execute(reader.checkPartialChange(now()));
             }
@@ -211,8 +227,8 @@
                     () -> true,
                     responseReader);
         } catch (RuntimeException | Error e) {
-            // Guards against a watch in force that nobody holds: it would be due only when its silence is
-            // over.
+            // Otherwise the state machine would wait for an answer on a request that was never sent, until its
+            // timeout for unresponsive watches.
             openReaders.remove(watch.watch());
             membership.ended(watch.watch(), now());
             throw e;
@@ -241,13 +257,16 @@
         }
     }
 
-    /** Cuts what comes on a watch into changes, on the threads of the network. */
+    /**
+     * Reads the response to one request: the whole list, or the changes on a watch. Called by network threads, which
+     * hand the results to the owning thread as events.
+     */
     private final class ResponseReader implements HttpPool.Listener {
         private final int watchNumber;
         private final boolean wholeList;
         private final JsonObjectSplitter changeSplitter;
-        private HttpPool.Exchange exchange; // of the thread that owns the machine
-        private volatile long partialSinceNanos; // ns of the last byte of a change that is not over, 0 for none
+        private HttpPool.Exchange exchange; // used by the owning thread only
+        private volatile long partialSinceNanos; // time of the last byte of an incomplete change; 0 if there is none
 
         ResponseReader(int watchNumber, boolean wholeList) {
             this.watchNumber = watchNumber;
@@ -259,7 +278,7 @@
         @Override
         public void begun(int status) {
             if (status == 200) {
-                events.add(now -> membership.heard(watchNumber, now)); // it is not silent, be there no news
+                events.add(now -> membership.heard(watchNumber, now)); // the agent responds, even without a change
             }
         }
 
@@ -280,14 +299,14 @@
             return partialSinceNanos != 0;
         }
 
-        /** Asks for the whole list where a change seems to have been cut off. */
+        /** Treats a change that stayed incomplete for too long as truncated, which requests the whole list. */
         List<Step> checkPartialChange(double now) {
             long since = partialSinceNanos;
             if (since == 0 || System.nanoTime() - since < PARTIAL_CHANGE_MILLIS * 1_000_000) {
                 return List.of();
             }
             partialSinceNanos = 0;
-            return reportDamage("a change stands open", now);
+            return reportDamage("a change is incomplete", now);
         }
 
         private void reportDamage(String reason) {
@@ -295,7 +314,7 @@
         }
 
         private List<Step> reportDamage(String reason, double now) {
-            LOG.atWarn().addKeyValue("watch", watchNumber).log("what discovery said cannot be read: {}", reason);
+            LOG.atWarn().addKeyValue("watch", watchNumber).log("data from discovery cannot be parsed: {}", reason);
             counters.add("watch_damaged_total");
             return membership.damaged(watchNumber, now);
         }
@@ -312,7 +331,7 @@
                     LOG.atWarn()
                             .addKeyValue("watch", watchNumber)
                             .addKeyValue("ids", update.unread())
-                            .log("entries that cannot be read; what was known of these stands");
+                            .log("some entries cannot be parsed; their endpoints keep their last known state");
                 }
                 return membership.told(watchNumber, update, now);
             });
@@ -332,12 +351,14 @@
                 LOG.atWarn()
                         .addKeyValue("watch", watchNumber)
                         .addKeyValue("wait", retryAfterSeconds)
-                        .log("discovery turned it away with {}", response.status());
+                        .log("discovery refused the request with status {}", response.status());
                 counters.add("watch_turned_away_total");
                 events.add(now -> membership.turnedAway(watchNumber, retryAfterSeconds, now));
             } else if (response.status() != 200) {
-                LOG.atWarn().addKeyValue("watch", watchNumber).log("discovery answered {}", response.status());
-                events.add(now -> membership.damaged(watchNumber, now)); // it may not know the index any more
+                LOG.atWarn()
+                        .addKeyValue("watch", watchNumber)
+                        .log("discovery answered with status {}", response.status());
+                events.add(now -> membership.damaged(watchNumber, now)); // the agent may no longer know the index
             }
             reportEnd();
         }
--- a/src/main/java/juniperusher/http/ShutdownPlan.java
+++ b/src/main/java/juniperusher/http/ShutdownPlan.java
@@ -4,29 +4,35 @@
 import java.util.List;
 
 /**
- * What a process does after SIGTERM, decided over what is owed and still open. Free of I/O and of the clock.
+ * Decides the steps of a shutdown after SIGTERM from the elapsed time and from what is still open or unfinished. Does
+ * no I/O and reads no clock. Not thread-safe.
  *
- * <p>Clients have no other relay until the next process is there, and go on sending on each connection that
- * stays open: so all is taken on as long as there is time, but calls begin only while there is time for their
- * answers too. One that is still out at the end would go a second time after the restart, and one that may
- * not be repeated would be given up. Then connections end in order: those that rest first, each other one
- * with its answer; nothing is closed over bytes that nobody has read. What has not ended by then is owed by
- * the next process.
+ * <p>Until the next process starts, clients have no other relay and keep sending on their open connections. Requests
+ * are therefore accepted as long as possible, but a call starts only if there is time for its answer: a call in flight
+ * at the exit would be repeated after the restart, and an RPC that may not be repeated would fail permanently. Then
+ * connections are closed in order: idle ones first, each other one with its answer, and none while it holds bytes that
+ * were not read. The next process continues the RPCs that are unfinished at the exit.
  */
 final class ShutdownPlan {
-    // All in ms after SIGTERM. SIGKILL comes after 3,700 at the least, and new connections until 400.
+    // Times are counted from SIGTERM. SIGKILL follows after 3,700 ms or later, and new connections arrive for up to
+    // 400 ms.
     static final long LAST_UNSAFE_CALL_MILLIS = 1_600;
     static final long LAST_CALL_MILLIS = 3_200;
-    static final long LAST_ANSWERS_MILLIS = 3_300; // each answer ends its connection, and those that rest end
-    static final long CLOSE_ALL_MILLIS = 3_500; // whatever has not ended yet does
-    static final long EXIT_MILLIS = 3_600; // at the latest
+    static final long LAST_ANSWERS_MILLIS = 3_300; // from here each answer closes its connection; idle ones are closed
+    static final long CLOSE_ALL_MILLIS = 3_500; // all other connections are closed
+    static final long EXIT_MILLIS = 3_600; // the latest time of the exit
 
-    /** What is to be done now. */
+    /** A step of the shutdown. */
     enum Action {
+        /** Accept no more connections. */
         STOP_LISTENING,
+        /** Close each connection after its next answer. */
         CLOSE_WITH_ANSWERS,
+        /** Close the connections without a request in progress. */
         CLOSE_IDLE,
+        /** Close all connections. */
         CLOSE_ALL,
+        /** End the process. */
         EXIT
     }
 
@@ -35,16 +41,22 @@
     private boolean allClosed;
 
     /**
-     * {@code handedOn}: the clients' socket outlives this process, and the one after it accepts on it. Then
-     * new clients go there at once, and this one ends as soon as nothing is left here.
+     * Creates the plan of one shutdown.
+     *
+     * @param listenerInherited the listening socket outlives this process, and the next process accepts on it. This
+     *     process then stops accepting at once and exits as soon as nothing is pending.
      */
     ShutdownPlan(boolean listenerInherited) {
         this.listenerInherited = listenerInherited;
     }
 
     /**
-     * What is to be done {@code elapsed} ms after SIGTERM, with so many connections open, RPCs held and
-     * notices waiting for their acknowledgement. Asked again and again until it says {@link Action#EXIT}.
+     * Returns the actions that are due now, in order. The caller polls this until it returns {@link Action#EXIT}.
+     *
+     * @param elapsedMillis         the time since SIGTERM
+     * @param openConnections       the number of open client connections
+     * @param pendingRpcs           the number of accepted RPCs that are unfinished
+     * @param unacknowledgedReports the number of status reports that the platform has not acknowledged
      */
     List<Action> nextActions(long elapsedMillis, int openConnections, int pendingRpcs, int unacknowledgedReports) {
         List<Action> actions = new ArrayList<>();
@@ -56,7 +68,7 @@
             actions.add(Action.CLOSE_WITH_ANSWERS);
         }
         if (closingWithAnswers && !allClosed && !(listenerInherited && elapsedMillis < LAST_ANSWERS_MILLIS)) {
-            actions.add(Action.CLOSE_IDLE); // again and again: those that were under way may rest by now
+            actions.add(Action.CLOSE_IDLE); // at each poll, since more connections may be idle by now
         }
         if (!allClosed && elapsedMillis >= CLOSE_ALL_MILLIS) {
             allClosed = true;
--- a/src/main/java/juniperusher/http/StatusReporter.java
+++ b/src/main/java/juniperusher/http/StatusReporter.java
@@ -22,32 +22,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reports to the platform how RPCs ended, one JSON object a line; each goes until the platform has answered
- * 204. {@link ReportQueue} decides what goes when; here its steps are carried out.
+ * Reports to the platform how RPCs ended, as a POST to /status with one JSON object per line. A report is posted
+ * again until the platform answers with status 204. {@link ReportQueue} decides which reports are posted when; this
+ * class carries out its steps. Thread-safe.
  */
 final class StatusReporter {
     private static final Logger LOG = LoggerFactory.getLogger(StatusReporter.class);
     private static final int NO_CONTENT = 204;
-    private static final int CONNECTION_OWNER =
-            -1; // owner of its connections: those of the watch at that address are not its own
+    // The owner id of this class's connections in the pool. It keeps them apart from the connections of the watch on
+    // discovery, which go to the same address.
+    private static final int CONNECTION_OWNER = -1;
 
     private final Supplier<InetSocketAddress> platform;
     private final HttpPool pool;
     private final Network network;
     private final ReportQueue<Report> queue;
-    private final Map<Integer, HttpPool.Exchange> postsInFlight = new HashMap<>(); // by the post's number
+    private final Map<Integer, HttpPool.Exchange> postsInFlight = new HashMap<>(); // by number of the post
     private Scheduler.Task timer;
     private long timerAtMillis = ReportQueue.NEVER;
 
-    /** An end that the platform has to hear, and who wants to know that it has. */
+    /** The end of an RPC, and the callback for its acknowledgement. */
     private record Report(RpcEnd end, Runnable acknowledged) {}
 
-    /** Reports to the platform at the address that is in force when a post leaves. */
+    /** Creates a reporter with the usual timing; {@code platform} is asked for the current address at each post. */
     StatusReporter(Supplier<InetSocketAddress> platform, HttpPool pool, Network network) {
         this(platform, pool, network, ReportTiming.USUAL);
     }
 
-    /** The same within other bounds. */
+    /** Creates a reporter with another timing. */
     StatusReporter(Supplier<InetSocketAddress> platform, HttpPool pool, Network network, ReportTiming timing) {
         queue = new ReportQueue<>(timing);
         this.platform = platform;
@@ -55,18 +57,18 @@
         this.network = network;
     }
 
-    /** Reports the end; {@code acknowledged} runs once, when the platform has acknowledged it. */
+    /** Queues a report of this end; {@code acknowledged} runs once, when the platform has acknowledged it. */
     void add(RpcEnd end, Runnable acknowledged) {
         Report report = new Report(end, acknowledged);
         handle(now -> queue.add(report, now));
     }
 
-    /** Ends that are not yet acknowledged. */
+    /** The number of reports that the platform has not yet acknowledged. */
     synchronized int unacknowledgedCount() {
         return queue.waiting();
     }
 
-    /** Something that the queue hears, with its time. */
+    /** An input of the queue, applied with the current time in milliseconds. */
     private interface QueueEvent {
         List<Step<Report>> apply(long now);
     }
@@ -85,18 +87,19 @@
             }
             schedule();
         }
-        callbacks.forEach(Runnable::run); // not under the lock: they write the journal
+        callbacks.forEach(Runnable::run); // outside of the lock, since they write the journal
     }
 
     private void send(Step.Post<Report> post) {
         InetSocketAddress address = platform.get();
         if (post.newConnection()) {
-            pool.closeIdle(address, CONNECTION_OWNER); // they may have fallen silent as the last one did
+            // The last connection did not respond, and the idle ones may be in the same state.
+            pool.closeIdle(address, CONNECTION_OWNER);
         }
         HttpMessage request = HttpMessage.request("POST", "/status", body(post.reports()), "Host", "platform");
         HttpPool.Exchange exchange =
                 pool.exchange(address, CONNECTION_OWNER, request, () -> true, new PostListener(post.number()));
-        if (queue.isOut(post.number())) { // else it failed at once
+        if (queue.isOut(post.number())) { // false if the exchange has already failed
             postsInFlight.put(post.number(), exchange);
             queue.posted(post.number(), nowMillis());
         }
@@ -113,7 +116,7 @@
         postsInFlight.remove(postNumber);
     }
 
-    /** Sets the timer to when the queue wants to be asked again, or to none. */
+    /** Sets the timer to the queue's next post, or cancels it if none is due. */
     private void schedule() {
         long next = queue.nextPostAt();
         if (next == timerAtMillis) {
@@ -134,7 +137,7 @@
         synchronized (this) {
             exchanges = List.copyOf(postsInFlight.values());
         }
-        // Guards a busy core: an answer may have come that the selector has not got to.
+        // On a busy CPU an answer may have arrived that the selector has not read yet.
         exchanges.forEach(HttpPool.Exchange::poll);
         handle(now -> {
             timerAtMillis = ReportQueue.NEVER;
@@ -161,7 +164,7 @@
         return (end.retryIn() > 0 ? json.add("retry_in_ms", Math.round(end.retryIn() * 1000)) : json).toString();
     }
 
-    /** Hears how a post ends. */
+    /** Passes the result of one post to the queue. */
     private final class PostListener implements HttpPool.Listener {
         private final int postNumber;
 
@@ -175,7 +178,7 @@
             if (response.status() == NO_CONTENT) {
                 handle(now -> queue.answered(postNumber, now));
             } else {
-                LOG.warn("a status report was answered {}", response.status());
+                LOG.warn("the platform answered a status report with status {}", response.status());
                 handle(now -> queue.failed(postNumber, now));
             }
         }
--- a/src/main/java/juniperusher/http/StormCompanion.java
+++ b/src/main/java/juniperusher/http/StormCompanion.java
@@ -14,21 +14,25 @@
 import juniperusher.storm.Storms;
 
 /**
- * The storm package beside the decision loop, with what it shows in the counters. Only made where it is on.
+ * Connects the storm package to the decision loop and publishes its gauges. Created only if the package is on, so that
+ * its classes are not loaded otherwise. Refusals may be added by any thread; the decision loop's thread calls the rest.
  */
 final class StormCompanion implements Companion {
     private static final int MAX_PENDING_REFUSALS = 4096;
-    private static final int MIN_BODY_BYTES = 8; // bytes, what is shorter is the same for many messages
+    // Different messages often share a shorter body, so that a fingerprint would not tell them apart.
+    private static final int MIN_BODY_BYTES = 8;
 
     private final Storms storms;
-    private final Queue<Long> pendingRefusals = new ConcurrentLinkedQueue<>(); // refused since the last round
+    private final Queue<Long> pendingRefusals =
+            new ConcurrentLinkedQueue<>(); // fingerprints of RPCs refused since the last round
     private volatile int stormCount;
     private volatile int recoveringCount;
     private volatile int outageCount;
     private volatile long changeCount;
 
     StormCompanion(StormSettings settings, Config config, Counters counters) {
-        // The wall clock, so that it goes on over a restart; rounds count from the start of this process.
+        // The times of rounds begin at 0 with each process. The wall-clock time is added to them, so that the storm
+        // package's clock does not go back over a restart.
         storms = new Storms(
                 settings, config.settings().settings(), config.number(), System.currentTimeMillis() / 1000.0, 0);
         counters.gauge("storms", () -> stormCount);
@@ -49,7 +53,7 @@
         }
     }
 
-    /** What stays the same when a client hands a message in again, and its id does not. */
+    /** A hash of body, destination and class, which stay the same when a client resubmits a message under a new id. */
     private static long fingerprint(RpcRequest request) {
         CRC32C sum = new CRC32C();
         sum.update(request.body());
--- a/src/main/java/juniperusher/http/WarmUp.java
+++ b/src/main/java/juniperusher/http/WarmUp.java
@@ -24,15 +24,15 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Runs RPCs through a relay in memory before the first start of the real one, so that the code they need is
- * compiled when clients come: on part of a core the first seconds would otherwise go into that, and clients
- * wait 400 ms. No socket is opened and nothing of it is seen from outside. A relay that starts again is
- * waited for and does without.
+ * Runs RPCs through an in-memory relay before the first start of the real one, so that the JIT compiler has compiled
+ * the code they need before clients connect. On a share of one CPU, compilation would otherwise take the first seconds
+ * of service, and clients wait only 400 ms for an answer. No socket is opened and nothing is visible from outside. A
+ * restart skips the warm-up, since clients are already waiting.
  */
 public final class WarmUp {
-    private static final int MAX_RPCS = 600; // RPCs
-    private static final int RPCS_PER_BURST = 6; // RPCs handed in before the relay has a moment to send them
-    private static final long BURST_GAP_MILLIS = 6; // ms, longer than a round
+    private static final int MAX_RPCS = 600;
+    private static final int RPCS_PER_BURST = 6; // submitted before the relay gets time to call the endpoints
+    private static final long BURST_GAP_MILLIS = 6; // longer than a round of the decision loop
     private static final byte[] OK_RESPONSE = ("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"
                     + "X-Load-Report: x0=0.5,x1=100\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII);
@@ -40,14 +40,16 @@
     private WarmUp() {}
 
     /**
-     * Runs for so many milliseconds at most; a journal in {@code state} says that it ran before.
-     * Returns how many were delivered.
+     * Runs the warm-up, unless files in {@code state} show that a process has run there before.
+     *
+     * @param millis the time limit for submitting RPCs
+     * @return the number of RPCs delivered; 0 if skipped
      */
     public static long run(Config config, Path state, long millis) throws Exception {
         if (Platform.hasState(state)) {
             return 0;
         }
-        String temporaryFolder = System.getenv("TMPDIR"); // the only place that may be written on the platform
+        String temporaryFolder = System.getenv("TMPDIR"); // the only writable folder on the platform
         Path folder = temporaryFolder == null
                 ? Files.createTempDirectory("warm-up")
                 : Files.createTempDirectory(Path.of(temporaryFolder), "warm-up");
@@ -79,8 +81,8 @@
     }
 
     /**
-     * Reads a change of the list as it would come on the watch; whether it was. A start has no time to load a
-     * parser's classes one by one, so the build records them by this.
+     * Parses a change of the endpoint list as it would arrive on the watch; true if that succeeds. The build calls this
+     * when it records the classes to preload, because loading the parser's classes one by one would delay a start.
      */
     public static boolean readsChanges() {
         List<String> changes = new ArrayList<>();
@@ -89,7 +91,7 @@
         return changes.equals(List.of(change));
     }
 
-    /** Connections that end in this process's memory. */
+    /** A network whose connections end in this process: one client, and endpoints that answer every call. */
     private static final class InMemoryNetwork extends Network {
         private final List<ByteArrayEndPoint> callEndPoints = new CopyOnWriteArrayList<>();
         private Function<EndPoint, Connection> connectionFactory;
@@ -140,7 +142,7 @@
                     + "\r\nContent-Length: 200\r\n\r\n" + "x".repeat(200));
         }
 
-        /** Answers the calls that are out. */
+        /** Answers all calls in flight as delivered. */
         void answerCalls() throws IOException {
             for (ByteArrayEndPoint call : callEndPoints) {
                 String request = BufferUtil.toString(call.takeOutput(), StandardCharsets.US_ASCII);
--- a/src/test/java/juniperusher/http/EndpointReplacementTest.java
+++ b/src/test/java/juniperusher/http/EndpointReplacementTest.java
@@ -16,17 +16,17 @@
 import juniperusher.net.Network;
 import org.junit.jupiter.api.Test;
 
-/** 1,000 endpoints replaced at once while RPCs arrive at 100 a second. */
+/** Replaces 1,000 endpoints at once while RPCs arrive at 100 per second. */
 class EndpointReplacementTest {
     private static final int ENDPOINTS = 1_000;
     private static final int DESTINATIONS = 50;
-    private static final int PORTS_PER_GENERATION = 10; // that the endpoints of one generation share
+    private static final int PORTS_PER_GENERATION = 10;
     private static final int RPCS = 300;
-    private static final long RPC_GAP_MILLIS = 10; // ms between two RPCs
-    // ms after a change was told, in which the old ones may still be called
+    private static final long RPC_GAP_MILLIS = 10;
+    // How long replaced endpoints may still be called after the change was announced.
     private static final long GRACE_MILLIS = 500;
 
-    /** Endpoints that share some stand-ins. */
+    /** Listed endpoints that share a few servers. */
     private static final class Generation implements AutoCloseable {
         private final List<FakeEndpoint> servers = new ArrayList<>();
 
@@ -82,13 +82,13 @@
                         "endpoints or ends",
                         () -> counters.get("answered_total", "front", "http", "class", "0", "end", "delivered")
                                 == RPCS);
-                long late = before.callTimesMillis().stream()
+                long lateCalls = before.callTimesMillis().stream()
                         .filter(at -> at > announcedMillis + GRACE_MILLIS)
                         .count();
-                assertEquals(0, late, "calls to endpoints that were replaced");
+                assertEquals(0, lateCalls, "calls to endpoints that were replaced");
                 assertTrue(
                         after.callTimesMillis().size() > RPCS / 4,
-                        "only " + after.callTimesMillis().size() + " calls to new ones");
+                        "only " + after.callTimesMillis().size() + " calls to new endpoints");
                 assertEquals(
                         RPCS,
                         before.callTimesMillis().size()
@@ -100,7 +100,7 @@
         }
     }
 
-    /** When the change was told. */
+    /** Submits the RPCs and replaces the endpoints meanwhile; returns the wall-clock time of the announcement. */
     private static long replaceUnderLoad(FakeAgent agent, Generation before, Generation after, int listen)
             throws Exception {
         AtomicInteger accepted = new AtomicInteger();
@@ -128,7 +128,7 @@
                 }
             }
         }
-        assertEquals(RPCS, accepted.get(), "taken on");
+        assertEquals(RPCS, accepted.get(), "accepted");
         return announcedMillis;
     }
 }
--- a/src/test/java/juniperusher/http/FakeAgent.java
+++ b/src/test/java/juniperusher/http/FakeAgent.java
@@ -11,21 +11,21 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Discovery's agent, as its protocol describes it, with the ways in which it can fail. */
+/** A discovery agent for tests that can be made to fail in several ways. */
 final class FakeAgent extends FakeServer {
-    /** How a request for the whole list is answered; overbooked, a watch as well. */
+    /** How a request for the whole list is answered; BUSY applies to watches too. */
     enum Behavior {
         NORMAL,
-        SILENT,
+        NO_RESPONSE,
         CUT_IN_HALF,
         NOT_JSON,
         NO_ADDRESS,
         REFUSED,
-        OVERBOOKED
+        BUSY
     }
 
     volatile Behavior behavior = Behavior.NORMAL;
-    volatile long listDelayMillis; // ms before the whole list is answered
+    volatile long listDelayMillis; // before the whole list is sent
     volatile String list;
     final List<String> requestPaths = new CopyOnWriteArrayList<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
@@ -70,7 +70,7 @@
 
     private void answer(Socket socket, boolean stream) throws Exception {
         OutputStream out = socket.getOutputStream();
-        if (behavior == Behavior.OVERBOOKED) {
+        if (behavior == Behavior.BUSY) {
             out.write("HTTP/1.1 503 Busy\r\nRetry-After: 0.2\r\nContent-Length: 0\r\n\r\n"
                     .getBytes(StandardCharsets.US_ASCII));
             return;
@@ -87,7 +87,7 @@
                     case NO_ADDRESS -> list.replace("127.0.0.1:", "nowhere").getBytes(StandardCharsets.US_ASCII);
                     default -> list.getBytes(StandardCharsets.US_ASCII);
                 };
-        if (behavior == Behavior.SILENT) {
+        if (behavior == Behavior.NO_RESPONSE) {
             return;
         }
         out.write(("HTTP/1.1 " + (behavior == Behavior.REFUSED ? "500 Broken" : "200 OK") + "\r\nContent-Length: "
@@ -101,12 +101,12 @@
         }
     }
 
-    /** Says a line on all watches, in chunks of so many bytes each. */
+    /** Sends a line on all watches, in HTTP chunks of {@code chunkBytes} each. */
     void send(String line, int chunkBytes) throws Exception {
         byte[] bytes = (line + '\n').getBytes(StandardCharsets.UTF_8);
         for (Socket watch : watches) {
             if (watch.isClosed()) {
-                continue; // the relay has left it
+                continue; // the relay has closed this watch
             }
             OutputStream out = watch.getOutputStream();
             for (int from = 0; from < bytes.length; from += chunkBytes) {
@@ -123,7 +123,7 @@
         send(line, Integer.MAX_VALUE);
     }
 
-    /** Closes what is open, as an agent does that has moved; it still listens. */
+    /** Closes all open connections, as an agent does after a move, but keeps listening. */
     void closeConnections() throws IOException {
         for (Socket socket : new ArrayList<>(sockets)) {
             socket.close();
--- a/src/test/java/juniperusher/http/FakeServer.java
+++ b/src/test/java/juniperusher/http/FakeServer.java
@@ -11,11 +11,9 @@
 import java.nio.file.Path;
 import java.util.function.BooleanSupplier;
 
-/**
- * A server on loopback that plays an outside system, a thread for each connection; and what its tests share.
- */
+/** A loopback server that stands for an outside system, with a thread per connection; also holds test utilities. */
 abstract class FakeServer implements AutoCloseable {
-    // ms for what must come; none of it is waited for if it comes
+    // The time limit of await, generous for slow machines; a condition that holds ends the wait at once.
     private static final long AWAIT_MILLIS = 20_000;
 
     final ServerSocket server = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
@@ -30,11 +28,12 @@
         });
     }
 
-    /** What one thread does until the socket is closed. */
+    /** The work of one thread, which ends with an exception when the socket is closed. */
     private interface ServerTask {
         void run() throws Exception;
     }
 
+    /** Serves one connection. */
     abstract void serve(Socket socket) throws Exception;
 
     private void startThread(ServerTask work) {
@@ -43,7 +42,7 @@
                     try {
                         work.run();
                     } catch (Exception e) {
-                        return; // the other side or the test has closed the socket
+                        return; // the peer or the test has closed the socket
                     }
                 },
                 getClass().getSimpleName());
@@ -66,7 +65,7 @@
         }
     }
 
-    /** The configuration of a relay that listens there and knows nothing but where discovery is. */
+    /** Writes and reads the configuration of a relay without endpoints; both arguments are ports on loopback. */
     static Config config(Path folder, int listen, int discovery) throws IOException {
         JsonObject json = Json.parse(Files.readString(Path.of("src/main/resources/selftest.json")))
                 .asObject();
@@ -75,11 +74,12 @@
         return Config.read(Files.writeString(folder.resolve("c.json"), json.toString()));
     }
 
+    /** Polls the condition until it holds; fails after {@link #AWAIT_MILLIS}. */
     static void await(String what, BooleanSupplier condition) throws InterruptedException {
         long until = System.currentTimeMillis() + AWAIT_MILLIS;
         while (!condition.getAsBoolean()) {
             if (System.currentTimeMillis() >= until) {
-                throw new AssertionError("does not come: " + what);
+                throw new AssertionError("timed out waiting for: " + what);
             }
             Thread.sleep(5);
         }
--- a/src/test/java/juniperusher/http/IdleClientsWhileDiscoveryIsDownTest.java
+++ b/src/test/java/juniperusher/http/IdleClientsWhileDiscoveryIsDownTest.java
@@ -18,10 +18,13 @@
 import juniperusher.net.Player;
 import org.testng.annotations.Test;
 
-/** Idle clients take all connections that they can get while discovery says nothing. */
+/**
+ * Guards against idle clients that use up the connections while discovery does not answer: the relay must still be able
+ * to request the list, and to serve a client that sends a request.
+ */
 public class IdleClientsWhileDiscoveryIsDownTest {
     private static final int DESCRIPTORS = 64;
-    private static final int MAX_INBOUND = 28; // of them, for what comes in
+    private static final int MAX_INBOUND = 28; // the share of the descriptors for client connections
     private static final String LIST = "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"e-1\",\"addr\":"
             + "\"127.0.0.1:%d\",\"zone\":\"lisboa-1\",\"kind\":\"pequeno-projeto\",\"cell\":7,"
             + "\"state\":\"up\",\"weight\":1.0,\"started_ms\":0}]}";
@@ -54,13 +57,13 @@
                 player.play(Files.writeString(
                         folder.resolve("exchange.txt"),
                         "platform1" + asked
-                                + "platform2" + asked // the first stays silent
+                                + "platform2" + asked // the first gets no answer
                                 + "platform2> HTTP/1.1 200 OK\\r\\nContent-Length: " + list.length() + "\\r\\n\\r\\n"
                                 + list + "\nplatform2< GET /discovery/hosts?stream=1&index=1 HTTP/1.1\\r\\n"
                                 + "Host: discovery\\r\\n\\r\\n\n"));
                 assertTrue(
                         network.inbound().size() <= MAX_INBOUND,
-                        network.inbound().size() + " clients are held");
+                        network.inbound().size() + " clients are connected");
                 player.play(Files.writeString(
                         folder.resolve("exchange.txt"),
                         "client1> POST /aviso-push HTTP/1.1\\r\\nHost: a\\r\\nX-Call-Id: m1\\r\\n"
--- a/src/test/java/juniperusher/http/JsonObjectSplitterTest.java
+++ b/src/test/java/juniperusher/http/JsonObjectSplitterTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What comes on a watch, cut into changes at any byte, indented or not, spoilt or not. */
+/** Objects of a watch's stream, with the input cut at any byte: indented, malformed, truncated or too long. */
 class JsonObjectSplitterTest {
     private static final String FIRST = "{\"version\":1,\"servers\":[{\"id\":\"a{\\\"}\\n[é\"}]}";
     private static final String SECOND = "{\"version\":2,\"servers\":[]}";
@@ -19,7 +19,7 @@
     private final List<String> objects = new ArrayList<>();
     private int faults;
 
-    /** Plays the stream in pieces of so many bytes. */
+    /** Feeds the stream in pieces of {@code pieceBytes} to a new splitter and returns the objects found. */
     private List<String> split(String stream, int pieceBytes) {
         objects.clear();
         faults = 0;
--- a/src/test/java/juniperusher/http/PartialRequestTest.java
+++ b/src/test/java/juniperusher/http/PartialRequestTest.java
@@ -13,7 +13,7 @@
 import juniperusher.net.Network;
 import org.junit.jupiter.api.Test;
 
-/** Operators' days, size: messages cut at any byte, connections that fall quiet, clients that depart. */
+/** Requests that arrive in two parts or only in part, from clients that stop sending or disconnect. */
 class PartialRequestTest {
     private static final byte[] ACCEPTED =
             "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -25,7 +25,7 @@
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** What a client does to a relay that listens on that port. */
+    /** The actions of clients on a relay that listens on {@code port}. */
     private interface Client {
         void act(int port, Counters counters) throws Exception;
     }
@@ -61,7 +61,8 @@
                     byte[] bytes = message("m" + (1_000 + cut));
                     client.getOutputStream().write(bytes, 0, cut);
                     client.getOutputStream().flush();
-                    Thread.sleep(1); // so that the parts are read apart; the verdict does not hang on it
+                    Thread.sleep(
+                            1); // makes it likely that the parts are read separately; the result must not depend on it
                     client.getOutputStream().write(bytes, cut, bytes.length - cut);
                     assertEquals(
                             new String(ACCEPTED, StandardCharsets.US_ASCII),
@@ -87,11 +88,11 @@
                 if (i % 2 == 0) {
                     socket.close();
                 } else {
-                    stalled.add(socket); // says nothing more, and stays open on this side
+                    stalled.add(socket); // sends nothing more and stays open on this side
                 }
             }
             FakeServer.await(
-                    "each quiet one is refused",
+                    "each stalled request is refused",
                     () -> counters.get("unreadable_total", "status", "408") == stalled.size());
             FakeServer.await(
                     "all ended by the relay", () -> counters.text().contains("juniperusher_connections_in 0.0"));
--- a/src/test/java/juniperusher/http/ReloadTest.java
+++ b/src/test/java/juniperusher/http/ReloadTest.java
@@ -20,7 +20,7 @@
 import juniperusher.net.Network;
 import org.testng.annotations.Test;
 
-/** Settings read anew at SIGHUP: classes added, removed and made stricter, attempts lowered, broken files. */
+/** Reloads on SIGHUP: classes added and removed, stricter classes, fewer attempts, invalid files. */
 public class ReloadTest {
     private static JsonObject baseFile(int listen) throws Exception {
         JsonObject json = Json.parse(Files.readString(Path.of("src/main/resources/selftest.json")))
@@ -38,7 +38,7 @@
         return json;
     }
 
-    /** The newer file: ordem-build first now, aviso-push gone, a stricter new class, fewer attempts. */
+    /** A newer file: ordem-build comes first, aviso-push is gone, a stricter class is new, attempts are fewer. */
     private static JsonObject newerFile(JsonObject old) {
         JsonObject json = Json.parse(old.toString()).asObject();
         JsonObject settings = json.get("settings").asObject();
@@ -109,7 +109,7 @@
         }
     }
 
-    /** One request on its own connection; the answer's status. */
+    /** Sends one request on its own connection and returns the status of the answer. */
     private static int submit(int port, String messageClass) throws Exception {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(5_000);
--- a/src/test/java/juniperusher/http/ResolverTest.java
+++ b/src/test/java/juniperusher/http/ResolverTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The watch on discovery over sockets, against agents that fail on cue. */
+/** The resolver over sockets, with two agents that the tests make fail. */
 class ResolverTest {
     private static final Timing TIMING = new Timing(1.5, 0.4, 0.2, 0.4, 0.4, 30);
 
@@ -50,7 +50,7 @@
                         .toString());
         resolver = new Resolver(Config.read(file), TIMING, new HttpPool(network, 5, 8), counters, (snapshot, told) -> {
             if (listenerFails) {
-                throw new IllegalStateException("what hears of it has failed, as the test wants");
+                throw new IllegalStateException("listener failure injected by the test");
             }
         });
     }
@@ -71,8 +71,8 @@
     private TreeMap<String, Phase> knownPhases() {
         TreeMap<String, Phase> out = new TreeMap<>();
         resolver.snapshot().endpoints().values().stream()
-                .filter(one -> one.target().phase() != Phase.GONE)
-                .forEach(one -> out.put(one.id(), one.target().phase()));
+                .filter(endpoint -> endpoint.target().phase() != Phase.GONE)
+                .forEach(endpoint -> out.put(endpoint.id(), endpoint.target().phase()));
         return out;
     }
 
@@ -109,7 +109,7 @@
 
     @Test
     void anOldAddressThatIsUnresponsiveOrClosesDoesNotDelayAMove() throws Exception {
-        firstAgent.behavior = Behavior.SILENT;
+        firstAgent.behavior = Behavior.NO_RESPONSE;
         startResolver(firstAgent.address());
         FakeServer.await("asked", () -> !firstAgent.requestPaths.isEmpty());
         resolver.discoveryMoved(secondAgent.address());
@@ -122,7 +122,7 @@
     void aNewAddressThatAnswersLateIsAccepted() throws Exception {
         startResolver(firstAgent.address());
         awaitWatch(firstAgent);
-        secondAgent.listDelayMillis = 900; // longer than the first patience with a whole list
+        secondAgent.listDelayMillis = 900; // longer than the first timeout of a request for the whole list
         secondAgent.list = list(3, true, server("a", 10, "draining"));
         resolver.discoveryMoved(secondAgent.address());
         awaitPhases("{a=DRAINING}");
@@ -134,7 +134,7 @@
         startResolver(firstAgent.address());
         awaitWatch(firstAgent);
         for (Behavior mood : List.of(
-                Behavior.CUT_IN_HALF, Behavior.NOT_JSON, Behavior.REFUSED, Behavior.SILENT, Behavior.NO_ADDRESS)) {
+                Behavior.CUT_IN_HALF, Behavior.NOT_JSON, Behavior.REFUSED, Behavior.NO_RESPONSE, Behavior.NO_ADDRESS)) {
             secondAgent.behavior = mood;
             secondAgent.requestPaths.clear();
             resolver.discoveryMoved(secondAgent.address());
@@ -163,7 +163,7 @@
     void anIndentedChangeIsReadAndAMalformedOneDoesNotAffectItsNeighbors() throws Exception {
         startResolver(firstAgent.address());
         awaitWatch(firstAgent);
-        firstAgent.behavior = Behavior.SILENT; // the whole list does not come to the rescue
+        firstAgent.behavior = Behavior.NO_RESPONSE; // so that the whole list cannot replace the changes
         firstAgent.send(
                 Json.parse(list(42, false, server("b", 11, "draining"))).toString(WriterConfig.PRETTY_PRINT), 7);
         awaitPhases("{a=READY, b=DRAINING}");
@@ -178,7 +178,7 @@
     void aRefusedWatchReopensAtItsIndex() throws Exception {
         startResolver(firstAgent.address());
         awaitWatch(firstAgent);
-        firstAgent.behavior = Behavior.OVERBOOKED;
+        firstAgent.behavior = Behavior.BUSY;
         int before = firstAgent.requestPaths.size();
         firstAgent.closeConnections();
         FakeServer.await("turned away", () -> counters.get("watch_turned_away_total") > 1);
@@ -226,8 +226,10 @@
         firstAgent.closeConnections();
         awaitWatch(firstAgent);
         int before = firstAgent.requestPaths.size();
-        // it says nothing, not an empty line
+        // The agent sends nothing, not even a blank line.
         FakeServer.await("opened again after silence", () -> firstAgent.requestPaths.size() > before);
-        assertFalse(firstAgent.requestPaths.get(before).equals("/discovery/hosts"), "its index still counts");
+        assertFalse(
+                firstAgent.requestPaths.get(before).equals("/discovery/hosts"),
+                "the watch was reopened without its index");
     }
 }
--- a/src/test/java/juniperusher/http/RestartTest.java
+++ b/src/test/java/juniperusher/http/RestartTest.java
@@ -13,18 +13,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * roll+mass, seed 189362440431: a relay that came back called an endpoint which its old list named, 0.76 s
- * after the drain counted as told, since clients were served before discovery's first word had come.
+ * Guards against calls to a draining endpoint after a restart. A restarted relay that served clients before the first
+ * answer of discovery used its last known list, which still named an endpoint whose drain counted as announced 0.76 s
+ * earlier.
  */
 class RestartTest {
-    private static final long AGENT_DELAY_MILLIS = 150; // ms of the agent, or of a relay that reads on part of a core
+    private static final long AGENT_DELAY_MILLIS = 150; // as with a slow agent, or a relay that has a share of one CPU
 
-    /** Hands one RPC in as soon as the relay takes clients; where it went: old, new. */
+    /**
+     * Submits one RPC as soon as the relay accepts clients. Returns the number of calls to the old endpoint, which
+     * drains, and to the new one.
+     */
     private static int[] callsToOldAndNewEndpoint(boolean restarted, FakeAgent.Behavior behavior) throws Exception {
-        Path folder = Files.createTempDirectory("comes-back");
+        Path folder = Files.createTempDirectory("restart");
         Path state = Files.createDirectory(folder.resolve("state"));
         if (restarted) {
-            Files.createFile(state.resolve("maintenance")); // a process has begun here before
+            Files.createFile(state.resolve("maintenance")); // a file of an earlier process
         }
         try (FakeEndpoint oldEndpoint = new FakeEndpoint();
                 FakeEndpoint newEndpoint = new FakeEndpoint();
@@ -64,17 +68,18 @@
     @Test
     void aRestartedRelayWaitsForDiscoveryBeforeServing() throws Exception {
         int[] calls = callsToOldAndNewEndpoint(true, FakeAgent.Behavior.NORMAL);
-        assertEquals(0, calls[0], "calls to the endpoint that drains");
-        assertEquals(1, calls[1], "calls to the new one");
+        assertEquals(0, calls[0], "calls to the draining endpoint");
+        assertEquals(1, calls[1], "calls to the new endpoint");
     }
 
     @Test
     void aRestartedRelayServesFromItsSavedListIfDiscoveryDoesNotAnswer() throws Exception {
-        assertEquals(1, callsToOldAndNewEndpoint(true, FakeAgent.Behavior.SILENT)[0], "calls by the list known last");
+        assertEquals(1, callsToOldAndNewEndpoint(true, FakeAgent.Behavior.NO_RESPONSE)[0], "calls to the old endpoint");
     }
 
     @Test
     void aFirstStartServesFromTheConfiguredListWithoutWaiting() throws Exception {
-        assertEquals(1, callsToOldAndNewEndpoint(false, FakeAgent.Behavior.SILENT)[0], "calls by the list known last");
+        assertEquals(
+                1, callsToOldAndNewEndpoint(false, FakeAgent.Behavior.NO_RESPONSE)[0], "calls to the old endpoint");
     }
 }
--- a/src/test/java/juniperusher/http/ShutdownPlanTest.java
+++ b/src/test/java/juniperusher/http/ShutdownPlanTest.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What is done when after SIGTERM. */
+/** The order and times of the shutdown steps after SIGTERM. */
 public class ShutdownPlanTest {
-    private static final long SIGKILL_MILLIS = 3_700; // ms from SIGTERM to SIGKILL at the least
-    private static final long NEW_CONNECTIONS_MILLIS = 400; // ms after SIGTERM for which new connections come
+    private static final long SIGKILL_MILLIS = 3_700; // the shortest time from SIGTERM to SIGKILL
+    private static final long NEW_CONNECTIONS_MILLIS = 400; // how long new connections arrive after SIGTERM
 
     @Test
     public void requestsAreAcceptedUntilTheLastAnswersEvenWithNothingOpenOrPending() {
--- a/src/test/java/juniperusher/http/StatusReporterTest.java
+++ b/src/test/java/juniperusher/http/StatusReporterTest.java
@@ -26,19 +26,19 @@
 import juniperusher.status.ReportTiming;
 import org.junit.jupiter.api.Test;
 
-/** Status reports to a platform that is slow with its answers, or whose connections fall silent. */
+/** Status reports to a platform that answers late, or whose connections become unresponsive. */
 class StatusReporterTest {
     private static final int REPORTS = 250;
-    // One post at a time goes every 200 ms, so that all 250 are there before the second, however slow the machine.
+    // One post every 200 ms: even on a slow machine all 250 reports are queued before the second post.
     private static final ReportTiming SLOW_HEDGES = new ReportTiming(100, 8, 200, 200, 1_600, 50);
     private static final int ROUNDS = 5;
-    private static final double MAX_DELAY_MILLIS =
-            300; // in which the platform wants to hear of an end that came just in time
+    // The platform's time limit for the report of an RPC that ended just before its deadline.
+    private static final double MAX_DELAY_MILLIS = 300;
 
-    /** Reads each notice; answers none until it is told to. */
+    /** Reads each post, but answers only once {@code answers} is set. */
     private static final class SlowPlatform extends FakeServer {
         final Set<String> received = Collections.synchronizedSet(new LinkedHashSet<>());
-        final List<Integer> newLinesByPost = new CopyOnWriteArrayList<>(); // by notice: lines not heard before
+        final List<Integer> newLinesByPost = new CopyOnWriteArrayList<>(); // lines that no earlier post had
         volatile boolean answers;
 
         SlowPlatform() throws java.io.IOException {}
@@ -70,11 +70,11 @@
         }
     }
 
-    /** Answers at once; connections that it is told to silence stay open and hear and say nothing more. */
+    /** Answers at once, except on unresponsive connections, which stay open but record and answer nothing. */
     private static final class UnresponsivePlatform extends FakeServer {
         final Map<String, Long> receivedAtNanos = new ConcurrentHashMap<>();
         final AtomicInteger connections = new AtomicInteger();
-        volatile int unresponsiveUpTo; // numbers of connections
+        volatile int unresponsiveUpTo; // connections up to this number are unresponsive
 
         UnresponsivePlatform() throws java.io.IOException {}
 
@@ -91,7 +91,7 @@
             }
         }
 
-        /** Silences all connections that there are, and the next {@code more} new ones. */
+        /** Makes all present connections unresponsive, and the next {@code newConnections} ones. */
         void stopAnswering(int newConnections) {
             unresponsiveUpTo = connections.get() + newConnections;
         }
@@ -118,7 +118,7 @@
         }
     }
 
-    /** A reporter on a network of its own, and what it was told. */
+    /** A reporter on a network of its own, and the number of acknowledgements by report. */
     private static final class ReporterFixture implements AutoCloseable {
         final Network network = new Network(1);
         final Map<String, AtomicInteger> acknowledged = new ConcurrentHashMap<>();
@@ -128,21 +128,21 @@
             reporter = new StatusReporter(platform, new HttpPool(network, 5, 8), network);
         }
 
-        /** When it was added, in ns. */
+        /** Adds a report and returns the time in nanoseconds. */
         long add(String id) {
-            long at = System.nanoTime();
+            long addedNanos = System.nanoTime();
             reporter.add(
                     new RpcEnd(id, "", RpcEnd.Kind.HANDED_BACK, 0),
                     () -> acknowledged
                             .computeIfAbsent(id, any -> new AtomicInteger())
                             .incrementAndGet());
-            return at;
+            return addedNanos;
         }
 
         void awaitAll(int count) throws InterruptedException {
             FakeServer.await(
                     "all acknowledged", () -> acknowledged.size() == count && reporter.unacknowledgedCount() == 0);
-            assertTrue(acknowledged.values().stream().allMatch(times -> times.get() == 1), "each told once");
+            assertTrue(acknowledged.values().stream().allMatch(times -> times.get() == 1), "each acknowledged once");
         }
 
         @Override
@@ -160,9 +160,8 @@
     }
 
     /**
-     * Adds a report just after the connections have fallen silent, and three behind it, in some rounds; the
-     * median of the slowest one's milliseconds to its hearing. A median, as the machine itself may stand
-     * still in one round.
+     * In each round adds four reports just after the connections became unresponsive. Returns the median over the
+     * rounds of the slowest report's delay; a median, because the machine may stall during one round.
      */
     private static double medianSlowestMillis(int unresponsiveNewConnections) throws Exception {
         List<Double> slowest = new ArrayList<>();
@@ -189,14 +188,14 @@
         return median(slowest);
     }
 
-    /** One POST at a time with 200 ms for its answer and a pause of 50 ms took 250 ms and more here. */
+    /** Posts one at a time, with a timeout of 200 ms and a backoff of 50 ms, would take at least 250 ms. */
     @Test
     void afterOneUnresponsiveConnectionReportsArriveWithin200Millis() throws Exception {
         double slowest = medianSlowestMillis(0);
         assertTrue(slowest < 200, "ms: " + slowest);
     }
 
-    /** The same took 500 ms and more. */
+    /** Posts one at a time would take at least 500 ms here. */
     @Test
     void afterTwoUnresponsiveConnectionsReportsArriveInTime() throws Exception {
         double slowest = medianSlowestMillis(1);
@@ -210,25 +209,25 @@
                 ReporterFixture fixture = new ReporterFixture(() -> address(platform))) {
             int count = 0;
             for (int round = 0; round < ROUNDS; round++) {
-                int before = platform.connections.get();
+                int connectionsBefore = platform.connections.get();
                 platform.stopAnswering(1_000_000);
                 for (int i = 0; i < 150; i++) {
                     fixture.add("r" + round + '-' + i);
                 }
-                FakeServer.await("posts on new connections", () -> platform.connections.get() >= before + 4);
+                FakeServer.await("posts on new connections", () -> platform.connections.get() >= connectionsBefore + 4);
                 fixture.add("late" + round);
-                long returned = System.nanoTime();
-                platform.stopAnswering(0); // those of before stay silent
+                long recoveredNanos = System.nanoTime();
+                platform.stopAnswering(0); // earlier connections stay unresponsive
                 count += 151;
                 fixture.awaitAll(count);
-                long last = platform.receivedAtNanos.values().stream()
+                long lastReceivedNanos = platform.receivedAtNanos.values().stream()
                         .mapToLong(Long::longValue)
                         .max()
                         .orElseThrow();
-                slowest.add((last - returned) / 1e6);
+                slowest.add((lastReceivedNanos - recoveredNanos) / 1e6);
             }
         }
-        assertTrue(median(slowest) < MAX_DELAY_MILLIS, "ms after the return: " + slowest);
+        assertTrue(median(slowest) < MAX_DELAY_MILLIS, "ms after the recovery: " + slowest);
     }
 
     @Test
@@ -248,7 +247,7 @@
         }
     }
 
-    /** upgrade+hand: 182 were owed at a take-over, and the first hundred went again and again. */
+    /** Guards against repeating the oldest hundred of a long backlog, as after a take-over, while the rest waits. */
     @Test
     void unsentReportsArePostedBeforeRepeats() throws Exception {
         try (SlowPlatform platform = new SlowPlatform()) {
@@ -259,8 +258,8 @@
             for (int i = 0; i < REPORTS; i++) {
                 reporter.add(new RpcEnd("m" + i, "", RpcEnd.Kind.GIVEN_UP, 0), acknowledged::incrementAndGet);
             }
-            FakeServer.await("all, though none was answered", () -> platform.received.size() == REPORTS);
-            assertTrue(platform.newLinesByPost.size() <= 4, "new ones by notice: " + platform.newLinesByPost);
+            FakeServer.await("all reports, though no post was answered", () -> platform.received.size() == REPORTS);
+            assertTrue(platform.newLinesByPost.size() <= 4, "new lines by post: " + platform.newLinesByPost);
             assertEquals(0, acknowledged.get());
             platform.answers = true;
             FakeServer.await("every one acknowledged", () -> acknowledged.get() == REPORTS);
--- a/src/test/java/juniperusher/http/StormPackageTest.java
+++ b/src/test/java/juniperusher/http/StormPackageTest.java
@@ -14,13 +14,16 @@
 import juniperusher.storm.StormSettings;
 import org.junit.jupiter.api.Test;
 
-/** A relay with the storm package on, its endpoint shut for a while: seen, and the return kept to. */
+/**
+ * A relay with the storm package on, whose endpoint fails for a while: the outage is detected, and calls after the
+ * recovery stay within the endpoint's cold capacity.
+ */
 class StormPackageTest {
-    private static final int LISTED_CALLS_PER_SECOND = 40; // calls a second
-    private static final double COLD_SHARE = 0.14; // as the settings say
+    private static final int LISTED_CALLS_PER_SECOND = 40;
+    private static final double COLD_SHARE = 0.14; // of the listed capacity at the recovery, as in the settings
     private static final double WARM_SECONDS = 13;
-    private static final long WATCHED_MILLIS = 3_000; // ms after the return
-    private static final double BURST_CALLS = 3; // calls that may go at once
+    private static final long WATCHED_MILLIS = 3_000; // after the recovery
+    private static final double BURST_CALLS = 3; // calls that may start at once
 
     @Test
     void aRecoveringEndpointIsNotCalledFasterThanItsColdCapacity() throws Exception {
@@ -48,13 +51,13 @@
                 endpoint.status = "500 Broken";
                 int number = 0;
                 while (!counters.text().contains("juniperusher_storms_out 1.0")) {
-                    assertTrue(number < 1_000, "the outage is not seen");
+                    assertTrue(number < 1_000, "the outage is not detected");
                     submit(client, number++);
                 }
                 endpoint.status = "200 OK";
                 long recoveryMillis = 0;
                 while (recoveryMillis == 0 || System.currentTimeMillis() < recoveryMillis + WATCHED_MILLIS) {
-                    assertTrue(number < 3_000, "the return is not seen");
+                    assertTrue(number < 3_000, "the recovery is not detected");
                     submit(client, number++);
                     if (recoveryMillis == 0 && counters.text().contains("juniperusher_storms_recovering 1.0")) {
                         recoveryMillis = System.currentTimeMillis();
@@ -68,8 +71,8 @@
                 long calls = endpoint.callTimesMillis.stream()
                         .filter(at -> at >= startMillis && at < startMillis + WATCHED_MILLIS)
                         .count();
-                assertTrue(calls <= capacity + BURST_CALLS, calls + " calls, takes " + capacity);
-                assertTrue(calls >= capacity / 3, "only " + calls + " calls, takes " + capacity);
+                assertTrue(calls <= capacity + BURST_CALLS, calls + " calls, capacity " + capacity);
+                assertTrue(calls >= capacity / 3, "only " + calls + " calls, capacity " + capacity);
             } finally {
                 platform.close();
             }
--- a/src/test/java/juniperusher/http/UnfamiliarNamesTest.java
+++ b/src/test/java/juniperusher/http/UnfamiliarNamesTest.java
@@ -29,7 +29,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A customer of whom the program knows nothing but the settings, with a class of each effect. */
+/** Classes, kinds and keys whose names occur only in the settings, with one class for each effect. */
 public class UnfamiliarNamesTest {
     private static final List<String> CLASSES = List.of("leitura", "recibo", "levantamento");
     private static final List<String> EFFECTS = List.of("idempotent", "deduplicated", "at_most_once");
@@ -42,7 +42,7 @@
     @BeforeMethod
     public void configure() throws Exception {
         player = new Player();
-        folder = Files.createTempDirectory("foreign");
+        folder = Files.createTempDirectory("names");
         network = new Network(1);
         int listen;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
@@ -107,7 +107,8 @@
         Platform platform = new Platform(config, folder.resolve("state"), counters, network, null);
         try {
             for (int i = 0; i < CLASSES.size(); i++) {
-                int before = i; // the connection is free once the answer before is read: else a second one is opened
+                int before =
+                        i; // until the previous answer is read its connection is busy, and a second one would be opened
                 FakeServer.await("the answer", () -> counters.get("attempts_total", "end", "delivered") == before);
                 String key = i == 1 ? "Idempotency-Key: 85281f\"37\\r\\n" : "";
                 play("client1> POST /" + CLASSES.get(i) + " HTTP/1.1\\r\\nHost: a\\r\\nX-Call-Id: m" + i
@@ -145,7 +146,7 @@
         String accepted = "202 Accepted\\r\\nContent-Length: 0\\r\\n\\r\\n";
         Platform platform = new Platform(config, folder.resolve("state"), new Counters(), network, null);
         try {
-            // The second one's call would come on a connection of its own if it did not wait for the first.
+            // If the second message did not wait for the first, its call would arrive on another connection.
             play(submission("client1", "m1", "?subject=a%2Fb%20c", accepted)
                     + expectedCall("m1")
                     + submission("client2", "m2", "?other=1&subject=a/b+c", accepted)
--- a/src/test/java/juniperusher/http/WarmUpTest.java
+++ b/src/test/java/juniperusher/http/WarmUpTest.java
@@ -10,14 +10,14 @@
 import java.nio.file.Path;
 import org.testng.annotations.Test;
 
-/** The RPCs in memory before a first start. */
+/** The warm-up with in-memory RPCs before the first start. */
 public class WarmUpTest {
     @Test
     public void rpcsAreDeliveredInMemoryBeforeTheFirstStartOnly() throws Exception {
         Path folder = Files.createTempDirectory("warm");
         JsonObject json = Json.parse(Files.readString(Path.of("src/main/resources/selftest.json")))
                 .asObject();
-        // Nobody listens at these addresses, and nothing may be bound at the first.
+        // No server listens at these addresses, and the first cannot be bound on this machine.
         json.set("listen", "203.0.113.1:1").set("discovery", "203.0.113.1:2");
         json.get("known")
                 .asObject()
@@ -40,9 +40,9 @@
         Path state = folder.resolve("state");
         long delivered = WarmUp.run(config, state, 2_000);
         assertTrue(delivered > 50, "delivered " + delivered);
-        assertTrue(!Files.exists(state), "it wrote where the relay keeps what it owes");
+        assertTrue(!Files.exists(state), "the warm-up wrote into the state folder");
         Files.createDirectories(state);
         Files.writeString(state.resolve("journal-00000001"), "");
-        assertEquals(WarmUp.run(config, state, 2_000), 0, "a relay that starts again is waited for");
+        assertEquals(WarmUp.run(config, state, 2_000), 0, "a restart skips the warm-up");
     }
 }
