--- a/src/main/java/juniperusher/http/HttpSubchannels.java
+++ b/src/main/java/juniperusher/http/HttpSubchannels.java
@@ -65,7 +65,7 @@
                     return clearance.mayStart();
                 },
                 new HttpPool.Listener() {
-                    private void leave() {
+                    private void removeFromInFlight() {
                         finished.set(true);
                         if (self.get() != null) {
                             sameDestination.remove(self.get());
@@ -74,19 +74,19 @@
 
                     @Override
                     public void answered(HttpMessage response) {
-                        leave();
-                        double told = response.retryAfter();
+                        removeFromInFlight();
+                        double retryAfterSeconds = response.retryAfter();
                         Report report = loadReport(response);
                         List<CallEnd> ends = callEnds(response, rpcs);
                         for (int i = 0; i < rpcs.size(); i++) {
-                            results.ended(i, new CallResult(ends.get(i), told, report));
+                            results.ended(i, new CallResult(ends.get(i), retryAfterSeconds, report));
                         }
                     }
 
                     @Override
-                    public void ended(CallEnd why, int firstLine) {
-                        leave();
-                        CallEnd end = why.afterFirstLine(firstLine, rpcs.size());
+                    public void ended(CallEnd reason, int firstLine) {
+                        removeFromInFlight();
+                        CallEnd end = reason.afterFirstLine(firstLine, rpcs.size());
                         for (int i = 0; i < rpcs.size(); i++) {
                             results.ended(i, CallResult.of(end));
                         }
@@ -142,6 +142,10 @@
 
     // ---- responses ----
 
+    /**
+     * Maps a response to the result of each RPC, in order. A response to several lists results by id; an RPC without a
+     * readable result counts as failed, so it may have run.
+     */
     private static List<CallEnd> callEnds(HttpMessage response, List<RpcRequest> rpcs) {
         if (response.status() != 200 || rpcs.size() == 1) {
             CallEnd end =
@@ -177,6 +181,10 @@
                 .toList();
     }
 
+    /**
+     * Parses the header X-Load-Report, such as x0=0.5,x1=100: x1 is the limit in calls per second, and x0 the share of
+     * it that is free. Null if it is missing or malformed, or if the settings define no limit.
+     */
     private Report loadReport(HttpMessage response) {
         String text = response.get("X-Load-Report");
         if (text == null || config.settings().limitField() < 0) {
@@ -214,7 +222,7 @@
                     }
 
                     @Override
-                    public void ended(CallEnd why, int firstLine) {
+                    public void ended(CallEnd reason, int firstLine) {
                         probed.probed(firstLine == 200, firstLine == 503, (System.nanoTime() - startNanos) / 1e9);
                     }
                 });
--- a/src/main/java/juniperusher/http/Platform.java
+++ b/src/main/java/juniperusher/http/Platform.java
@@ -42,7 +42,8 @@
     private static final double IDLE_TIME_SHARE = 0.8;
     // The share of the process's file descriptors that idle connections to endpoints may use.
     private static final double IDLE_DESCRIPTOR_SHARE = 0.15;
-    private static final int MIN_IDLE_CONNECTION_LIMIT = 8; // kept even if the share of descriptors is smaller
+    // The least limit on idle connections to endpoints, however few descriptors the process has.
+    private static final int MIN_IDLE_CONNECTION_LIMIT = 8;
     private static final long MAINTENANCE_POLL_MILLIS = 250;
     // How long a restarted process waits for the first list from discovery before it serves. Its last known list may
     // be older than a drain that already counts as announced. An available agent answers at once; the wait ends after
@@ -84,7 +85,7 @@
         this(initialConfig, state, counters, network, extension, null);
     }
 
-    /** Starts a relay on a listening socket of its own; the storm package is on if {@code storms} is not null. */
+    /** Starts a relay on a listening socket of its own; the storm package is off if {@code stormSettings} is null. */
     public Platform(
             Config initialConfig,
             Path state,
@@ -184,7 +185,7 @@
         serving = true;
     }
 
-    /** Whether an earlier process left files in this folder, so that the process that starts now is a restart. */
+    /** Whether an earlier process left files in this folder, which makes the present process a restart. */
     static boolean hasState(Path state) throws IOException {
         if (!Files.isDirectory(state)) {
             return false;
@@ -196,6 +197,10 @@
 
     // ---- endpoint maintenance: endpoints under maintenance are passed to the relay as draining ----
 
+    /**
+     * Passes a change by discovery to the relay, with maintenance applied. Resolver's thread calls this, possibly
+     * before the constructor has set the field {@code relay}.
+     */
     private void onDiscovered(Relay startedRelay, Snapshot snapshot, TargetList list) {
         synchronized (targetsLock) {
             discovered = snapshot;
--- a/src/main/java/juniperusher/http/Resolver.java
+++ b/src/main/java/juniperusher/http/Resolver.java
@@ -212,7 +212,7 @@
                 .addKeyValue("watch", watch.watch())
                 .addKeyValue("discovery", watch.address())
                 .addKeyValue("index", watch.whole() ? "none" : Long.toString(watch.index()))
-                .log(watch.whole() ? "asking for the whole list" : "opening the watch");
+                .log(watch.whole() ? "requesting the whole list" : "opening the watch");
         ResponseReader responseReader = new ResponseReader(watch.watch(), watch.whole());
         openReaders.put(watch.watch(), responseReader);
         try {
--- a/src/test/java/juniperusher/http/EndpointReplacementTest.java
+++ b/src/test/java/juniperusher/http/EndpointReplacementTest.java
@@ -75,11 +75,11 @@
                     FakeServer.config(folder, listen, agent.port()), folder.resolve("state"), counters, network, null);
             try {
                 FakeServer.await(
-                        "endpoints or ends",
+                        "ready endpoints",
                         () -> counters.text().contains("juniperusher_endpoints_ready " + (double) ENDPOINTS));
                 long announcedMillis = replaceUnderLoad(agent, before, after, listen);
                 FakeServer.await(
-                        "endpoints or ends",
+                        "deliveries",
                         () -> counters.get("answered_total", "front", "http", "class", "0", "end", "delivered")
                                 == RPCS);
                 long lateCalls = before.callTimesMillis().stream()
--- a/src/test/java/juniperusher/http/ResolverTest.java
+++ b/src/test/java/juniperusher/http/ResolverTest.java
@@ -48,11 +48,12 @@
                 json.set("listen", "127.0.0.1:1")
                         .set("discovery", "127.0.0.1:1")
                         .toString());
-        resolver = new Resolver(Config.read(file), TIMING, new HttpPool(network, 5, 8), counters, (snapshot, told) -> {
-            if (listenerFails) {
-                throw new IllegalStateException("listener failure injected by the test");
-            }
-        });
+        resolver =
+                new Resolver(Config.read(file), TIMING, new HttpPool(network, 5, 8), counters, (snapshot, changes) -> {
+                    if (listenerFails) {
+                        throw new IllegalStateException("listener failure injected by the test");
+                    }
+                });
     }
 
     @AfterEach
@@ -181,7 +182,7 @@
         firstAgent.behavior = Behavior.BUSY;
         int before = firstAgent.requestPaths.size();
         firstAgent.closeConnections();
-        FakeServer.await("turned away", () -> counters.get("watch_turned_away_total") > 1);
+        FakeServer.await("the refusal", () -> counters.get("watch_turned_away_total") > 1);
         assertEquals(
                 Set.of("/discovery/hosts?stream=1&index=41"),
                 Set.copyOf(firstAgent.requestPaths.subList(before, firstAgent.requestPaths.size())));
--- a/src/test/java/juniperusher/http/StormPackageTest.java
+++ b/src/test/java/juniperusher/http/StormPackageTest.java
@@ -21,7 +21,7 @@
 class StormPackageTest {
     private static final int LISTED_CALLS_PER_SECOND = 40;
     private static final double COLD_SHARE = 0.14; // of the listed capacity at the recovery, as in the settings
-    private static final double WARM_SECONDS = 13;
+    private static final double WARM_SECONDS = 13; // from the recovery to the full capacity, as in the settings
     private static final long WATCHED_MILLIS = 3_000; // after the recovery
     private static final double BURST_CALLS = 3; // calls that may start at once
 
@@ -47,7 +47,7 @@
                     StormSettings.USUAL);
             try (Socket client = new Socket("127.0.0.1", listen)) {
                 FakeServer.await(
-                        "endpoints or ends", () -> counters.text().contains("juniperusher_endpoints_ready 1.0"));
+                        "a ready endpoint", () -> counters.text().contains("juniperusher_endpoints_ready 1.0"));
                 endpoint.status = "500 Broken";
                 int number = 0;
                 while (!counters.text().contains("juniperusher_storms_out 1.0")) {
@@ -109,7 +109,9 @@
                 .lines()
                 .toList();
         assertEquals(0, selftest.waitFor());
-        assertTrue(loaded.stream().anyMatch(line -> line.contains("juniperusher.http.Platform ")), "no log");
+        assertTrue(
+                loaded.stream().anyMatch(line -> line.contains("juniperusher.http.Platform ")),
+                "no class loading was logged");
         assertEquals(
                 List.of(),
                 loaded.stream()
--- a/src/test/java/juniperusher/http/UnfamiliarNamesTest.java
+++ b/src/test/java/juniperusher/http/UnfamiliarNamesTest.java
@@ -107,9 +107,10 @@
         Platform platform = new Platform(config, folder.resolve("state"), counters, network, null);
         try {
             for (int i = 0; i < CLASSES.size(); i++) {
-                int before =
-                        i; // until the previous answer is read its connection is busy, and a second one would be opened
-                FakeServer.await("the answer", () -> counters.get("attempts_total", "end", "delivered") == before);
+                // The connection is busy until the previous answer is read; an earlier call would open a second one.
+                int deliveredBefore = i;
+                FakeServer.await(
+                        "the answer", () -> counters.get("attempts_total", "end", "delivered") == deliveredBefore);
                 String key = i == 1 ? "Idempotency-Key: 85281f\"37\\r\\n" : "";
                 play("client1> POST /" + CLASSES.get(i) + " HTTP/1.1\\r\\nHost: a\\r\\nX-Call-Id: m" + i
                         + "\\r\\nX-Call-Class: " + CLASSES.get(i) + "\\r\\nX-Budget: 9000m\\r\\n" + key
