--- a/src/main/java/juniperusher/http/StormCompanion.java
+++ b/src/main/java/juniperusher/http/StormCompanion.java
@@ -23,8 +23,8 @@
     private static final int MIN_BODY_BYTES = 8;
 
     private final Storms storms;
-    private final Queue<Long> pendingRefusals =
-            new ConcurrentLinkedQueue<>(); // fingerprints of RPCs refused since the last round
+    // Fingerprints of the RPCs that were refused since the last round.
+    private final Queue<Long> pendingRefusals = new ConcurrentLinkedQueue<>();
     private volatile int stormCount;
     private volatile int recoveringCount;
     private volatile int outageCount;
--- a/src/test/java/juniperusher/http/FakeServer.java
+++ b/src/test/java/juniperusher/http/FakeServer.java
@@ -36,11 +36,11 @@
     /** Serves one connection. */
     abstract void serve(Socket socket) throws Exception;
 
-    private void startThread(ServerTask work) {
+    private void startThread(ServerTask task) {
         Thread thread = new Thread(
                 () -> {
                     try {
-                        work.run();
+                        task.run();
                     } catch (Exception e) {
                         return; // the peer or the test has closed the socket
                     }
--- a/src/test/java/juniperusher/http/PartialRequestTest.java
+++ b/src/test/java/juniperusher/http/PartialRequestTest.java
@@ -31,7 +31,7 @@
     }
 
     private static void withRelay(Client client) throws Exception {
-        Path folder = Files.createTempDirectory("size");
+        Path folder = Files.createTempDirectory("partial");
         try (FakeEndpoint endpoint = new FakeEndpoint();
                 FakeAgent agent = new FakeAgent(FakeAgent.list(1, true, FakeAgent.server("a", endpoint.port(), "up")));
                 Network network = new Network(1)) {
@@ -42,7 +42,7 @@
             try {
                 FakeServer.await("the list", () -> counters.text().contains("juniperusher_endpoints_ready 1.0"));
                 client.act(listen, counters);
-                FakeServer.await("no connection left", () -> network.inbound().size() == 0);
+                FakeServer.await("no open connection", () -> network.inbound().size() == 0);
             } finally {
                 platform.close();
             }
@@ -61,8 +61,8 @@
                     byte[] bytes = message("m" + (1_000 + cut));
                     client.getOutputStream().write(bytes, 0, cut);
                     client.getOutputStream().flush();
-                    Thread.sleep(
-                            1); // makes it likely that the parts are read separately; the result must not depend on it
+                    // Makes it likely that the parts are read separately; the result must not depend on it.
+                    Thread.sleep(1);
                     client.getOutputStream().write(bytes, cut, bytes.length - cut);
                     assertEquals(
                             new String(ACCEPTED, StandardCharsets.US_ASCII),
@@ -95,7 +95,8 @@
                     "each stalled request is refused",
                     () -> counters.get("unreadable_total", "status", "408") == stalled.size());
             FakeServer.await(
-                    "all ended by the relay", () -> counters.text().contains("juniperusher_connections_in 0.0"));
+                    "the relay closes all connections",
+                    () -> counters.text().contains("juniperusher_connections_in 0.0"));
             assertEquals(0, counters.get("taken_total", "front", "http", "class", "0"));
             for (Socket socket : stalled) {
                 socket.close();
