--- a/src/main/java/juniperusher/http/HttpSubchannels.java
+++ b/src/main/java/juniperusher/http/HttpSubchannels.java
@@ -26,15 +26,18 @@
 import juniperusher.net.HttpPool;
 import juniperusher.net.Network;
 
-/** Calls to endpoints over HTTP/1.1: one message by /receive, several by /receive-many. */
+/**
+ * Calls endpoints over HTTP/1.1: POST /receive for one message, POST /receive-many for several, GET /alive for a probe.
+ * Thread-safe.
+ */
 final class HttpSubchannels implements Subchannels {
-    private static final long PROBE_MS = 1_500; // an endpoint that answers no probe by then is down
+    private static final long PROBE_TIMEOUT_MILLIS = 1_500; // without an answer by then the endpoint is down
 
     private final HttpPool pool;
     private final Network network;
     private final Resolver resolver;
     private final Config config;
-    private final Map<Integer, Set<HttpPool.Exchange>> out = new ConcurrentHashMap<>(); // by destination
+    private final Map<Integer, Set<HttpPool.Exchange>> exchangesInFlight = new ConcurrentHashMap<>(); // by destination
 
     HttpSubchannels(Config config, HttpPool pool, Network network, Resolver resolver) {
         this.config = config;
@@ -45,58 +48,59 @@
 
     @Override
     public Call call(Target subchannel, List<RpcRequest> rpcs, double timeout, Clearance clearance, Results results) {
-        HttpMessage message = rpcs.size() == 1 ? one(rpcs.get(0), timeout) : many(rpcs, timeout);
-        Set<HttpPool.Exchange> others =
-                out.computeIfAbsent(subchannel.destination(), key -> ConcurrentHashMap.newKeySet());
-        AtomicBoolean over = new AtomicBoolean();
+        HttpMessage request = rpcs.size() == 1 ? singleRequest(rpcs.get(0), timeout) : batchRequest(rpcs, timeout);
+        Set<HttpPool.Exchange> sameDestination =
+                exchangesInFlight.computeIfAbsent(subchannel.destination(), key -> ConcurrentHashMap.newKeySet());
+        AtomicBoolean finished = new AtomicBoolean();
         AtomicReference<HttpPool.Exchange> self = new AtomicReference<>();
         InetSocketAddress address = resolver.address(subchannel.id());
         HttpPool.Exchange exchange = pool.exchange(
                 address,
                 subchannel.id(),
-                message,
+                request,
                 () -> {
-                    // Guards told waits while the core is busy: one may have come and not be read yet.
-                    others.forEach(HttpPool.Exchange::poll);
+                    // On a busy CPU a refusal by this destination may have arrived that is not read yet. Its
+                    // retry-after delay has to count before another call starts.
+                    sameDestination.forEach(HttpPool.Exchange::poll);
                     return clearance.mayStart();
                 },
                 new HttpPool.Listener() {
-                    private void leave() {
-                        over.set(true);
+                    private void removeFromInFlight() {
+                        finished.set(true);
                         if (self.get() != null) {
-                            others.remove(self.get());
+                            sameDestination.remove(self.get());
                         }
                     }
 
                     @Override
                     public void answered(HttpMessage response) {
-                        leave();
-                        double told = response.retryAfter();
-                        Report report = report(response);
-                        List<CallEnd> ends = ends(response, rpcs);
+                        removeFromInFlight();
+                        double retryAfterSeconds = response.retryAfter();
+                        Report report = loadReport(response);
+                        List<CallEnd> ends = callEnds(response, rpcs);
                         for (int i = 0; i < rpcs.size(); i++) {
-                            results.ended(i, new CallResult(ends.get(i), told, report));
+                            results.ended(i, new CallResult(ends.get(i), retryAfterSeconds, report));
                         }
                     }
 
                     @Override
-                    public void ended(CallEnd why, int firstLine) {
-                        leave();
-                        CallEnd end = why.afterFirstLine(firstLine, rpcs.size());
+                    public void ended(CallEnd reason, int firstLine) {
+                        removeFromInFlight();
+                        CallEnd end = reason.afterFirstLine(firstLine, rpcs.size());
                         for (int i = 0; i < rpcs.size(); i++) {
                             results.ended(i, CallResult.of(end));
                         }
                     }
                 });
         self.set(exchange);
-        others.add(exchange);
-        if (over.get()) {
-            others.remove(exchange);
+        sameDestination.add(exchange);
+        if (finished.get()) {
+            sameDestination.remove(exchange);
         }
         return exchange::abandon;
     }
 
-    private static HttpMessage one(RpcRequest rpc, double timeout) {
+    private static HttpMessage singleRequest(RpcRequest rpc, double timeout) {
         String budget = Math.max(1, Math.round(timeout * 1000)) + "m";
         return rpc.idempotencyKey().isEmpty()
                 ? HttpMessage.request(
@@ -111,11 +115,11 @@
                         rpc.id(),
                         "X-Budget",
                         budget,
-                        PlatformFront.IDEMPOTENCY_KEY,
+                        PlatformFront.IDEMPOTENCY_KEY_HEADER,
                         rpc.idempotencyKey());
     }
 
-    private static HttpMessage many(List<RpcRequest> rpcs, double timeout) {
+    private static HttpMessage batchRequest(List<RpcRequest> rpcs, double timeout) {
         JsonArray array = new JsonArray();
         for (RpcRequest rpc : rpcs) {
             JsonObject entry = new JsonObject().add("id", rpc.id());
@@ -136,9 +140,13 @@
                 Math.max(1, Math.round(timeout * 1000)) + "m");
     }
 
-    // ---- what an answer means ----
+    // ---- responses ----
 
-    private static List<CallEnd> ends(HttpMessage response, List<RpcRequest> rpcs) {
+    /**
+     * Maps a response to the result of each RPC, in order. A response to several lists results by id; an RPC without a
+     * readable result counts as failed, so it may have run.
+     */
+    private static List<CallEnd> callEnds(HttpMessage response, List<RpcRequest> rpcs) {
         if (response.status() != 200 || rpcs.size() == 1) {
             CallEnd end =
                     switch (response.status()) {
@@ -166,53 +174,60 @@
                         });
             }
         } catch (ParseException | UnsupportedOperationException e) {
-            byId.clear(); // unreadable: each may have run
+            byId.clear(); // none of the results can be trusted, so each message may have run
         }
         return rpcs.stream()
                 .map(rpc -> byId.getOrDefault(rpc.id(), CallEnd.FAILED))
                 .toList();
     }
 
-    private Report report(HttpMessage response) {
+    /**
+     * Parses the header X-Load-Report, such as x0=0.5,x1=100: x1 is the limit in calls per second, and x0 the share of
+     * it that is free. Null if it is missing or malformed, or if the settings define no limit.
+     */
+    private Report loadReport(HttpMessage response) {
         String text = response.get("X-Load-Report");
         if (text == null || config.settings().limitField() < 0) {
             return null;
         }
         double limit = 0;
-        double left = 0;
+        double remaining = 0;
         for (String part : text.split(",")) {
-            int at = part.indexOf('=');
-            double value = at < 0 ? Double.NaN : HttpMessage.number(part.substring(at + 1));
+            int equalsSign = part.indexOf('=');
+            double value = equalsSign < 0 ? Double.NaN : HttpMessage.number(part.substring(equalsSign + 1));
             if (!(value >= 0)) {
-                return null; // a report that cannot be read is none; the answer stands
+                return null; // a malformed report is ignored; the response itself counts
             }
-            limit = part.substring(0, at).strip().equals("x1") ? value : limit;
-            left = part.substring(0, at).strip().equals("x0") ? value : left;
+            limit = part.substring(0, equalsSign).strip().equals("x1") ? value : limit;
+            remaining = part.substring(0, equalsSign).strip().equals("x0") ? value : remaining;
         }
-        return new Report(limit, left);
+        return new Report(limit, remaining);
     }
 
     // ---- probes and idle connections ----
 
     @Override
     public void probe(Target subchannel, Probed probed) {
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         InetSocketAddress address = resolver.address(subchannel.id());
-        HttpMessage asked = HttpMessage.request("GET", "/alive", new byte[0], "Host", "endpoint");
+        HttpMessage request = HttpMessage.request("GET", "/alive", new byte[0], "Host", "endpoint");
         HttpPool.Exchange exchange =
-                pool.exchange(address, subchannel.id(), asked, () -> true, new HttpPool.Listener() {
+                pool.exchange(address, subchannel.id(), request, () -> true, new HttpPool.Listener() {
                     @Override
                     public void answered(HttpMessage response) {
                         probed.probed(
-                                response.status() == 200, response.status() == 503, (System.nanoTime() - from) / 1e9);
+                                response.status() == 200,
+                                response.status() == 503,
+                                (System.nanoTime() - startNanos) / 1e9);
                     }
 
                     @Override
-                    public void ended(CallEnd why, int firstLine) {
-                        probed.probed(firstLine == 200, firstLine == 503, (System.nanoTime() - from) / 1e9);
+                    public void ended(CallEnd reason, int firstLine) {
+                        probed.probed(firstLine == 200, firstLine == 503, (System.nanoTime() - startNanos) / 1e9);
                     }
                 });
-        network.scheduler().schedule(() -> exchange.abandon(CallEnd.TIMED_OUT), PROBE_MS, TimeUnit.MILLISECONDS);
+        network.scheduler()
+                .schedule(() -> exchange.abandon(CallEnd.TIMED_OUT), PROBE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/src/main/java/juniperusher/http/Peers.java
+++ b/src/main/java/juniperusher/http/PeerDatagrams.java
@@ -12,19 +12,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Notes between relays: datagrams of at most 256 bytes, which may be lost. */
-final class Peers implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Peers.class);
-    private static final int MOST = 256;
-    private static final long PAUSE = 20_000_000; // ns after a failure, so that one that stays costs little
+/** Sends and receives peer notes: UDP datagrams of at most 256 bytes between relays, which may be lost. Thread-safe. */
+final class PeerDatagrams implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(PeerDatagrams.class);
+    private static final int MAX_NOTE_BYTES = 256;
+    // The delay after a failed receive, so that a persistent failure does not keep the thread busy.
+    private static final long FAILURE_DELAY_NANOS = 20_000_000;
 
     private final Supplier<Config> config;
     private final DatagramChannel channel;
 
-    Peers(Supplier<Config> config) throws IOException {
+    PeerDatagrams(Supplier<Config> config) throws IOException {
         this.config = config;
         InetSocketAddress listen = config.get().peerListen();
-        // Guards an upgrade: the process before this one may still hold the same address for a while.
+        // During an upgrade the previous process may still have this address open for a while.
         channel = listen == null
                 ? null
                 : DatagramChannel.open()
@@ -32,48 +33,50 @@
                         .bind(listen);
     }
 
+    /** Sends a note to the relay with this index, or to all relays if it is negative; drops it where that fails. */
     void send(int to, byte[] note) {
         Config current = config.get();
         InetSocketAddress address = to < 0
                 ? current.peersAll()
                 : to < current.peers().size() ? current.peers().get(to) : null;
-        if (channel == null || address == null || note.length > MOST) {
+        if (channel == null || address == null || note.length > MAX_NOTE_BYTES) {
             return;
         }
         try {
             channel.send(ByteBuffer.wrap(note), address);
         } catch (IOException e) {
-            LOG.debug("a note was lost: {}", e.toString());
+            LOG.debug("sending a note failed: {}", e.toString());
         }
     }
 
-    /** Passes notes on until closed. */
-    void start(Consumer<Noted> noted) {
+    /** Starts a thread that passes received notes to {@code listener} until this is closed. */
+    void start(Consumer<Noted> listener) {
         if (channel == null) {
             return;
         }
-        Thread thread = new Thread(null, () -> receive(noted), "notes", 128 * 1024);
+        Thread thread = new Thread(null, () -> receive(listener), "notes", 128 * 1024);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void receive(Consumer<Noted> noted) {
-        ByteBuffer bytes = ByteBuffer.allocate(MOST);
+    private void receive(Consumer<Noted> listener) {
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_NOTE_BYTES);
         while (channel.isOpen()) {
             try {
-                bytes.clear();
-                int from = config.get().peers().indexOf(channel.receive(bytes));
+                buffer.clear();
+                int from = config.get().peers().indexOf(channel.receive(buffer));
                 if (from >= 0) {
-                    byte[] note = new byte[bytes.flip().remaining()];
-                    bytes.get(note);
-                    noted.accept(new Noted(from, note));
+                    byte[] note = new byte[buffer.flip().remaining()];
+                    buffer.get(note);
+                    listener.accept(new Noted(from, note));
                 }
             } catch (ClosedChannelException e) {
-                LOG.debug("notes end: {}", e.toString());
+                LOG.debug("the channel for notes was closed: {}", e.toString());
             } catch (IOException e) {
-                // Guards against a failure that passes: without notes this relay would count as alone for good.
-                LOG.debug("a note was not received: {}", e.toString());
-                LockSupport.parkNanos(PAUSE);
+                // The thread continues after a temporary failure. Without notes this relay would act as the only one
+                // of its tier until its next start.
+                LOG.debug("receiving a note failed: {}", e.toString());
+                LockSupport.parkNanos(FAILURE_DELAY_NANOS);
             }
         }
     }
--- a/src/main/java/juniperusher/http/Platform.java
+++ b/src/main/java/juniperusher/http/Platform.java
@@ -29,129 +29,164 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A relay on the platform: the core between the platform's front and its endpoints. */
+/**
+ * A complete relay process on the platform: accepts RPCs from clients over HTTP, calls endpoints that discovery lists,
+ * and reports failed RPCs to the platform. An extension may add a further front, such as AMQP.
+ *
+ * <p>The constructor starts the relay; {@link #drain} and then {@link #close} end it. Endpoint maintenance may be
+ * entered and exited by any thread.
+ */
 public final class Platform implements AutoCloseable, Operated {
     private static final Logger LOG = LoggerFactory.getLogger(Platform.class);
-    private static final double IDLE_SHARE = 0.8; // of the endpoints' idle time: closed by us before
-    private static final double IDLE_DESCRIPTORS = 0.15; // of all, for idle connections to endpoints
-    private static final int LEAST_IDLE = 8; // whatever the limit says
-    private static final long FOLLOW = 250; // ms between two looks at the maintenance file
-    // ms that a process that comes back waits for discovery's first word: the list known last may be older
-    // than a drain that counts as told. An agent that is there answers at once; after the drain rule's half
-    // second a silent one is not waited for.
-    private static final long FIRST_WORD = 500;
-    private static final long LOOK = 20; // ms between two looks at what is left at the end
+    // Idle connections are closed at this share of the endpoints' idle timeout, so that this side closes first.
+    private static final double IDLE_TIME_SHARE = 0.8;
+    // The share of the process's file descriptors that idle connections to endpoints may use.
+    private static final double IDLE_DESCRIPTOR_SHARE = 0.15;
+    // The least limit on idle connections to endpoints, however few descriptors the process has.
+    private static final int MIN_IDLE_CONNECTION_LIMIT = 8;
+    private static final long MAINTENANCE_POLL_MILLIS = 250;
+    // How long a restarted process waits for the first list from discovery before it serves. Its last known list may
+    // be older than a drain that already counts as announced. An available agent answers at once; the wait ends after
+    // the 500 ms within which a drain must be obeyed.
+    private static final long FIRST_LIST_WAIT_MILLIS = 500;
+    private static final long SHUTDOWN_POLL_MILLIS = 20;
 
     private final AtomicReference<Config> config;
     private final Network network;
     private final Extension extension;
     private final Relay relay;
     private final Resolver resolver;
-    private final Peers peers;
+    private final PeerDatagrams peerDatagrams;
     private final PlatformFront front;
-    private final StatusReporter notices;
+    private final StatusReporter statusReporter;
     private final Closeable listener;
     private final Counters counters;
-    private final Object held = new Object(); // orders what the module is told of discovery and maintenance
+    // Orders the changes by discovery and by maintenance that are passed to the relay; guards the fields down to
+    // relayStarted.
+    private final Object targetsLock = new Object();
     private final MaintenanceFile maintenanceFile;
     private Maintenance maintenance = Maintenance.NONE;
-    private boolean maintenanceUnwritten; // the file lacks what is in force; under the lock of what is told
-    private Snapshot told = Snapshot.EMPTY; // discovery's word, before maintenance
-    private boolean deciding; // the relay has started; under the lock of what it is told
+    private boolean maintenanceUnsaved; // the last write failed, so the file is older than the active maintenance
+    private Snapshot discovered = Snapshot.EMPTY; // as listed by discovery, without maintenance
+    private boolean relayStarted;
     private volatile boolean serving;
     private volatile boolean closed;
-    private final boolean handedOn; // the clients' socket is the platform's, and outlives this process
+    private final boolean listenerInherited; // the listening socket belongs to the platform and outlives this process
     private boolean listening = true;
 
-    /** Starts a relay that keeps its journal in {@code state}; {@code extension} may be null. */
-    public Platform(Config first, Path state, Counters counters, Network network, Extension extension)
+    /**
+     * Starts a relay without the storm package on a listening socket of its own.
+     *
+     * @param state     the folder of the journal and of other state that survives a restart
+     * @param extension a further front and its endpoints, or null
+     */
+    public Platform(Config initialConfig, Path state, Counters counters, Network network, Extension extension)
             throws Exception {
-        this(first, state, counters, network, extension, null);
+        this(initialConfig, state, counters, network, extension, null);
     }
 
-    /** The same, with the storm package on where {@code storms} is not null. */
+    /** Starts a relay on a listening socket of its own; the storm package is off if {@code stormSettings} is null. */
     public Platform(
-            Config first, Path state, Counters counters, Network network, Extension extension, StormSettings storms)
+            Config initialConfig,
+            Path state,
+            Counters counters,
+            Network network,
+            Extension extension,
+            StormSettings stormSettings)
             throws Exception {
-        this(first, state, counters, network, extension, storms, null);
+        this(initialConfig, state, counters, network, extension, stormSettings, null);
     }
 
     /**
-     * The same, serving clients on {@code inherited} where it is not null: the listening socket that the
-     * platform holds across an upgrade. The configuration's {@code listen} is then not bound.
+     * Starts a relay.
+     *
+     * @param initialConfig the configuration; {@link #reload} may change a part of it later
+     * @param state         the folder of the journal and of other state that survives a restart
+     * @param extension     a further front and its endpoints, or null
+     * @param stormSettings settings of the storm package, or null to leave it off
+     * @param inherited     the listening socket that the platform keeps open across an upgrade, or null to bind the
+     *     configuration's {@code listen}
      */
     public Platform(
-            Config first,
+            Config initialConfig,
             Path state,
             Counters counters,
             Network network,
             Extension extension,
-            StormSettings storms,
+            StormSettings stormSettings,
             ServerSocketChannel inherited)
             throws Exception {
-        boolean again = ranBefore(state);
+        boolean restarted = hasState(state);
         this.counters = counters;
-        config = new AtomicReference<>(first);
+        config = new AtomicReference<>(initialConfig);
         this.network = network;
         this.extension = extension;
-        var allowed = first.settings().settings().allowed();
-        HttpPool pool = new HttpPool(network, allowed.keepAlive() * IDLE_SHARE, Math.max(LEAST_IDLE, (int)
-                (first.descriptors() * IDLE_DESCRIPTORS)));
-        peers = new Peers(config::get);
-        Relay[] made = new Relay[1];
+        var allowed = initialConfig.settings().settings().allowed();
+        HttpPool pool =
+                new HttpPool(network, allowed.keepAlive() * IDLE_TIME_SHARE, Math.max(MIN_IDLE_CONNECTION_LIMIT, (int)
+                        (initialConfig.descriptors() * IDLE_DESCRIPTOR_SHARE)));
+        peerDatagrams = new PeerDatagrams(config::get);
+        Relay[] relayHolder = new Relay[1];
         maintenanceFile = new MaintenanceFile(state);
         maintenance = readMaintenance(Maintenance.NONE);
-        resolver = new Resolver(first, pool, network, counters, (snapshot, list) -> resolved(made[0], snapshot, list));
-        Subchannels usual = new HttpSubchannels(first, pool, network, resolver);
-        Subchannels subchannels = extension == null ? usual : new RoutedSubchannels(usual, extension);
+        resolver = new Resolver(
+                initialConfig,
+                pool,
+                network,
+                counters,
+                (snapshot, list) -> onDiscovered(relayHolder[0], snapshot, list));
+        Subchannels httpSubchannels = new HttpSubchannels(initialConfig, pool, network, resolver);
+        Subchannels subchannels =
+                extension == null ? httpSubchannels : new RoutedSubchannels(httpSubchannels, extension);
         relay = new Relay(
-                first.settings().settings(),
-                first.seed(),
-                first.gap(),
+                initialConfig.settings().settings(),
+                initialConfig.seed(),
+                initialConfig.minRoundGapSeconds(),
                 state,
-                first.diskBytes(),
+                initialConfig.diskBytes(),
                 counters,
                 subchannels,
-                peers::send,
-                storms == null ? null : new StormCompanion(storms, first, counters));
-        made[0] = relay;
-        notices = new StatusReporter(() -> config.get().discovery(), pool, network);
-        counters.gauge("notices_waiting", notices::waiting);
+                peerDatagrams::send,
+                stormSettings == null ? null : new StormCompanion(stormSettings, initialConfig, counters));
+        relayHolder[0] = relay;
+        statusReporter = new StatusReporter(() -> config.get().discovery(), pool, network);
+        counters.gauge("notices_waiting", statusReporter::unacknowledgedCount);
         counters.gauge("connections_in", network.inbound()::size);
         counters.gauge("connections_shed", network::shed);
         counters.gauge("connections_unopened", network::unopened);
         counters.gauge("connections_coming", network::coming);
         counters.gauge("accept_failures", network::acceptFailures);
-        front = new PlatformFront(config::get, notices, counters, relay);
+        front = new PlatformFront(config::get, statusReporter, counters, relay);
         relay.add(front);
         if (extension != null) {
             extension.join(relay);
         }
-        told = resolver.known(first.known(), extension == null ? List.of() : extension.targets());
-        resolver.start(first.discovery());
-        if (again && !resolver.awaitWord(FIRST_WORD)) {
+        discovered = resolver.loadKnownList(
+                initialConfig.knownEndpoints(), extension == null ? List.of() : extension.targets());
+        resolver.start(initialConfig.discovery());
+        if (restarted && !resolver.awaitFirstList(FIRST_LIST_WAIT_MILLIS)) {
             LOG.info("discovery says nothing; beginning with the list known last");
         }
         if (inherited != null) {
-            relay.shareWaits(); // only there can an upgrade's other process run beside this one
+            relay.shareWaits(); // only with an inherited socket can the other process of an upgrade run meanwhile
         }
-        synchronized (held) {
-            deciding = true;
-            relay.start(maintenance.over(told));
+        synchronized (targetsLock) {
+            relayStarted = true;
+            relay.start(maintenance.over(discovered));
         }
-        peers.start(relay::tell);
+        peerDatagrams.start(relay::tell);
         listener = front.listen(network, inherited);
-        handedOn = inherited != null;
+        listenerInherited = inherited != null;
         if (extension != null) {
             extension.open();
         }
         counters.gauge("endpoints_maintenance", () -> maintenance().held().size());
-        network.scheduler().schedule(this::followMaintenance, FOLLOW, TimeUnit.MILLISECONDS);
+        network.scheduler().schedule(this::pollMaintenanceFile, MAINTENANCE_POLL_MILLIS, TimeUnit.MILLISECONDS);
         serving = true;
     }
 
-    /** Whether a process has begun in this folder before: then it comes back, perhaps late. */
-    static boolean ranBefore(Path state) throws IOException {
+    /** Whether an earlier process left files in this folder, which makes the present process a restart. */
+    static boolean hasState(Path state) throws IOException {
         if (!Files.isDirectory(state)) {
             return false;
         }
@@ -160,34 +195,38 @@
         }
     }
 
-    // ---- endpoint maintenance: what discovery says, with the held endpoints draining ----
+    // ---- endpoint maintenance: endpoints under maintenance are passed to the relay as draining ----
 
-    private void resolved(Relay to, Snapshot snapshot, TargetList list) {
-        synchronized (held) {
-            told = snapshot;
-            if (!deciding) {
-                return; // the start hands it on whole
+    /**
+     * Passes a change by discovery to the relay, with maintenance applied. Resolver's thread calls this, possibly
+     * before the constructor has set the field {@code relay}.
+     */
+    private void onDiscovered(Relay startedRelay, Snapshot snapshot, TargetList list) {
+        synchronized (targetsLock) {
+            discovered = snapshot;
+            if (!relayStarted) {
+                return; // the relay gets the whole snapshot when it starts
             }
             List<Target> targets = new ArrayList<>();
             for (Target target : list.targets()) {
                 Endpoint endpoint = snapshot.endpoints().get(target.id());
                 targets.add(endpoint == null ? target : maintenance.over(endpoint.id(), target));
             }
-            to.resolved(maintenance.over(snapshot), new TargetList(list.whole(), targets));
+            startedRelay.resolved(maintenance.over(snapshot), new TargetList(list.whole(), targets));
         }
     }
 
     private Maintenance maintenance() {
-        synchronized (held) {
+        synchronized (targetsLock) {
             return maintenance;
         }
     }
 
-    /** Puts {@code next} in force: the module and the guards hear of each endpoint that it changes. */
-    private void hold(Maintenance next) {
-        List<Target> changed = next.changedFrom(maintenance, told);
+    /** Activates {@code next} and passes each endpoint whose target it changes to the relay; needs the lock. */
+    private void activate(Maintenance next) {
+        List<Target> changed = next.changedFrom(maintenance, discovered);
         maintenance = next;
-        relay.resolved(next.over(told), new TargetList(false, changed));
+        relay.resolved(next.over(discovered), new TargetList(false, changed));
     }
 
     @Override
@@ -197,127 +236,132 @@
 
     @Override
     public Answer enter(String id) {
-        return maintain(id, true);
+        return changeMaintenance(id, true);
     }
 
     @Override
     public Answer exit(String id) {
-        return maintain(id, false);
+        return changeMaintenance(id, false);
     }
 
-    private Answer maintain(String id, boolean enter) {
-        synchronized (held) {
-            if (!Maintenance.known(id, told) && !maintenance.holds(id)) {
+    private Answer changeMaintenance(String id, boolean enter) {
+        synchronized (targetsLock) {
+            if (!Maintenance.known(id, discovered) && !maintenance.holds(id)) {
                 return Answer.UNKNOWN;
             }
             Maintenance next = enter ? maintenance.enter(id) : maintenance.exit(id);
             try {
-                // Written before the yes, so that a restart or the other process of an upgrade keeps it.
+                // Saved before the operator gets the answer, so that a restart and the other process of an upgrade
+                // keep the change.
                 maintenanceFile.write(next);
-                maintenanceUnwritten = false;
+                maintenanceUnsaved = false;
             } catch (IOException e) {
-                maintenanceUnwritten = true; // and is written as soon as that can be
-                LOG.atError().addKeyValue("target", id).log("maintenance is not on disk yet: {}", e.toString());
+                maintenanceUnsaved = true; // pollMaintenanceFile tries again
+                LOG.atError().addKeyValue("target", id).log("maintenance could not be saved: {}", e.toString());
             }
-            hold(next);
+            activate(next);
             return Answer.DONE;
         }
     }
 
-    /** Takes up what the other process of an upgrade wrote; runs on a timer until the end. */
-    private void followMaintenance() {
+    /** Adopts what the other process of an upgrade saved, or retries a failed save; runs on a timer until closed. */
+    private void pollMaintenanceFile() {
         if (closed) {
             return;
         }
-        synchronized (held) {
-            if (maintenanceUnwritten) {
-                writeMaintenance(); // what the file holds is older than what is in force
+        synchronized (targetsLock) {
+            if (maintenanceUnsaved) {
+                retrySavingMaintenance(); // the file is older than the active maintenance and must not replace it
             } else {
-                takeMaintenance();
+                adoptSavedMaintenance();
             }
         }
-        network.scheduler().schedule(this::followMaintenance, FOLLOW, TimeUnit.MILLISECONDS);
+        network.scheduler().schedule(this::pollMaintenanceFile, MAINTENANCE_POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void writeMaintenance() {
+    private void retrySavingMaintenance() {
         try {
             maintenanceFile.write(maintenance);
-            maintenanceUnwritten = false;
-            LOG.info("maintenance is on disk now");
+            maintenanceUnsaved = false;
+            LOG.info("maintenance was saved on retry");
         } catch (IOException e) {
-            LOG.debug("maintenance is not on disk yet: {}", e.toString());
+            LOG.debug("maintenance could not be saved on retry: {}", e.toString());
         }
     }
 
-    private void takeMaintenance() {
-        Maintenance onDisk = readMaintenance(maintenance);
-        if (!onDisk.equals(maintenance)) {
-            LOG.atInfo().addKeyValue("held", onDisk.held()).log("maintenance taken from the folder");
-            hold(onDisk);
+    private void adoptSavedMaintenance() {
+        Maintenance saved = readMaintenance(maintenance);
+        if (!saved.equals(maintenance)) {
+            LOG.atInfo().addKeyValue("held", saved.held()).log("maintenance adopted from the saved file");
+            activate(saved);
         }
     }
 
-    private Maintenance readMaintenance(Maintenance otherwise) {
+    private Maintenance readMaintenance(Maintenance fallback) {
         try {
             return maintenanceFile.read();
         } catch (IOException e) {
-            LOG.atWarn().log("maintenance in force stays: {}", e.getMessage());
-            return otherwise;
+            LOG.atWarn().log("the maintenance file cannot be read; keeping the active maintenance: {}", e.getMessage());
+            return fallback;
         }
     }
 
     /**
-     * What SIGHUP asks for: puts the newer file's addresses in force in one step and keeps all that is held.
-     * A file that cannot be read changes nothing and costs one line in the log.
+     * Reloads the configuration on SIGHUP: addresses, classes and limits change in one step, and pending RPCs stay.
+     * A file that cannot be read or parsed changes nothing and is logged in one line.
      */
     public void reload(Path file) {
         Config newer;
         try {
             newer = Config.read(file);
         } catch (IOException | IllegalArgumentException e) {
-            LOG.error("the configuration in force stays: {}", e.getMessage());
+            LOG.error("reload failed; keeping the active configuration: {}", e.getMessage());
             counters.add("reloads_total", "result", "refused");
             return;
         }
         Config before = config.get();
-        Config after = before.movedTo(newer);
+        Config after = before.reloadedFrom(newer);
         if (!after.settings().settings().equals(before.settings().settings())) {
-            // The module hears of new classes before the front lets the first message of one in.
+            // The relay must know a new class before the front accepts its first message.
             relay.retune(after.settings().settings());
             LOG.atInfo()
                     .addKeyValue("classes", after.classes())
                     .addKeyValue(
                             "attempts", after.settings().settings().allowed().attempts())
-                    .log("settings read anew");
+                    .log("settings reloaded");
         }
         config.set(after);
-        resolver.moved(newer.discovery());
+        resolver.discoveryMoved(newer.discovery());
         counters.add("reloads_total", "result", "done");
-        LOG.info("configuration read anew; discovery is at {}", newer.discovery());
+        LOG.info("configuration reloaded; discovery is at {}", newer.discovery());
     }
 
-    /** What SIGTERM asks for, see {@link Ending}. */
+    /** Shuts down on SIGTERM, as {@link ShutdownPlan} decides; blocks until the process may exit. */
     public void drain() throws InterruptedException, IOException {
         serving = false;
-        long from = SteadyClock.millis();
-        relay.noCallsAfter(from + Ending.LAST_UNSAFE, from + Ending.LAST_CALL);
-        Ending ending = new Ending(handedOn);
+        long startMillis = SteadyClock.millis();
+        relay.noCallsAfter(
+                startMillis + ShutdownPlan.LAST_UNSAFE_CALL_MILLIS, startMillis + ShutdownPlan.LAST_CALL_MILLIS);
+        ShutdownPlan plan = new ShutdownPlan(listenerInherited);
         while (true) {
-            List<Ending.Step> steps =
-                    ending.at(SteadyClock.millis() - from, network.inbound().size(), relay.held(), notices.waiting());
-            for (Ending.Step step : steps) {
-                switch (step) {
-                    case LAST_ANSWERS -> front.close();
+            List<ShutdownPlan.Action> actions = plan.nextActions(
+                    SteadyClock.millis() - startMillis,
+                    network.inbound().size(),
+                    relay.held(),
+                    statusReporter.unacknowledgedCount());
+            for (ShutdownPlan.Action action : actions) {
+                switch (action) {
+                    case CLOSE_WITH_ANSWERS -> front.close();
                     case STOP_LISTENING -> stopListening();
-                    case END_RESTING -> network.inbound().endAll(true);
-                    case END_ALL -> network.inbound().endAll(false);
+                    case CLOSE_IDLE -> network.inbound().endAll(true);
+                    case CLOSE_ALL -> network.inbound().endAll(false);
                     default -> {
-                        LOG.info("ending with {} RPCs owed", relay.held());
+                        LOG.info("shutting down with {} RPCs unfinished", relay.held());
                         return;
                     }
                 }
             }
-            Thread.sleep(LOOK);
+            Thread.sleep(SHUTDOWN_POLL_MILLIS);
         }
     }
 
@@ -328,7 +372,7 @@
         }
     }
 
-    /** The counters. */
+    /** The counters of this process. */
     public Counters counters() {
         return counters;
     }
@@ -343,7 +387,7 @@
         if (extension != null) {
             extension.close();
         }
-        peers.close();
+        peerDatagrams.close();
         relay.close();
         network.close();
         relay.closeJournal();
--- a/src/main/java/juniperusher/http/StatusReporter.java
+++ b/src/main/java/juniperusher/http/StatusReporter.java
@@ -22,31 +22,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reports to the platform how RPCs ended, one JSON object a line; each goes until the platform has answered
- * 204. {@link ReportQueue} decides what goes when; here its steps are carried out.
+ * Reports to the platform how RPCs ended, as a POST to /status with one JSON object per line. A report is posted
+ * again until the platform answers with status 204. {@link ReportQueue} decides which reports are posted when; this
+ * class carries out its steps. Thread-safe.
  */
 final class StatusReporter {
     private static final Logger LOG = LoggerFactory.getLogger(StatusReporter.class);
     private static final int NO_CONTENT = 204;
-    private static final int OWN = -1; // owner of its connections: those of the watch at that address are not its own
+    // The owner id of this class's connections in the pool. It keeps them apart from the connections of the watch on
+    // discovery, which go to the same address.
+    private static final int CONNECTION_OWNER = -1;
 
     private final Supplier<InetSocketAddress> platform;
     private final HttpPool pool;
     private final Network network;
     private final ReportQueue<Report> queue;
-    private final Map<Integer, HttpPool.Exchange> out = new HashMap<>(); // by the post's number
+    private final Map<Integer, HttpPool.Exchange> postsInFlight = new HashMap<>(); // by number of the post
     private Scheduler.Task timer;
-    private long timerAt = ReportQueue.NEVER;
+    private long timerAtMillis = ReportQueue.NEVER;
 
-    /** An end that the platform has to hear, and who wants to know that it has. */
+    /** The end of an RPC, and the callback for its acknowledgement. */
     private record Report(RpcEnd end, Runnable acknowledged) {}
 
-    /** Reports to the platform at the address that is in force when a post leaves. */
+    /** Creates a reporter with the usual timing; {@code platform} is asked for the current address at each post. */
     StatusReporter(Supplier<InetSocketAddress> platform, HttpPool pool, Network network) {
         this(platform, pool, network, ReportTiming.USUAL);
     }
 
-    /** The same within other bounds. */
+    /** Creates a reporter with another timing. */
     StatusReporter(Supplier<InetSocketAddress> platform, HttpPool pool, Network network, ReportTiming timing) {
         queue = new ReportQueue<>(timing);
         this.platform = platform;
@@ -54,103 +57,105 @@
         this.network = network;
     }
 
-    /** Reports the end; {@code acknowledged} runs once, when the platform has acknowledged it. */
+    /** Queues a report of this end; {@code acknowledged} runs once, when the platform has acknowledged it. */
     void add(RpcEnd end, Runnable acknowledged) {
         Report report = new Report(end, acknowledged);
         handle(now -> queue.add(report, now));
     }
 
-    /** Ends that are not yet acknowledged. */
-    synchronized int waiting() {
+    /** The number of reports that the platform has not yet acknowledged. */
+    synchronized int unacknowledgedCount() {
         return queue.waiting();
     }
 
-    /** Something that the queue hears, with its time. */
+    /** An input of the queue, applied with the current time in milliseconds. */
     private interface QueueEvent {
-        List<Step<Report>> tell(long now);
+        List<Step<Report>> apply(long now);
     }
 
     private void handle(QueueEvent event) {
-        List<Runnable> acknowledged = new ArrayList<>();
+        List<Runnable> callbacks = new ArrayList<>();
         synchronized (this) {
-            for (Step<Report> step : event.tell(now())) {
+            for (Step<Report> step : event.apply(nowMillis())) {
                 if (step instanceof Step.Post<Report> post) {
                     send(post);
                 } else if (step instanceof Step.Abandon<Report> abandon) {
                     abandon(abandon.number());
-                } else if (step instanceof Step.Acknowledged<Report> done) {
-                    acknowledged.add(done.report().acknowledged());
+                } else if (step instanceof Step.Acknowledged<Report> acknowledged) {
+                    callbacks.add(acknowledged.report().acknowledged());
                 }
             }
             schedule();
         }
-        acknowledged.forEach(Runnable::run); // not under the lock: they write the journal
+        callbacks.forEach(Runnable::run); // outside of the lock, since they write the journal
     }
 
     private void send(Step.Post<Report> post) {
         InetSocketAddress address = platform.get();
         if (post.newConnection()) {
-            pool.closeIdle(address, OWN); // they may have fallen silent as the last one did
+            // The last connection did not respond, and the idle ones may be in the same state.
+            pool.closeIdle(address, CONNECTION_OWNER);
         }
         HttpMessage request = HttpMessage.request("POST", "/status", body(post.reports()), "Host", "platform");
-        HttpPool.Exchange exchange = pool.exchange(address, OWN, request, () -> true, new PostListener(post.number()));
-        if (queue.isOut(post.number())) { // else it failed at once
-            out.put(post.number(), exchange);
-            queue.posted(post.number(), now());
+        HttpPool.Exchange exchange =
+                pool.exchange(address, CONNECTION_OWNER, request, () -> true, new PostListener(post.number()));
+        if (queue.isOut(post.number())) { // false if the exchange has already failed
+            postsInFlight.put(post.number(), exchange);
+            queue.posted(post.number(), nowMillis());
         }
     }
 
-    private void abandon(int number) {
-        HttpPool.Exchange exchange = out.remove(number);
+    private void abandon(int postNumber) {
+        HttpPool.Exchange exchange = postsInFlight.remove(postNumber);
         if (exchange != null) {
             exchange.abandon(CallEnd.CALLED_OFF);
         }
     }
 
-    private synchronized void forget(int number) {
-        out.remove(number);
+    private synchronized void forget(int postNumber) {
+        postsInFlight.remove(postNumber);
     }
 
-    /** Sets the timer to when the queue wants to be asked again, or to none. */
+    /** Sets the timer to the queue's next post, or cancels it if none is due. */
     private void schedule() {
         long next = queue.nextPostAt();
-        if (next == timerAt) {
+        if (next == timerAtMillis) {
             return;
         }
         if (timer != null) {
             timer.cancel();
             timer = null;
         }
-        timerAt = next;
+        timerAtMillis = next;
         if (next != ReportQueue.NEVER) {
-            timer = network.scheduler().schedule(this::tick, Math.max(1, next - now()), TimeUnit.MILLISECONDS);
+            timer = network.scheduler().schedule(this::tick, Math.max(1, next - nowMillis()), TimeUnit.MILLISECONDS);
         }
     }
 
     private void tick() {
-        List<HttpPool.Exchange> waiting;
+        List<HttpPool.Exchange> exchanges;
         synchronized (this) {
-            waiting = List.copyOf(out.values());
+            exchanges = List.copyOf(postsInFlight.values());
         }
-        // Guards a busy core: an answer may have come that the selector has not got to.
-        waiting.forEach(HttpPool.Exchange::poll);
+        // On a busy CPU an answer may have arrived that the selector has not read yet.
+        exchanges.forEach(HttpPool.Exchange::poll);
         handle(now -> {
-            timerAt = ReportQueue.NEVER;
+            timerAtMillis = ReportQueue.NEVER;
             return queue.tick(now);
         });
     }
 
-    private static long now() {
+    private static long nowMillis() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
     private static byte[] body(List<Report> reports) {
         StringBuilder lines = new StringBuilder();
-        reports.forEach(report -> lines.append(line(report.end())).append('\n'));
+        reports.forEach(report -> lines.append(toJson(report.end())).append('\n'));
         return lines.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static String line(RpcEnd end) {
+    private static String toJson(RpcEnd end) {
         JsonObject json = new JsonObject().add("message", end.id());
         if (end.kind() == RpcEnd.Kind.GIVEN_UP) {
             return json.add("outcome", "given_up").toString();
@@ -159,29 +164,29 @@
         return (end.retryIn() > 0 ? json.add("retry_in_ms", Math.round(end.retryIn() * 1000)) : json).toString();
     }
 
-    /** Hears how a post ends. */
+    /** Passes the result of one post to the queue. */
     private final class PostListener implements HttpPool.Listener {
-        private final int number;
+        private final int postNumber;
 
-        PostListener(int number) {
-            this.number = number;
+        PostListener(int postNumber) {
+            this.postNumber = postNumber;
         }
 
         @Override
         public void answered(HttpMessage response) {
-            forget(number);
+            forget(postNumber);
             if (response.status() == NO_CONTENT) {
-                handle(now -> queue.answered(number, now));
+                handle(now -> queue.answered(postNumber, now));
             } else {
-                LOG.warn("a status report was answered {}", response.status());
-                handle(now -> queue.failed(number, now));
+                LOG.warn("the platform answered a status report with status {}", response.status());
+                handle(now -> queue.failed(postNumber, now));
             }
         }
 
         @Override
-        public void ended(CallEnd why, int firstLine) {
-            forget(number);
-            handle(now -> queue.failed(number, now));
+        public void ended(CallEnd reason, int firstLine) {
+            forget(postNumber);
+            handle(now -> queue.failed(postNumber, now));
         }
     }
 }
