--- a/src/test/java/juniperusher/membership/MembershipPropertyTest.java
+++ b/src/test/java/juniperusher/membership/MembershipPropertyTest.java
@@ -106,8 +106,8 @@
         void deliver(int watch) {
             Step.Open request = open.get(watch);
             if (request == null) { // late data on a closed watch, with all endpoints ready
-                carryOut(
-                        membership.told(watch, new Update(true, 99, List.of(entry(0, Phase.READY, 9)), Set.of()), now));
+                carryOut(membership.told(
+                        watch, new Update(true, 99, List.of(entry(0, Phase.READY, 9)), Set.of()), now));
                 return;
             }
             Update update = request.whole() ? agent().fullList() : agent().changesAfter(lastVersions.get(watch));
@@ -318,8 +318,9 @@
                         (name, phaseBySource) -> phaseBySource.computeIfPresent(source, (key, last) -> Phase.GONE));
             }
             phases.computeIfAbsent("s-" + id, key -> new HashMap<>()).put(source, phase);
-            phases.values().removeIf(phaseBySource -> phaseBySource.values().stream()
-                    .allMatch(phaseOfSource -> phaseOfSource == Phase.GONE));
+            phases.values()
+                    .removeIf(phaseBySource ->
+                            phaseBySource.values().stream().allMatch(phaseOfSource -> phaseOfSource == Phase.GONE));
             roster.apply(source, new Update(whole, code, entries, Set.of()), source, true, now);
             Snapshot snapshot = roster.snapshot();
             Map<String, Phase> actual = new HashMap<>();
