--- a/src/main/java/juniperusher/mgmt/Management.java
+++ b/src/main/java/juniperusher/mgmt/Management.java
@@ -30,12 +30,12 @@
  */
 public final class Management implements HttpServerConnection.Handler, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Management.class);
-    private static final int MOST_BODY = 4 * 1024; // bytes; a target's id is short
-    private static final int MOST_CONNECTIONS = 64; // the mute and idle go first beyond that
+    private static final int MAX_BODY_BYTES = 4 * 1024; // bytes; a target's id is short
+    private static final int MAX_CONNECTIONS = 64; // the mute and idle go first beyond that
 
-    private final AtomicReference<Operated> operated = new AtomicReference<>(Operated.STARTING);
-    private final AtomicLong shed = new AtomicLong();
-    private Closeable listening;
+    private final AtomicReference<Operated> currentRelay = new AtomicReference<>(Operated.STARTING);
+    private final AtomicLong shedCount = new AtomicLong();
+    private Closeable listener;
 
     private Management() {}
 
@@ -46,28 +46,30 @@
      */
     public static Management listen(Network network, InetSocketAddress address) throws IOException {
         Management management = new Management();
-        Inbound apart = Inbound.apart(MOST_CONNECTIONS, management.shed::incrementAndGet);
-        management.listening = network.listen(
-                address, endPoint -> new HttpServerConnection(endPoint, network, apart, MOST_BODY, management), false);
+        Inbound ownBound = Inbound.oldestFirst(MAX_CONNECTIONS, management.shedCount::incrementAndGet);
+        management.listener = network.listen(
+                address,
+                endPoint -> new HttpServerConnection(endPoint, network, ownBound, MAX_BODY_BYTES, management),
+                false);
         LOG.atInfo().addKeyValue("address", address).log("operators' calls are taken");
         return management;
     }
 
     @Override
     public void close() throws IOException {
-        if (listening != null) {
-            listening.close();
+        if (listener != null) {
+            listener.close();
         }
     }
 
     /** From now on calls act on {@code relay}. */
     public void operate(Operated relay) {
-        operated.set(relay);
+        currentRelay.set(relay);
     }
 
     /** How many connections were closed for want of room. */
     public long shed() {
-        return shed.get();
+        return shedCount.get();
     }
 
     @Override
@@ -85,7 +87,7 @@
         String path = request.path();
         int query = path.indexOf('?');
         path = query < 0 ? path : path.substring(0, query);
-        Operated relay = operated.get();
+        Operated relay = currentRelay.get();
         switch (path) {
             case "/status":
                 if (!request.method().equals("GET")) {
@@ -101,18 +103,18 @@
                 }
                 String id;
                 try {
-                    id = target(request.body());
+                    id = parseTarget(request.body());
                 } catch (IllegalArgumentException e) {
                     return HttpMessage.response(400, e.getMessage() + '\n');
                 }
                 boolean enter = path.endsWith("enter");
-                Operated.Answer done = enter ? relay.enter(id) : relay.exit(id);
+                Operated.Answer result = enter ? relay.enter(id) : relay.exit(id);
                 LOG.atInfo()
                         .addKeyValue("target", id)
                         .addKeyValue("call", enter ? "enter" : "exit")
-                        .addKeyValue("answer", done)
+                        .addKeyValue("answer", result)
                         .log("maintenance");
-                return switch (done) {
+                return switch (result) {
                     case DONE -> HttpMessage.response(200, (enter ? "held out: " : "back: ") + id + '\n');
                     case UNKNOWN -> HttpMessage.response(404, "no endpoint has the id " + id + '\n');
                     case NOT_NOW -> HttpMessage.response(503, "the relay is not serving yet\n");
@@ -123,7 +125,7 @@
     }
 
     /** The id in a body {@code {"target":"ID"}}; an {@link IllegalArgumentException} says what is wrong. */
-    static String target(byte[] body) {
+    static String parseTarget(byte[] body) {
         JsonValue json;
         try {
             json = Json.parse(new String(body, StandardCharsets.UTF_8));
--- a/src/main/java/juniperusher/net/HttpClientConnection.java
+++ b/src/main/java/juniperusher/net/HttpClientConnection.java
@@ -25,41 +25,42 @@
  * comes behind a good answer spoils the connection alone and is never read as the next call's answer.
  */
 final class HttpClientConnection extends AbstractConnection implements HttpParser.ResponseHandler {
-    private static final int BUFFER = 4 * 1024;
-    private static final int MOST_HEAD = 16 * 1024; // bytes
-    private static final int MOST_INTERIM = 16; // 1xx answers in front of the final one
-    private static final long ANSWER = 500; // ms from an answer's first byte to its last
-    private static final long LINGER = 1_000; // ms without a byte for which one that has ended is read on
-    private static final int DROPPED = 1 << 20; // bytes of it that are read and dropped at most
+    private static final int INPUT_BUFFER_BYTES = 4 * 1024;
+    private static final int MAX_HEAD_BYTES = 16 * 1024; // bytes
+    private static final int MAX_INTERIM_RESPONSES = 16; // 1xx answers in front of the final one
+    private static final long RESPONSE_TIMEOUT_MILLIS = 500; // ms from an answer's first byte to its last
+    private static final long LINGER_IDLE_TIMEOUT_MILLIS =
+            1_000; // ms without a byte for which one that has ended is read on
+    private static final int MAX_DISCARDED_BYTES = 1 << 20; // bytes of it that are read and dropped at most
     // Where they go: shared, since nobody reads them.
-    private static final ByteBuffer DROP = ByteBuffer.allocateDirect(16 * 1024);
+    private static final ByteBuffer DISCARD_BUFFER = ByteBuffer.allocateDirect(16 * 1024);
 
     private final Network network;
     private final HttpPool pool;
-    private final HttpParser parser = new HttpParser(this, MOST_HEAD);
-    private final ByteBuffer in = BufferUtil.allocate(BUFFER);
-    private final Consumer<HttpClientConnection> opened;
+    private final HttpParser parser = new HttpParser(this, MAX_HEAD_BYTES);
+    private final ByteBuffer input = BufferUtil.allocate(INPUT_BUFFER_BYTES);
+    private final Consumer<HttpClientConnection> onOpened;
     private HttpFields.Mutable fields = HttpFields.build();
     private ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
-    private int interim;
-    private boolean complete;
-    private boolean spoilt;
-    private boolean keep = true;
+    private int interimResponses;
+    private boolean responseComplete;
+    private boolean responseInvalid;
+    private boolean keepAlive = true;
     private volatile HttpPool.Exchange exchange;
     private volatile boolean closed;
     private volatile boolean lingering; // its output has ended, what still comes is dropped
-    private int dropped;
-    private volatile long idleSince;
-    private Scheduler.Task overdue;
-    private boolean writing; // the request's write has not said how it ended
-    private HttpPool.Exchange answeredEarly; // whose answer came before that
+    private int discardedBytes;
+    private volatile long idleSinceNanos;
+    private Scheduler.Task responseTimeout;
+    private boolean requestWriteInProgress; // the request's write has not said how it ended
+    private HttpPool.Exchange answeredBeforeWriteEnd; // whose answer came before that
 
-    HttpClientConnection(EndPoint endPoint, Network network, HttpPool pool, Consumer<HttpClientConnection> opened) {
+    HttpClientConnection(EndPoint endPoint, Network network, HttpPool pool, Consumer<HttpClientConnection> onOpened) {
         super(endPoint, network.threads());
         this.network = network;
         this.pool = pool;
-        this.opened = opened;
+        this.onOpened = onOpened;
     }
 
     /** Nothing here waits, so the selector's thread itself reads: no hand-over for each answer. */
@@ -72,13 +73,13 @@
     public void onOpen() {
         super.onOpen();
         fillInterested();
-        opened.accept(this);
+        onOpened.accept(this);
     }
 
     /** Whether nothing has come since the last answer; asked before the connection is used again. */
-    synchronized boolean quiet() {
+    synchronized boolean hasNoInput() {
         try {
-            return usable() && !in.hasRemaining() && getEndPoint().fill(in) == 0;
+            return isUsable() && !input.hasRemaining() && getEndPoint().fill(input) == 0;
         } catch (IOException e) {
             return false;
         }
@@ -87,29 +88,29 @@
     /**
      * Writes the exchange's request. From here on its last byte may be gone, unless the write says otherwise.
      */
-    void start(HttpPool.Exchange next, ByteBuffer request) {
+    void send(HttpPool.Exchange next, ByteBuffer request) {
         exchange = next;
-        if (!next.leaving(this)) {
+        if (!next.claimConnection(this)) {
             exchange = null;
-            pool.unused(next, this);
+            pool.release(next, this);
             return;
         }
         synchronized (this) {
-            writing = true;
+            requestWriteInProgress = true;
         }
         try {
             getEndPoint()
                     .write(
-                            Callback.from(this::written, failure -> {
+                            Callback.from(this::requestWritten, failure -> {
                                 if (request.hasRemaining()) {
-                                    next.neverWhole();
+                                    next.requestNotFullyWritten();
                                 }
-                                lost(CallEnd.BROKEN);
+                                fail(CallEnd.BROKEN);
                             }),
                             request);
         } catch (WritePendingException e) {
-            next.neverWhole(); // not one byte was taken
-            lost(CallEnd.BROKEN);
+            next.requestNotFullyWritten(); // not one byte was taken
+            fail(CallEnd.BROKEN);
         }
     }
 
@@ -120,27 +121,27 @@
      * with
      * an exception that nobody waits for. So a connection is kept only once both have ended.
      */
-    private void written() {
-        HttpPool.Exchange done;
+    private void requestWritten() {
+        HttpPool.Exchange completed;
         synchronized (this) {
-            writing = false;
-            done = answeredEarly;
-            answeredEarly = null;
+            requestWriteInProgress = false;
+            completed = answeredBeforeWriteEnd;
+            answeredBeforeWriteEnd = null;
         }
-        if (done != null) {
-            pool.unused(done, this);
+        if (completed != null) {
+            pool.release(completed, this);
         }
     }
 
-    void idleFrom(long time) {
-        idleSince = time;
+    void setIdleSinceNanos(long nanoTime) {
+        idleSinceNanos = nanoTime;
     }
 
-    long idleSince() {
-        return idleSince;
+    long idleSinceNanos() {
+        return idleSinceNanos;
     }
 
-    boolean usable() {
+    boolean isUsable() {
         return !closed && getEndPoint().isOpen();
     }
 
@@ -150,7 +151,7 @@
      * that comes in this very instant, resets the connection, and the other side cannot know what of its
      * answer was read.
      */
-    void retire() {
+    void closeGracefully() {
         synchronized (this) {
             if (closed) {
                 return;
@@ -158,32 +159,32 @@
             closed = true;
             lingering = true;
         }
-        pool.gone(this);
-        linger();
+        pool.remove(this);
+        startLingering();
     }
 
-    private void linger() {
-        getEndPoint().setIdleTimeout(LINGER);
+    private void startLingering() {
+        getEndPoint().setIdleTimeout(LINGER_IDLE_TIMEOUT_MILLIS);
         getEndPoint().shutdownOutput();
     }
 
     @Override
     public void onFillable() {
         if (lingering) {
-            drop();
+            discardInput();
         } else {
             read(true);
         }
     }
 
-    private void drop() {
+    private void discardInput() {
         try {
             while (true) {
-                ByteBuffer into = DROP.duplicate();
-                BufferUtil.clear(into);
-                int n = getEndPoint().fill(into);
-                dropped += Math.max(0, n);
-                if (n < 0 || dropped > DROPPED) {
+                ByteBuffer buffer = DISCARD_BUFFER.duplicate();
+                BufferUtil.clear(buffer);
+                int n = getEndPoint().fill(buffer);
+                discardedBytes += Math.max(0, n);
+                if (n < 0 || discardedBytes > MAX_DISCARDED_BYTES) {
                     close();
                     return;
                 }
@@ -202,31 +203,31 @@
         read(false);
     }
 
-    private void read(boolean called) {
-        Runnable told;
+    private void read(boolean fromSelector) {
+        Runnable completion;
         synchronized (this) {
-            told = called || exchange != null ? next(called) : null;
+            completion = fromSelector || exchange != null ? processInput(fromSelector) : null;
         }
-        if (told != null) {
-            told.run(); // not under the lock: what hears of it may use other connections
+        if (completion != null) {
+            completion.run(); // not under the lock: what hears of it may use other connections
         }
     }
 
     /** Reads what is there; the rest of the matter, if an answer has come or can come no more. */
-    private Runnable next(boolean called) {
+    private Runnable processInput(boolean fromSelector) {
         try {
             while (!closed) {
-                if (!in.hasRemaining()) {
-                    int n = getEndPoint().fill(in);
+                if (!input.hasRemaining()) {
+                    int n = getEndPoint().fill(input);
                     if (n < 0) {
                         parser.atEOF();
                         parser.parseNext(BufferUtil.EMPTY_BUFFER);
-                        keep = false;
-                        return complete ? finished(called) : () -> lost(CallEnd.BROKEN);
+                        keepAlive = false;
+                        return responseComplete ? completeExchange(fromSelector) : () -> fail(CallEnd.BROKEN);
                     }
                     if (n == 0) {
-                        limitTime();
-                        if (called) {
+                        scheduleResponseTimeout();
+                        if (fromSelector) {
                             fillInterested();
                         }
                         return null;
@@ -236,89 +237,93 @@
                     closed = true; // bytes that answer nothing
                     lingering = true;
                     return () -> {
-                        pool.gone(this);
-                        linger();
-                        if (called) {
-                            drop(); // else its interest in the next byte still stands
+                        pool.remove(this);
+                        startLingering();
+                        if (fromSelector) {
+                            discardInput(); // else its interest in the next byte still stands
                         }
                     };
                 }
-                int before = in.remaining();
-                boolean stopped = parser.parseNext(in) || in.remaining() == before;
-                if (complete && !spoilt && status < 200 && status != 101 && ++interim <= MOST_INTERIM) {
-                    reset(); // the final answer is still to come
-                } else if (complete && !spoilt && status >= 200) {
-                    return finished(called);
-                } else if (spoilt || stopped) {
-                    return () -> lost(CallEnd.SPOILT);
+                int before = input.remaining();
+                boolean parserStopped = parser.parseNext(input) || input.remaining() == before;
+                if (responseComplete
+                        && !responseInvalid
+                        && status < 200
+                        && status != 101
+                        && ++interimResponses <= MAX_INTERIM_RESPONSES) {
+                    resetParser(); // the final answer is still to come
+                } else if (responseComplete && !responseInvalid && status >= 200) {
+                    return completeExchange(fromSelector);
+                } else if (responseInvalid || parserStopped) {
+                    return () -> fail(CallEnd.SPOILT);
                 }
             }
-            return lingering && called ? this::drop : null;
+            return lingering && fromSelector ? this::discardInput : null;
         } catch (IOException | RuntimeException e) {
-            return () -> lost(CallEnd.BROKEN);
+            return () -> fail(CallEnd.BROKEN);
         }
     }
 
-    private void limitTime() {
+    private void scheduleResponseTimeout() {
         HttpPool.Exchange current = exchange;
-        if (current != null && overdue == null && !parser.isStart() && !current.endless()) {
-            overdue = network.scheduler()
+        if (current != null && responseTimeout == null && !parser.isStart() && !current.hasUnboundedResponse()) {
+            responseTimeout = network.scheduler()
                     .schedule(
                             () -> {
                                 if (exchange == current) {
-                                    lost(CallEnd.SPOILT);
+                                    fail(CallEnd.SPOILT);
                                 }
                             },
-                            ANSWER,
+                            RESPONSE_TIMEOUT_MILLIS,
                             TimeUnit.MILLISECONDS);
         }
     }
 
-    private void reset() {
-        complete = false;
+    private void resetParser() {
+        responseComplete = false;
         fields = HttpFields.build();
         body = new ByteArrayOutputStream();
         parser.reset();
     }
 
-    private Runnable finished(boolean called) {
-        HttpPool.Exchange done = exchange;
+    private Runnable completeExchange(boolean fromSelector) {
+        HttpPool.Exchange completed = exchange;
         HttpMessage response = new HttpMessage(Integer.toString(status), fields.asImmutable(), body.toByteArray());
-        if (overdue != null) {
-            overdue.cancel();
-            overdue = null;
+        if (responseTimeout != null) {
+            responseTimeout.cancel();
+            responseTimeout = null;
         }
         exchange = null;
-        interim = 0;
-        reset();
-        boolean reuse = keep && quiet();
-        if (reuse && called) {
+        interimResponses = 0;
+        resetParser();
+        boolean reuse = keepAlive && hasNoInput();
+        if (reuse && fromSelector) {
             fillInterested();
         }
         if (!reuse) {
             closed = true;
             lingering = true;
-            linger();
-            if (called) {
+            startLingering();
+            if (fromSelector) {
                 fillInterested();
             }
         }
-        boolean later = reuse && writing;
-        if (later) {
-            answeredEarly = done;
+        boolean releaseAfterWrite = reuse && requestWriteInProgress;
+        if (releaseAfterWrite) {
+            answeredBeforeWriteEnd = completed;
         }
-        return done == null ? null : () -> done.answered(response, reuse && !later ? this : null);
+        return completed == null ? null : () -> completed.answered(response, reuse && !releaseAfterWrite ? this : null);
     }
 
     /** The connection is of no more use; an exchange on it ends so. */
-    void lost(CallEnd why) {
+    void fail(CallEnd end) {
         closed = true;
         close();
-        pool.gone(this);
-        HttpPool.Exchange cut = exchange;
+        pool.remove(this);
+        HttpPool.Exchange interrupted = exchange;
         exchange = null;
-        if (cut != null) {
-            cut.ended(why);
+        if (interrupted != null) {
+            interrupted.ended(end);
         }
     }
 
@@ -326,7 +331,7 @@
     public void onClose(Throwable cause) {
         super.onClose(cause);
         closed = true;
-        pool.gone(this);
+        pool.remove(this);
     }
 
     // ---- the parser's calls ----
@@ -334,24 +339,24 @@
     @Override
     public void startResponse(HttpVersion version, int code, String reason) {
         status = code;
-        keep = version == HttpVersion.HTTP_1_1;
+        keepAlive = version == HttpVersion.HTTP_1_1;
         HttpPool.Exchange current = exchange;
         if (current != null && code >= 200) {
-            current.firstLine(code);
+            current.statusLineReceived(code);
         }
     }
 
     @Override
     public void parsedHeader(HttpField field) {
         fields.add(field);
-        keep &= field.getHeader() != HttpHeader.CONNECTION || !field.contains("close");
+        keepAlive &= field.getHeader() != HttpHeader.CONNECTION || !field.contains("close");
     }
 
     @Override
     public boolean headerComplete() {
         HttpPool.Exchange current = exchange;
-        spoilt |= current != null && parser.getContentLength() > current.most();
-        return spoilt;
+        responseInvalid |= current != null && parser.getContentLength() > current.maxResponseBytes();
+        return responseInvalid;
     }
 
     @Override
@@ -361,9 +366,9 @@
         HttpPool.Exchange current = exchange;
         if (current != null && !current.streamed(status, bytes)) {
             body.writeBytes(bytes);
-            spoilt |= body.size() > current.most();
+            responseInvalid |= body.size() > current.maxResponseBytes();
         }
-        return spoilt;
+        return responseInvalid;
     }
 
     @Override
@@ -373,17 +378,17 @@
 
     @Override
     public boolean messageComplete() {
-        complete = true;
+        responseComplete = true;
         return true;
     }
 
     @Override
     public void earlyEOF() {
-        keep = false; // the end of the input says the same
+        keepAlive = false; // the end of the input says the same
     }
 
     @Override
     public void badMessage(HttpException failure) {
-        spoilt = true;
+        responseInvalid = true;
     }
 }
--- a/src/main/java/juniperusher/net/HttpMessage.java
+++ b/src/main/java/juniperusher/net/HttpMessage.java
@@ -21,8 +21,8 @@
  * @param body   the content
  */
 public record HttpMessage(String start, HttpFields fields, byte[] body) {
-    private static final int HEAD = 4096;
-    private static final Pattern NUMBER = Pattern.compile("[+-]?\\d{1,12}(\\.\\d{0,12})?([eE][+-]?\\d{1,2})?");
+    private static final int HEAD_BUFFER_BYTES = 4096;
+    private static final Pattern DECIMAL_NUMBER = Pattern.compile("[+-]?\\d{1,12}(\\.\\d{0,12})?([eE][+-]?\\d{1,2})?");
 
     /** A request; {@code fields} are names and values in turn. */
     public static HttpMessage request(String method, String path, byte[] body, String... fields) {
@@ -64,14 +64,14 @@
 
     /** The wait that {@code Retry-After} tells, in seconds; 0 for none or one that is no number. */
     public double retryAfter() {
-        String wait = get("Retry-After");
-        double seconds = wait == null ? 0 : number(wait);
+        String value = get("Retry-After");
+        double seconds = value == null ? 0 : number(value);
         return seconds > 0 ? seconds : 0;
     }
 
     /** A decimal number, or NaN for what is none: 'Infinity' and '0x1p3' are none. */
     public static double number(String text) {
-        return NUMBER.matcher(text.strip()).matches() ? Double.parseDouble(text.strip()) : Double.NaN;
+        return DECIMAL_NUMBER.matcher(text.strip()).matches() ? Double.parseDouble(text.strip()) : Double.NaN;
     }
 
     /** The content as text. */
@@ -83,19 +83,19 @@
     public ByteBuffer bytes() {
         HttpGenerator generator = new HttpGenerator();
         boolean request = start.indexOf(' ') > 0;
-        MetaData.Request asked = request
+        MetaData.Request requestHead = request
                 ? new MetaData.Request(0, method(), HttpURI.from(path()), HttpVersion.HTTP_1_1, fields, body.length)
                 : null;
-        MetaData.Response told =
+        MetaData.Response responseHead =
                 request ? null : new MetaData.Response(status(), null, HttpVersion.HTTP_1_1, fields, body.length);
-        ByteBuffer head = BufferUtil.allocate(HEAD);
+        ByteBuffer head = BufferUtil.allocate(HEAD_BUFFER_BYTES);
         ByteBuffer content = ByteBuffer.wrap(body);
-        ByteArrayOutputStream out = new ByteArrayOutputStream(HEAD + body.length);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(HEAD_BUFFER_BYTES + body.length);
         try {
             while (true) {
                 HttpGenerator.Result result = request
-                        ? generator.generateRequest(asked, head, null, content, true)
-                        : generator.generateResponse(told, false, head, null, content, true);
+                        ? generator.generateRequest(requestHead, head, null, content, true)
+                        : generator.generateResponse(responseHead, false, head, null, content, true);
                 switch (result) {
                     case FLUSH -> {
                         BufferUtil.writeTo(head, out);
--- a/src/main/java/juniperusher/net/HttpPool.java
+++ b/src/main/java/juniperusher/net/HttpPool.java
@@ -18,23 +18,23 @@
  * reset. Nothing is ever sent again here.
  */
 public final class HttpPool {
-    private static final long MOST_ANSWER = 256 * 1024; // bytes; bodies hold 64 KiB at most, this allows more
+    private static final long MAX_RESPONSE_BYTES = 256 * 1024; // bytes; bodies hold 64 KiB at most, this allows more
 
     private final Network network;
-    private final long idleNanos;
-    private final int mostIdle;
-    private final Map<Peer, Deque<HttpClientConnection>> idle = new HashMap<>();
+    private final long idleTimeoutNanos;
+    private final int maxIdle;
+    private final Map<ConnectionKey, Deque<HttpClientConnection>> idleByKey = new HashMap<>();
     private int idleCount;
 
     /** Who a connection leads to: an address alone may pass from one endpoint to the next. */
-    private record Peer(InetSocketAddress address, int owner) {}
+    private record ConnectionKey(InetSocketAddress address, int owner) {}
 
     /** Keeps idle connections for {@code idleSeconds}, and {@code mostIdle} of them, at most. */
-    public HttpPool(Network network, double idleSeconds, int mostIdle) {
+    public HttpPool(Network network, double idleTimeoutSeconds, int maxIdle) {
         this.network = network;
-        this.mostIdle = mostIdle;
-        idleNanos = (long) (idleSeconds * 1e9);
-        sweep();
+        this.maxIdle = maxIdle;
+        idleTimeoutNanos = (long) (idleTimeoutSeconds * 1e9);
+        closeExpired();
     }
 
     /** Hears how an exchange goes; exactly one of {@code answered} and {@code ended} comes. */
@@ -53,7 +53,7 @@
 
         /** Bytes that an answer's content may have; a longer one is spoilt. */
         default long most() {
-            return MOST_ANSWER;
+            return MAX_RESPONSE_BYTES;
         }
 
         /** Content of an answer that is taken piece by piece; true if so. */
@@ -74,14 +74,14 @@
      */
     public Exchange exchange(
             InetSocketAddress address, int owner, HttpMessage request, BooleanSupplier mayStart, Listener listener) {
-        Exchange exchange = new Exchange(new Peer(address, owner), request.bytes(), mayStart, listener);
-        HttpClientConnection kept = take(exchange.peer);
-        while (kept != null && !kept.quiet()) {
-            kept.retire();
-            kept = take(exchange.peer);
+        Exchange exchange = new Exchange(new ConnectionKey(address, owner), request.bytes(), mayStart, listener);
+        HttpClientConnection idleConnection = takeIdle(exchange.key);
+        while (idleConnection != null && !idleConnection.hasNoInput()) {
+            idleConnection.closeGracefully();
+            idleConnection = takeIdle(exchange.key);
         }
-        if (kept != null) {
-            exchange.connected(kept);
+        if (idleConnection != null) {
+            exchange.connected(idleConnection);
         } else if (!mayStart.getAsBoolean()) {
             exchange.ended(CallEnd.HELD_BACK);
         } else {
@@ -90,98 +90,101 @@
         return exchange;
     }
 
-    private HttpClientConnection take(Peer peer) {
-        synchronized (idle) {
-            Deque<HttpClientConnection> kept = idle.get(peer);
-            while (kept != null && !kept.isEmpty()) {
-                HttpClientConnection connection = kept.pollFirst();
+    private HttpClientConnection takeIdle(ConnectionKey key) {
+        synchronized (idleByKey) {
+            Deque<HttpClientConnection> idleForKey = idleByKey.get(key);
+            while (idleForKey != null && !idleForKey.isEmpty()) {
+                HttpClientConnection connection = idleForKey.pollFirst();
                 idleCount--;
-                if (connection.usable() && System.nanoTime() - connection.idleSince() < idleNanos) {
+                if (connection.isUsable() && System.nanoTime() - connection.idleSinceNanos() < idleTimeoutNanos) {
                     return connection;
                 }
-                connection.retire();
+                connection.closeGracefully();
             }
             return null;
         }
     }
 
-    private void keep(Peer peer, HttpClientConnection connection) {
-        connection.idleFrom(System.nanoTime());
-        HttpClientConnection out = null;
-        synchronized (idle) {
-            if (connection.usable()) {
-                idle.computeIfAbsent(peer, key -> new ArrayDeque<>()).addFirst(connection);
-                out = ++idleCount > mostIdle ? oldest() : null;
+    private void addIdle(ConnectionKey key, HttpClientConnection connection) {
+        connection.setIdleSinceNanos(System.nanoTime());
+        HttpClientConnection evicted = null;
+        synchronized (idleByKey) {
+            if (connection.isUsable()) {
+                idleByKey.computeIfAbsent(key, absent -> new ArrayDeque<>()).addFirst(connection);
+                evicted = ++idleCount > maxIdle ? removeLongestIdle() : null;
             }
         }
-        if (out != null) {
-            out.retire();
+        if (evicted != null) {
+            evicted.closeGracefully();
         }
     }
 
     /** Guards descriptors: takes out the connection that has been idle longest. */
-    private HttpClientConnection oldest() {
-        Deque<HttpClientConnection> in = null;
-        for (Deque<HttpClientConnection> kept : idle.values()) {
-            if (!kept.isEmpty()
-                    && (in == null
-                            || kept.peekLast().idleSince() - in.peekLast().idleSince() < 0)) {
-                in = kept;
+    private HttpClientConnection removeLongestIdle() {
+        Deque<HttpClientConnection> oldest = null;
+        for (Deque<HttpClientConnection> candidates : idleByKey.values()) {
+            if (!candidates.isEmpty()
+                    && (oldest == null
+                            || candidates.peekLast().idleSinceNanos()
+                                            - oldest.peekLast().idleSinceNanos()
+                                    < 0)) {
+                oldest = candidates;
             }
         }
         idleCount--;
-        return in.pollLast();
+        return oldest.pollLast();
     }
 
-    void unused(Exchange exchange, HttpClientConnection connection) {
-        keep(exchange.peer, connection);
+    void release(Exchange exchange, HttpClientConnection connection) {
+        addIdle(exchange.key, connection);
     }
 
-    void gone(HttpClientConnection connection) {
-        synchronized (idle) {
-            idle.values().forEach(kept -> idleCount -= kept.remove(connection) ? 1 : 0);
+    void remove(HttpClientConnection connection) {
+        synchronized (idleByKey) {
+            idleByKey.values().forEach(connections -> idleCount -= connections.remove(connection) ? 1 : 0);
         }
     }
 
     /** Closes the idle connections to the owner of an address. */
     public void closeIdle(InetSocketAddress address, int owner) {
-        Deque<HttpClientConnection> kept;
-        synchronized (idle) {
-            kept = idle.remove(new Peer(address, owner));
-            idleCount -= kept == null ? 0 : kept.size();
+        Deque<HttpClientConnection> removed;
+        synchronized (idleByKey) {
+            removed = idleByKey.remove(new ConnectionKey(address, owner));
+            idleCount -= removed == null ? 0 : removed.size();
         }
-        if (kept != null) {
-            kept.forEach(HttpClientConnection::retire);
+        if (removed != null) {
+            removed.forEach(HttpClientConnection::closeGracefully);
         }
     }
 
-    private void sweep() {
-        Deque<HttpClientConnection> old = new ArrayDeque<>();
-        synchronized (idle) {
+    private void closeExpired() {
+        Deque<HttpClientConnection> expired = new ArrayDeque<>();
+        synchronized (idleByKey) {
             long now = System.nanoTime();
-            idle.values()
-                    .forEach(kept -> kept.removeIf(
-                            connection -> now - connection.idleSince() >= idleNanos && old.add(connection)));
-            idleCount -= old.size();
-            idle.values().removeIf(Deque::isEmpty);
+            idleByKey
+                    .values()
+                    .forEach(connections -> connections.removeIf(connection ->
+                            now - connection.idleSinceNanos() >= idleTimeoutNanos && expired.add(connection)));
+            idleCount -= expired.size();
+            idleByKey.values().removeIf(Deque::isEmpty);
         }
-        old.forEach(HttpClientConnection::retire);
-        network.scheduler().schedule(this::sweep, 200, TimeUnit.MILLISECONDS);
+        expired.forEach(HttpClientConnection::closeGracefully);
+        network.scheduler().schedule(this::closeExpired, 200, TimeUnit.MILLISECONDS);
     }
 
     /** One exchange. */
     public final class Exchange implements Network.Dial {
-        private final Peer peer;
+        private final ConnectionKey key;
         private final ByteBuffer request;
         private final BooleanSupplier mayStart;
         private final Listener listener;
         private HttpClientConnection connection;
-        private boolean mayBeWhole;
-        private boolean over;
-        private volatile int firstLine;
+        private boolean requestMayBeComplete;
+        private boolean finished;
+        private volatile int statusLineCode;
 
-        private Exchange(Peer peer, ByteBuffer request, BooleanSupplier mayStart, Listener listener) {
-            this.peer = peer;
+        private Exchange(ConnectionKey key, ByteBuffer request, BooleanSupplier mayStart, Listener listener) {
+            this.key = key;
             this.request = request;
             this.mayStart = mayStart;
             this.listener = listener;
@@ -192,12 +195,12 @@
             return new HttpClientConnection(endPoint, network, HttpPool.this, this::connected);
         }
 
-        private void connected(HttpClientConnection to) {
+        private void connected(HttpClientConnection established) {
             if (!mayStart.getAsBoolean()) {
-                keep(peer, to);
+                addIdle(key, established);
                 ended(CallEnd.HELD_BACK);
             } else {
-                to.start(this, request);
+                established.send(this, request);
             }
         }
 
@@ -207,37 +210,37 @@
         }
 
         /** Guards against a call that leaves after it was reported as never sent: both are settled here. */
-        synchronized boolean leaving(HttpClientConnection on) {
-            connection = on;
-            mayBeWhole = !over;
-            return mayBeWhole;
+        synchronized boolean claimConnection(HttpClientConnection claimed) {
+            connection = claimed;
+            requestMayBeComplete = !finished;
+            return requestMayBeComplete;
         }
 
-        synchronized void neverWhole() {
-            mayBeWhole = false;
+        synchronized void requestNotFullyWritten() {
+            requestMayBeComplete = false;
         }
 
-        void firstLine(int status) {
-            firstLine = status;
+        void statusLineReceived(int status) {
+            statusLineCode = status;
             listener.begun(status);
         }
 
         /** Reads an answer that has come, should the selector not have got to it yet. */
         public void poll() {
-            HttpClientConnection out;
+            HttpClientConnection current;
             synchronized (this) {
-                out = over ? null : connection;
+                current = finished ? null : connection;
             }
-            if (out != null) {
-                out.poll();
+            if (current != null) {
+                current.poll();
             }
         }
 
-        long most() {
+        long maxResponseBytes() {
             return listener.most();
         }
 
-        boolean endless() {
+        boolean hasUnboundedResponse() {
             return listener.most() == Long.MAX_VALUE;
         }
 
@@ -247,27 +250,27 @@
 
         void answered(HttpMessage response, HttpClientConnection reusable) {
             synchronized (this) {
-                if (over) {
+                if (finished) {
                     return; // given up in this very moment, and its connection closed with it
                 }
-                over = true;
+                finished = true;
             }
             if (reusable != null) {
-                keep(peer, reusable);
+                addIdle(key, reusable);
             }
             listener.answered(response);
         }
 
         void ended(CallEnd why) {
-            boolean written;
+            boolean mayBeComplete;
             synchronized (this) {
-                if (over) {
+                if (finished) {
                     return;
                 }
-                over = true;
-                written = mayBeWhole;
+                finished = true;
+                mayBeComplete = requestMayBeComplete;
             }
-            listener.ended(why.given(written), firstLine);
+            listener.ended(why.given(mayBeComplete), statusLineCode);
         }
 
         /**
@@ -275,20 +278,20 @@
          * a request that leaves on a connection that comes up in this very instant, and stays out there.
          */
         public void abandon(CallEnd why) {
-            HttpClientConnection out;
-            boolean written;
+            HttpClientConnection current;
+            boolean mayBeComplete;
             synchronized (this) {
-                if (over) {
+                if (finished) {
                     return;
                 }
-                over = true;
-                written = mayBeWhole;
-                out = connection;
+                finished = true;
+                mayBeComplete = requestMayBeComplete;
+                current = connection;
             }
-            if (out != null) {
-                out.close();
+            if (current != null) {
+                current.close();
             }
-            listener.ended(why.given(written), firstLine);
+            listener.ended(why.given(mayBeComplete), statusLineCode);
         }
     }
 }
--- a/src/main/java/juniperusher/net/HttpServerConnection.java
+++ b/src/main/java/juniperusher/net/HttpServerConnection.java
@@ -28,38 +28,39 @@
  * answered for it, and its client sends it once more elsewhere.
  */
 public final class HttpServerConnection extends AbstractConnection implements HttpParser.RequestHandler, Inbound.Guest {
-    private static final int BUFFER = 8 * 1024;
-    private static final int MOST_HEAD = 16 * 1024; // bytes; a longer head is refused
+    private static final int INPUT_BUFFER_BYTES = 8 * 1024;
+    private static final int MAX_HEAD_BYTES = 16 * 1024; // bytes; a longer head is refused
     // ms without a byte, whatever the connection is doing: clients that ask once and keep their connection
     // would else use up those that they may hold, and the others would find none.
-    private static final long IDLE = 2_000;
-    private static final long REQUEST = 2_500_000_000L; // ns from a request's first byte to its last
-    private static final long LINGER = 3_000_000_000L; // ns for which the rest is dropped after the output
+    private static final long IDLE_TIMEOUT_MILLIS = 2_000;
+    private static final long REQUEST_TIMEOUT_NANOS = 2_500_000_000L; // ns from a request's first byte to its last
+    private static final long LINGER_TIMEOUT_NANOS =
+            3_000_000_000L; // ns for which the rest is dropped after the output
     // ms without a byte after which one that was ended for want of room is closed, its client's end or not
-    private static final long SHED_IDLE = 250;
-    private static final Throwable ENDED = new IOException("ended, as its place or its process is going");
-    private static final int TURNS = 16; // reads of dropped input before the others have their turn
-    private static final long DROPPED = 256L << 20; // bytes dropped after a refusal, at most
+    private static final long SHED_IDLE_TIMEOUT_MILLIS = 250;
+    private static final Throwable SHED_CAUSE = new IOException("ended, as its place or its process is going");
+    private static final int DISCARD_READS_PER_TURN = 16; // reads of dropped input before the others have their turn
+    private static final long MAX_DISCARDED_BYTES = 256L << 20; // bytes dropped after a refusal, at most
     // Where dropped bytes go: shared, since nobody reads them.
-    private static final ByteBuffer DROP = ByteBuffer.allocateDirect(64 * 1024);
+    private static final ByteBuffer DISCARD_BUFFER = ByteBuffer.allocateDirect(64 * 1024);
 
     private final Handler handler;
     private final Inbound inbound;
-    private final int mostBody;
-    private final HttpParser parser = new HttpParser(this, MOST_HEAD);
-    private final ByteBuffer in = BufferUtil.allocate(BUFFER);
+    private final int maxBodyBytes;
+    private final HttpParser parser = new HttpParser(this, MAX_HEAD_BYTES);
+    private final ByteBuffer input = BufferUtil.allocate(INPUT_BUFFER_BYTES);
     private HttpFields.Mutable fields = HttpFields.build();
     private ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private String start;
-    private boolean complete;
-    private boolean close;
+    private String requestLine;
+    private boolean requestComplete;
+    private boolean closeAfterResponse;
     private HttpMessage refusal;
-    private long began;
-    private int turns;
-    private long dropping; // bytes dropped plus one, 0 before the end of the output
-    private volatile boolean ending; // with its next answer, or at once where none is owed
+    private long phaseStartNanos;
+    private int discardReads;
+    private long lingerBytes; // bytes dropped plus one, 0 before the end of the output
+    private volatile boolean shedRequested; // with its next answer, or at once where none is owed
     private volatile Inbound.Standing standing = Inbound.Standing.MUTE;
-    private volatile long since = System.nanoTime();
+    private volatile long standingSinceNanos = System.nanoTime();
 
     /** Answers requests. */
     public interface Handler {
@@ -79,34 +80,35 @@
     }
 
     /** Serves a connection whose requests have at most {@code mostBody} bytes of content. */
-    public HttpServerConnection(EndPoint endPoint, Network network, int mostBody, Handler handler) {
-        this(endPoint, network, network.inbound(), mostBody, handler);
+    public HttpServerConnection(EndPoint endPoint, Network network, int maxBodyBytes, Handler handler) {
+        this(endPoint, network, network.inbound(), maxBodyBytes, handler);
     }
 
     /** The same, counted in a bound of its own rather than among the clients' connections. */
-    public HttpServerConnection(EndPoint endPoint, Network network, Inbound inbound, int mostBody, Handler handler) {
+    public HttpServerConnection(
+            EndPoint endPoint, Network network, Inbound inbound, int maxBodyBytes, Handler handler) {
         super(endPoint, network.threads());
         this.handler = handler;
-        this.mostBody = mostBody;
+        this.maxBodyBytes = maxBodyBytes;
         this.inbound = inbound;
     }
 
     @Override
     public void onOpen() {
         super.onOpen();
-        getEndPoint().setIdleTimeout(IDLE);
+        getEndPoint().setIdleTimeout(IDLE_TIMEOUT_MILLIS);
         inbound.add(this);
-        if (ending) {
-            end(503); // there is no room for it, and its request may be here already
+        if (shedRequested) {
+            endWithoutInput(503); // there is no room for it, and its request may be here already
         } else if (getEndPoint().isOpen()) {
-            await();
+            awaitInput();
         }
     }
 
     /** Waits for its next byte. Guards an end that came just before against waiting for it as well. */
-    private void await() {
+    private void awaitInput() {
         fillInterested();
-        if (ending && dropping == 0) {
+        if (shedRequested && lingerBytes == 0) {
             shed();
         }
     }
@@ -130,7 +132,7 @@
 
     @Override
     public long since() {
-        return since;
+        return standingSinceNanos;
     }
 
     /**
@@ -139,9 +141,9 @@
      */
     @Override
     public void shed() {
-        ending = true;
-        if (getEndPoint() instanceof AbstractEndPoint at) {
-            at.getFillInterest().onFail(ENDED);
+        shedRequested = true;
+        if (getEndPoint() instanceof AbstractEndPoint selectorEndPoint) {
+            selectorEndPoint.getFillInterest().onFail(SHED_CAUSE);
         }
     }
 
@@ -150,38 +152,38 @@
         close();
     }
 
-    private void now(Inbound.Standing next) {
+    private void setStanding(Inbound.Standing next) {
         standing = next;
-        since = System.nanoTime();
+        standingSinceNanos = System.nanoTime();
     }
 
     @Override
     protected void onFillInterestedFailed(Throwable cause) {
         if (getEndPoint().isOpen()) {
-            read(cause == ENDED ? 503 : 408);
+            read(cause == SHED_CAUSE ? 503 : 408);
         }
     }
 
     /** Nothing more has come: ends the output, after a refusal where a request was begun, and lingers. */
-    private void end(int status) {
-        if (dropping > 0) {
+    private void endWithoutInput(int status) {
+        if (lingerBytes > 0) {
             close(); // it has had its time
         } else if (status == 503 && standing == Inbound.Standing.MUTE || standing == Inbound.Standing.UNFINISHED) {
             if (refuse(HttpMessage.response(status, ""))) {
                 onFillable();
             }
         } else {
-            linger(ending ? SHED_IDLE : IDLE);
+            startLingering(shedRequested ? SHED_IDLE_TIMEOUT_MILLIS : IDLE_TIMEOUT_MILLIS);
             fillInterested();
         }
     }
 
-    private void linger(long idle) {
+    private void startLingering(long idleTimeoutMillis) {
         getEndPoint().shutdownOutput();
-        dropping = 1;
-        began = System.nanoTime();
-        now(Inbound.Standing.MUTE);
-        getEndPoint().setIdleTimeout(idle);
+        lingerBytes = 1;
+        phaseStartNanos = System.nanoTime();
+        setStanding(Inbound.Standing.MUTE);
+        getEndPoint().setIdleTimeout(idleTimeoutMillis);
     }
 
     @Override
@@ -190,57 +192,58 @@
     }
 
     /** Reads what there is; where nothing is left and {@code otherwise} is a status, ends with it. */
-    private void read(int otherwise) {
+    private void read(int statusIfNoInput) {
         try {
             while (true) {
-                if (dropping > 0 || !in.hasRemaining()) {
-                    ByteBuffer into = in;
-                    if (dropping > 0) {
-                        into = DROP.duplicate();
-                        BufferUtil.clear(into);
+                if (lingerBytes > 0 || !input.hasRemaining()) {
+                    ByteBuffer buffer = input;
+                    if (lingerBytes > 0) {
+                        buffer = DISCARD_BUFFER.duplicate();
+                        BufferUtil.clear(buffer);
                     }
-                    int n = getEndPoint().fill(into);
+                    int n = getEndPoint().fill(buffer);
                     if (n < 0) {
                         close();
                         return;
                     }
-                    if (n == 0 && otherwise > 0) {
-                        end(otherwise);
+                    if (n == 0 && statusIfNoInput > 0) {
+                        endWithoutInput(statusIfNoInput);
                         return;
                     }
                     if (n == 0) {
-                        await();
+                        awaitInput();
                         return;
                     }
-                    if (dropping > 0) {
-                        dropping += n;
-                        if (dropping > DROPPED || System.nanoTime() - began > LINGER) {
+                    if (lingerBytes > 0) {
+                        lingerBytes += n;
+                        if (lingerBytes > MAX_DISCARDED_BYTES
+                                || System.nanoTime() - phaseStartNanos > LINGER_TIMEOUT_NANOS) {
                             close();
                             return;
                         }
-                        if (++turns % TURNS == 0) {
+                        if (++discardReads % DISCARD_READS_PER_TURN == 0) {
                             fillInterested(); // the others' turn
                             return;
                         }
                         continue;
                     }
                 }
-                otherwise = ending ? otherwise : 0; // it was not idle after all
+                statusIfNoInput = shedRequested ? statusIfNoInput : 0; // it was not idle after all
                 if (standing != Inbound.Standing.UNFINISHED) {
-                    began = System.nanoTime();
-                    now(Inbound.Standing.UNFINISHED);
-                    getEndPoint().setIdleTimeout(IDLE);
+                    phaseStartNanos = System.nanoTime();
+                    setStanding(Inbound.Standing.UNFINISHED);
+                    getEndPoint().setIdleTimeout(IDLE_TIMEOUT_MILLIS);
                 }
-                int before = in.remaining();
-                boolean stopped = parser.parseNext(in) || in.remaining() == before;
-                if (refusal == null && complete) {
-                    if (!serve()) {
+                int before = input.remaining();
+                boolean parserStopped = parser.parseNext(input) || input.remaining() == before;
+                if (refusal == null && requestComplete) {
+                    if (!handleRequest()) {
                         return;
                     }
                     continue;
                 }
-                if (refusal == null && (stopped || System.nanoTime() - began > REQUEST)) {
-                    refusal = HttpMessage.response(stopped ? 400 : 408, "");
+                if (refusal == null && (parserStopped || System.nanoTime() - phaseStartNanos > REQUEST_TIMEOUT_NANOS)) {
+                    refusal = HttpMessage.response(parserStopped ? 400 : 408, "");
                 }
                 if (refusal != null && !refuse(refusal)) {
                     return;
@@ -252,15 +255,15 @@
     }
 
     /** Has the request answered; whether that is done already, so that the caller reads on. */
-    private boolean serve() {
-        HttpMessage request = new HttpMessage(start, fields.asImmutable(), body.toByteArray());
-        complete = false;
+    private boolean handleRequest() {
+        HttpMessage request = new HttpMessage(requestLine, fields.asImmutable(), body.toByteArray());
+        requestComplete = false;
         fields = HttpFields.build();
         body = new ByteArrayOutputStream();
-        now(Inbound.Standing.SERVED);
-        AtomicBoolean turn = new AtomicBoolean();
-        handler.handle(request, response -> respond(response, turn));
-        return !turn.compareAndSet(false, true);
+        setStanding(Inbound.Standing.SERVED);
+        AtomicBoolean firstToFinish = new AtomicBoolean();
+        handler.handle(request, response -> respond(response, firstToFinish));
+        return !firstToFinish.compareAndSet(false, true);
     }
 
     private boolean refuse(HttpMessage response) {
@@ -268,15 +271,15 @@
         refusal = response;
         fields = HttpFields.build();
         body = new ByteArrayOutputStream();
-        BufferUtil.clear(in);
-        close = true;
-        AtomicBoolean turn = new AtomicBoolean();
-        respond(response, turn);
-        return !turn.compareAndSet(false, true);
+        BufferUtil.clear(input);
+        closeAfterResponse = true;
+        AtomicBoolean firstToFinish = new AtomicBoolean();
+        respond(response, firstToFinish);
+        return !firstToFinish.compareAndSet(false, true);
     }
 
-    private void respond(HttpMessage response, AtomicBoolean turn) {
-        boolean last = close || ending || handler.closing() || inbound.crowded();
+    private void respond(HttpMessage response, AtomicBoolean firstToFinish) {
+        boolean last = closeAfterResponse || shedRequested || handler.closing() || inbound.isCrowded();
         HttpMessage sent = last
                 ? new HttpMessage(
                         response.start(),
@@ -289,13 +292,13 @@
                         Callback.from(
                                 () -> {
                                     if (last) {
-                                        linger(IDLE);
+                                        startLingering(IDLE_TIMEOUT_MILLIS);
                                     } else {
                                         parser.reset();
-                                        now(Inbound.Standing.IDLE);
-                                        getEndPoint().setIdleTimeout(IDLE);
+                                        setStanding(Inbound.Standing.IDLE);
+                                        getEndPoint().setIdleTimeout(IDLE_TIMEOUT_MILLIS);
                                     }
-                                    if (!turn.compareAndSet(false, true)) {
+                                    if (!firstToFinish.compareAndSet(false, true)) {
                                         getExecutor().execute(this::onFillable);
                                     }
                                 },
@@ -307,19 +310,19 @@
 
     @Override
     public void startRequest(String method, String uri, HttpVersion version) {
-        start = method + ' ' + uri;
-        close |= version != HttpVersion.HTTP_1_1;
+        requestLine = method + ' ' + uri;
+        closeAfterResponse |= version != HttpVersion.HTTP_1_1;
     }
 
     @Override
     public void parsedHeader(HttpField field) {
         fields.add(field);
-        close |= field.getHeader() == HttpHeader.CONNECTION && field.contains("close");
+        closeAfterResponse |= field.getHeader() == HttpHeader.CONNECTION && field.contains("close");
     }
 
     @Override
     public boolean headerComplete() {
-        if (parser.getContentLength() > mostBody) {
+        if (parser.getContentLength() > maxBodyBytes) {
             refusal = HttpMessage.response(413, ""); // the length alone condemns it
         }
         return refusal != null;
@@ -327,7 +330,7 @@
 
     @Override
     public boolean content(ByteBuffer content) {
-        if (body.size() + content.remaining() > mostBody) {
+        if (body.size() + content.remaining() > maxBodyBytes) {
             refusal = HttpMessage.response(413, "");
             return true;
         }
@@ -344,7 +347,7 @@
 
     @Override
     public boolean messageComplete() {
-        complete = true;
+        requestComplete = true;
         return true;
     }
 
--- a/src/main/java/juniperusher/net/Inbound.java
+++ b/src/main/java/juniperusher/net/Inbound.java
@@ -10,17 +10,17 @@
  * first.
  */
 public final class Inbound {
-    private static final long SPEAKS = 250_000_000L; // ns after which one that has said nothing is mute
-    private static final long ENDS = 1_000_000_000L; // ns after which a request begun is taken to hang
-    private static final double CROWDED = 0.45; // of the bound: well below the share that clients hold
-    private static final int SERVED = 5;
-    private static final int LEAVING = 8; // one in so many of the bound may be shed and not closed yet
-
-    private final int most;
-    private final Runnable shedOne;
+    private static final long MUTE_AFTER_NANOS = 250_000_000L; // ns after which one that has said nothing is mute
+    private static final long STALLED_AFTER_NANOS = 1_000_000_000L; // ns after which a request begun is taken to hang
+    private static final double CROWDED_SHARE = 0.45; // of the bound: well below the share that clients hold
+    private static final int SERVED_RANK = 5;
+    private static final int SHED_DIVISOR = 8; // one in so many of the bound may be shed and not closed yet
+
+    private final int maxConnections;
+    private final Runnable onShed;
     private final boolean oldestFirst;
-    private final Set<Guest> guests = new LinkedHashSet<>();
-    private final Set<Guest> leaving = new LinkedHashSet<>(); // shed, but not closed yet
+    private final Set<Guest> connections = new LinkedHashSet<>();
+    private final Set<Guest> shedButOpen = new LinkedHashSet<>(); // shed, but not closed yet
 
     /** What a connection is doing. */
     public enum Standing {
@@ -51,44 +51,44 @@
      * one short call, so the one that has waited longest goes first, whatever it has sent: guards a call that
      * has not yet been read against those that hold half a call beside it.
      */
-    public static Inbound apart(int most, Runnable shedOne) {
-        return new Inbound(most, shedOne, true);
+    public static Inbound oldestFirst(int maxConnections, Runnable onShed) {
+        return new Inbound(maxConnections, onShed, true);
     }
 
-    Inbound(int most, Runnable shedOne) {
-        this(most, shedOne, false);
+    Inbound(int maxConnections, Runnable onShed) {
+        this(maxConnections, onShed, false);
     }
 
-    private Inbound(int most, Runnable shedOne, boolean oldestFirst) {
-        this.most = most;
-        this.shedOne = shedOne;
+    private Inbound(int maxConnections, Runnable onShed, boolean oldestFirst) {
+        this.maxConnections = maxConnections;
+        this.onShed = onShed;
         this.oldestFirst = oldestFirst;
     }
 
     /** A connection came in; at the bound the least of the others is closed, or this one if all serve. */
-    public void add(Guest guest) {
-        Guest out = null;
-        Guest tooMany = null;
-        synchronized (guests) {
-            if (guests.size() >= most) {
-                out = least(guest);
-                guests.remove(out);
-                leaving.add(out);
-                tooMany = leaving.size() > Math.max(1, most / LEAVING)
-                        ? leaving.iterator().next()
+    public void add(Guest connection) {
+        Guest shed = null;
+        Guest dropped = null;
+        synchronized (connections) {
+            if (connections.size() >= maxConnections) {
+                shed = selectToShed(connection);
+                connections.remove(shed);
+                shedButOpen.add(shed);
+                dropped = shedButOpen.size() > Math.max(1, maxConnections / SHED_DIVISOR)
+                        ? shedButOpen.iterator().next()
                         : null;
-                leaving.remove(tooMany);
+                shedButOpen.remove(dropped);
             }
-            if (out != guest) {
-                guests.add(guest);
+            if (shed != connection) {
+                connections.add(connection);
             }
         }
-        if (out != null) {
-            shedOne.run();
-            out.shed();
+        if (shed != null) {
+            onShed.run();
+            shed.shed();
         }
-        if (tooMany != null) {
-            tooMany.drop(); // Guards descriptors against clients that never close what was ended
+        if (dropped != null) {
+            dropped.drop(); // Guards descriptors against clients that never close what was ended
         }
     }
 
@@ -96,45 +96,45 @@
      * Ends all, or with {@code resting} those alone on which nothing seems to be under way: one that has just
      * come may still say what it came for. None is closed with something owed on it.
      */
-    public void endAll(boolean resting) {
-        List<Guest> out;
+    public void endAll(boolean idleOnly) {
+        List<Guest> selected;
         long now = System.nanoTime();
-        synchronized (guests) {
-            out = guests.stream()
-                    .filter(guest -> !resting
-                            || guest.standing() == Standing.IDLE
-                            || guest.standing() == Standing.MUTE && now - guest.since() > SPEAKS)
+        synchronized (connections) {
+            selected = connections.stream()
+                    .filter(connection -> !idleOnly
+                            || connection.standing() == Standing.IDLE
+                            || connection.standing() == Standing.MUTE && now - connection.since() > MUTE_AFTER_NANOS)
                     .toList();
         }
-        out.forEach(Guest::shed);
+        selected.forEach(Guest::shed);
     }
 
-    private Guest least(Guest newcomer) {
-        Guest least = newcomer;
-        int lowest = Integer.MAX_VALUE;
+    private Guest selectToShed(Guest newcomer) {
+        Guest selected = newcomer;
+        int lowestRank = Integer.MAX_VALUE;
         long now = System.nanoTime();
-        for (Guest guest : guests) {
-            int rank = oldestFirst && guest.standing() != Standing.SERVED
+        for (Guest connection : connections) {
+            int rank = oldestFirst && connection.standing() != Standing.SERVED
                     ? 0
-                    : rank(guest.standing(), now - guest.since());
-            if (rank < lowest || rank == lowest && guest.since() - least.since() < 0) {
-                least = guest;
-                lowest = rank;
+                    : rank(connection.standing(), now - connection.since());
+            if (rank < lowestRank || rank == lowestRank && connection.since() - selected.since() < 0) {
+                selected = connection;
+                lowestRank = rank;
             }
         }
-        return lowest == SERVED ? newcomer : least;
+        return lowestRank == SERVED_RANK ? newcomer : selected;
     }
 
     /**
      * The lower, the sooner it goes. Guards those who have just come and whose first request is on its way:
      * they count for more than those that rest after an answer, who may come again on a new connection.
      */
-    private static int rank(Standing standing, long age) {
+    private static int rank(Standing standing, long ageNanos) {
         return switch (standing) {
-            case MUTE -> age > SPEAKS ? 0 : 3;
+            case MUTE -> ageNanos > MUTE_AFTER_NANOS ? 0 : 3;
             case IDLE -> 1;
-            case UNFINISHED -> age > ENDS ? 2 : 4;
-            case SERVED -> SERVED;
+            case UNFINISHED -> ageNanos > STALLED_AFTER_NANOS ? 2 : 4;
+            case SERVED -> SERVED_RANK;
         };
     }
 
@@ -142,22 +142,22 @@
      * Whether so many are here that each should end with its answer. Clients hold a bounded number of
      * connections for all that they ask: those that rest here would leave none for the others.
      */
-    public boolean crowded() {
-        return size() > most * CROWDED;
+    public boolean isCrowded() {
+        return size() > maxConnections * CROWDED_SHARE;
     }
 
     /** A connection has ended. */
-    public void remove(Guest guest) {
-        synchronized (guests) {
-            guests.remove(guest);
-            leaving.remove(guest);
+    public void remove(Guest connection) {
+        synchronized (connections) {
+            connections.remove(connection);
+            shedButOpen.remove(connection);
         }
     }
 
     /** How many there are. */
     public int size() {
-        synchronized (guests) {
-            return guests.size();
+        synchronized (connections) {
+            return connections.size();
         }
     }
 }
--- a/src/main/java/juniperusher/net/Network.java
+++ b/src/main/java/juniperusher/net/Network.java
@@ -29,24 +29,24 @@
 /** Jetty's selector, its threads and its timers, for the connections of every front. */
 public class Network implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Network.class);
-    private static final int MOST_THREADS = 8; // reading is the selector's own work: few hand-overs are left
+    private static final int THREAD_COUNT = 8; // reading is the selector's own work: few hand-overs are left
     // Of the descriptors, for connections that come in: clients hold a third at most, the rest is for
     // bad ones to be turned away on; what remains is for calls, the watch, the journal and the JVM.
-    private static final double INBOUND_SHARE = 0.45;
-    private static final double COMING_SHARE = 0.1; // the same for those that are not yet looked at
-    private static final long ACCEPT_PAUSE = 50; // ms for which nothing is accepted after that has failed
-    private static final int LEAST_INBOUND = 16; // connections, whatever the limit says
+    private static final double INBOUND_DESCRIPTOR_SHARE = 0.45;
+    private static final double OPENING_DESCRIPTOR_SHARE = 0.1; // the same for those that are not yet looked at
+    private static final long ACCEPT_RETRY_MILLIS = 50; // ms for which nothing is accepted after that has failed
+    private static final int MIN_CONNECTION_BOUND = 16; // connections, whatever the limit says
 
     // All are started at once: one that cannot be started later would leave a connection without its turn.
-    private final QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, MOST_THREADS);
+    private final QueuedThreadPool threads = new QueuedThreadPool(THREAD_COUNT, THREAD_COUNT);
     private final Scheduler scheduler = new ScheduledExecutorScheduler("timers", true);
     private final Selector selector = new Selector();
     private final Inbound inbound;
-    private final AtomicLong shed = new AtomicLong();
-    private final AtomicLong unopened = new AtomicLong();
-    private final AtomicInteger coming = new AtomicInteger();
-    private final AtomicLong acceptFailures = new AtomicLong();
-    private final int mostIn;
+    private final AtomicLong shedCount = new AtomicLong();
+    private final AtomicLong closedUnopenedCount = new AtomicLong();
+    private final AtomicInteger openingCount = new AtomicInteger();
+    private final AtomicLong acceptFailureCount = new AtomicLong();
+    private final int maxOpenAndOpening;
 
     /** Someone who wants a connection: makes its object once it is up, or hears why it is not. */
     public interface Dial {
@@ -58,22 +58,23 @@
     }
 
     /** A network within the descriptors that a machine has by default, see the other constructor. */
-    public Network(double connectTimeout) throws Exception {
-        this(connectTimeout, 1024);
+    public Network(double connectTimeoutSeconds) throws Exception {
+        this(connectTimeoutSeconds, 1024);
     }
 
     /**
      * A network whose connections count as failed if they are not up within {@code connectTimeout} seconds,
      * for a process that may hold so many descriptors.
      */
-    public Network(double connectTimeout, int descriptors) throws Exception {
-        int most = Math.max(LEAST_INBOUND, (int) (descriptors * INBOUND_SHARE));
-        inbound = new Inbound(most, shed::incrementAndGet);
-        mostIn = most + Math.max(LEAST_INBOUND, (int) (descriptors * COMING_SHARE));
+    public Network(double connectTimeoutSeconds, int descriptors) throws Exception {
+        int maxConnections = Math.max(MIN_CONNECTION_BOUND, (int) (descriptors * INBOUND_DESCRIPTOR_SHARE));
+        inbound = new Inbound(maxConnections, shedCount::incrementAndGet);
+        maxOpenAndOpening =
+                maxConnections + Math.max(MIN_CONNECTION_BOUND, (int) (descriptors * OPENING_DESCRIPTOR_SHARE));
         threads.setName("net");
         threads.setDaemon(true);
         threads.setReservedThreads(1);
-        selector.setConnectTimeout((long) (connectTimeout * 1000));
+        selector.setConnectTimeout((long) (connectTimeoutSeconds * 1000));
         threads.start();
         scheduler.start();
         selector.start();
@@ -162,22 +163,22 @@
 
     /** How many were closed before they were looked at, since too many came at once. */
     public long unopened() {
-        return unopened.get();
+        return closedUnopenedCount.get();
     }
 
     /** How often a connection could not be accepted. */
     public long acceptFailures() {
-        return acceptFailures.get();
+        return acceptFailureCount.get();
     }
 
     /** How many have come and are not yet looked at. */
     public int coming() {
-        return coming.get();
+        return openingCount.get();
     }
 
     /** How many of them were closed for want of room. */
     public long shed() {
-        return shed.get();
+        return shedCount.get();
     }
 
     /** Timers. */
@@ -191,13 +192,13 @@
     }
 
     /** What a listener serves its connections with, and whether they count towards the clients' bound. */
-    private static final class Listening {
+    private static final class ListeningSocket {
         final Function<EndPoint, Connection> factory;
         final boolean bounded;
-        final AtomicBoolean paused = new AtomicBoolean(); // nothing is accepted for a moment
+        final AtomicBoolean acceptPaused = new AtomicBoolean(); // nothing is accepted for a moment
         volatile Closeable acceptor;
 
-        Listening(Function<EndPoint, Connection> factory, boolean bounded) {
+        ListeningSocket(Function<EndPoint, Connection> factory, boolean bounded) {
             this.factory = factory;
             this.bounded = bounded;
         }
@@ -211,21 +212,21 @@
     }
 
     private final class Selector extends SelectorManager {
-        private final java.util.Map<SelectableChannel, Listening> listeners =
+        private final java.util.Map<SelectableChannel, ListeningSocket> listeners =
                 new java.util.concurrent.ConcurrentHashMap<>();
-        private volatile boolean acceptFails; // the last accept has failed
+        private volatile boolean lastAcceptFailed; // the last accept has failed
 
         Selector() {
             super(threads, scheduler, 1);
         }
 
         Closeable listen(ServerSocketChannel channel, Function<EndPoint, Connection> factory, boolean bounded) {
-            Listening listening = new Listening(factory, bounded);
-            listeners.put(channel, listening);
-            listening.acceptor = acceptor(channel);
+            ListeningSocket listener = new ListeningSocket(factory, bounded);
+            listeners.put(channel, listener);
+            listener.acceptor = acceptor(channel);
             return () -> {
                 listeners.remove(channel);
-                listening.acceptor.close();
+                listener.acceptor.close();
             };
         }
 
@@ -235,20 +236,20 @@
          */
         @Override
         protected SelectableChannel doAccept(SelectableChannel server) throws IOException {
-            Listening listening = listeners.get(server);
-            if (listening != null && listening.paused.get()) {
+            ListeningSocket listener = listeners.get(server);
+            if (listener != null && listener.acceptPaused.get()) {
                 return null; // its acceptor is still to be closed
             }
             try {
                 SelectableChannel accepted = super.doAccept(server);
-                acceptFails &= accepted == null;
+                lastAcceptFailed &= accepted == null;
                 return accepted;
             } catch (ClosedChannelException e) {
                 throw e;
             } catch (IOException e) {
-                acceptFailures.incrementAndGet();
-                if (!acceptFails) {
-                    acceptFails = true;
+                acceptFailureCount.incrementAndGet();
+                if (!lastAcceptFailed) {
+                    lastAcceptFailed = true;
                     LOG.atWarn().log("connections cannot be accepted for now: {}", e.toString());
                 }
                 pauseAccepting(server);
@@ -257,54 +258,55 @@
         }
 
         private void pauseAccepting(SelectableChannel server) throws IOException {
-            Listening listening = listeners.get(server);
-            if (listening != null && listening.paused.compareAndSet(false, true)) {
-                listening.acceptor.close();
-                scheduler.schedule(() -> acceptAgain(server), ACCEPT_PAUSE, TimeUnit.MILLISECONDS);
+            ListeningSocket listener = listeners.get(server);
+            if (listener != null && listener.acceptPaused.compareAndSet(false, true)) {
+                listener.acceptor.close();
+                scheduler.schedule(() -> resumeAccepting(server), ACCEPT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
             }
         }
 
-        private void acceptAgain(SelectableChannel server) {
-            Listening listening = listeners.get(server);
-            if (listening == null) {
+        private void resumeAccepting(SelectableChannel server) {
+            ListeningSocket listener = listeners.get(server);
+            if (listener == null) {
                 return;
             }
             if (server.isRegistered()) { // the selector has not let it go yet
-                scheduler.schedule(() -> acceptAgain(server), ACCEPT_PAUSE, TimeUnit.MILLISECONDS);
+                scheduler.schedule(() -> resumeAccepting(server), ACCEPT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
             } else {
-                listening.acceptor = acceptor(server);
-                listening.paused.set(false); // from here on a failure closes this acceptor, not the one before
+                listener.acceptor = acceptor(server);
+                listener.acceptPaused.set(false); // from here on a failure closes this acceptor, not the one before
             }
         }
 
         @Override
         protected void accepted(SelectableChannel channel) throws IOException {
             SocketChannel socket = (SocketChannel) channel;
-            InetSocketAddress local = (InetSocketAddress) socket.getLocalAddress();
-            Listening found = null;
+            InetSocketAddress localAddress = (InetSocketAddress) socket.getLocalAddress();
+            ListeningSocket match = null;
             for (var listener : listeners.entrySet()) {
-                InetSocketAddress at = (InetSocketAddress) ((ServerSocketChannel) listener.getKey()).getLocalAddress();
+                InetSocketAddress listenAddress =
+                        (InetSocketAddress) ((ServerSocketChannel) listener.getKey()).getLocalAddress();
                 // The port alone does not tell: the operators' address may share it with the clients'.
-                if (at != null
-                        && local != null
-                        && at.getPort() == local.getPort()
-                        && (at.getAddress().isAnyLocalAddress()
-                                || at.getAddress().equals(local.getAddress()))) {
-                    found = listener.getValue();
+                if (listenAddress != null
+                        && localAddress != null
+                        && listenAddress.getPort() == localAddress.getPort()
+                        && (listenAddress.getAddress().isAnyLocalAddress()
+                                || listenAddress.getAddress().equals(localAddress.getAddress()))) {
+                    match = listener.getValue();
                     break;
                 }
             }
-            coming.incrementAndGet();
+            openingCount.incrementAndGet();
             // Guards against running out of descriptors: those that come at once all wait here to be opened.
-            if (found == null || found.bounded && inbound.size() + coming.get() > mostIn) {
-                coming.decrementAndGet();
-                unopened.incrementAndGet();
+            if (match == null || match.bounded && inbound.size() + openingCount.get() > maxOpenAndOpening) {
+                openingCount.decrementAndGet();
+                closedUnopenedCount.incrementAndGet();
                 socket.close();
                 return;
             }
             socket.configureBlocking(false);
             socket.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            accept(socket, found.factory);
+            accept(socket, match.factory);
         }
 
         @Override
@@ -318,7 +320,7 @@
             if (attachment instanceof Dial dial) {
                 return dial.connected(endPoint);
             }
-            coming.decrementAndGet();
+            openingCount.decrementAndGet();
             return ((Function<EndPoint, Connection>) attachment).apply(endPoint);
         }
 
--- a/src/test/java/juniperusher/mgmt/ManagementTest.java
+++ b/src/test/java/juniperusher/mgmt/ManagementTest.java
@@ -29,13 +29,13 @@
     private Network network;
     private Management management;
     private int port;
-    private final Set<String> held = ConcurrentHashMap.newKeySet();
+    private final Set<String> underMaintenance = ConcurrentHashMap.newKeySet();
     private volatile boolean serving;
 
     @BeforeMethod
     public void listen() throws Exception {
         serving = false;
-        held.clear();
+        underMaintenance.clear();
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
@@ -49,7 +49,7 @@
         network.close();
     }
 
-    private void operate() {
+    private void attachRelay() {
         management.operate(new Operated() {
             @Override
             public boolean serving() {
@@ -58,12 +58,12 @@
 
             @Override
             public Answer enter(String id) {
-                return id.startsWith("s-") && (held.add(id) || true) ? Answer.DONE : Answer.UNKNOWN;
+                return id.startsWith("s-") && (underMaintenance.add(id) || true) ? Answer.DONE : Answer.UNKNOWN;
             }
 
             @Override
             public Answer exit(String id) {
-                return id.startsWith("s-") && (held.remove(id) || true) ? Answer.DONE : Answer.UNKNOWN;
+                return id.startsWith("s-") && (underMaintenance.remove(id) || true) ? Answer.DONE : Answer.UNKNOWN;
             }
         });
     }
@@ -98,29 +98,29 @@
     }
 
     @Test
-    public void statusIsNoWhileTheRelayStartsAndYesOnceItServes() throws IOException {
+    public void statusIs503UntilTheRelayServes() throws IOException {
         assertEquals(call("GET /status HTTP/1.1\r\nHost: relay\r\n\r\n"), 503);
         assertEquals(call(post("/maintenance/enter", "{\"target\":\"s-1\"}")), 503);
-        operate();
+        attachRelay();
         assertEquals(call("GET /status HTTP/1.1\r\nHost: relay\r\n\r\n"), 503);
         serving = true;
         assertEquals(call("GET /status HTTP/1.1\r\nHost: relay\r\n\r\n"), 200);
     }
 
     @Test
-    public void maintenanceIsEnteredTwiceAndLeftOnceAndUnknownIdsGetNo() throws IOException {
-        operate();
+    public void enterIsIdempotentAndUnknownIdsGet404() throws IOException {
+        attachRelay();
         assertEquals(call(post("/maintenance/enter", "{\"target\":\"s-1\"}")), 200);
         assertEquals(call(post("/maintenance/enter", "{\"target\":\"s-1\"}")), 200);
-        assertEquals(held, Set.of("s-1"));
+        assertEquals(underMaintenance, Set.of("s-1"));
         assertEquals(call(post("/maintenance/exit", "{\"target\":\"s-1\"}")), 200);
-        assertEquals(held, Set.of());
+        assertEquals(underMaintenance, Set.of());
         assertEquals(call(post("/maintenance/enter", "{\"target\":\"nobody\"}")), 404);
     }
 
     @Test
-    public void badCallsGetFourHundredsAndNothingChanges() throws IOException {
-        operate();
+    public void invalidCallsGet4xxAndChangeNothing() throws IOException {
+        attachRelay();
         assertEquals(call(post("/maintenance/enter", "{\"target\":")), 400);
         assertEquals(call(post("/maintenance/enter", "[\"s-1\"]")), 400);
         assertEquals(call(post("/maintenance/enter", "{\"target\":7}")), 400);
@@ -129,14 +129,14 @@
         assertEquals(call(post("/status", "")), 405);
         assertEquals(call("GET /elsewhere HTTP/1.1\r\nHost: relay\r\n\r\n"), 404);
         assertEquals(call("NONSENSE\r\n\r\n"), 400);
-        assertEquals(held, Set.of());
+        assertEquals(underMaintenance, Set.of());
     }
 
     @Test
-    public void callersThatHoldConnectionsDelayNobody() throws IOException {
-        operate();
+    public void callersHoldingConnectionsDoNotDelayOthers() throws IOException {
+        attachRelay();
         serving = true;
-        List<Socket> holding = new ArrayList<>();
+        List<Socket> sockets = new ArrayList<>();
         try {
             // Twice as many as the listener keeps: some hold half a call, some say nothing at all.
             for (int i = 0; i < 128; i++) {
@@ -144,7 +144,7 @@
                 if (i % 2 == 0) {
                     socket.getOutputStream().write("GET /sta".getBytes(StandardCharsets.ISO_8859_1));
                 }
-                holding.add(socket);
+                sockets.add(socket);
             }
             long from = System.nanoTime();
             for (int i = 0; i < 20; i++) {
@@ -152,15 +152,15 @@
             }
             assertTrue(System.nanoTime() - from < 20 * 1_000_000_000L / 2, "answers came slowly");
         } finally {
-            for (Socket socket : holding) {
+            for (Socket socket : sockets) {
                 socket.close();
             }
         }
     }
 
     @Test
-    public void anotherListenerOnTheSamePortKeepsItsOwnCalls() throws Exception {
-        operate();
+    public void listenersOnOnePortWithDifferentAddressesAreSeparate() throws Exception {
+        attachRelay();
         serving = true;
         try (Closeable clients = network.listen(
                 new InetSocketAddress("127.0.0.2", port),
--- a/src/test/java/juniperusher/net/EarlyAnswerTest.java
+++ b/src/test/java/juniperusher/net/EarlyAnswerTest.java
@@ -22,23 +22,23 @@
  * part of a core that thread may stand still for long.
  */
 public class EarlyAnswerTest {
-    private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 1);
+    private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 1);
     private static final int EXCHANGES = 5;
 
     /** A network whose other side has answered before a write returns. */
-    private static final class Hasty extends Network {
+    private static final class RespondsDuringWriteNetwork extends Network {
         private final List<ByteArrayEndPoint> opened = new CopyOnWriteArrayList<>();
-        private final boolean resets;
+        private final boolean resetAfterResponse;
 
         /** {@code resets}: a reset comes right behind each answer. */
-        Hasty(boolean resets) throws Exception {
+        RespondsDuringWriteNetwork(boolean resetAfterResponse) throws Exception {
             super(1);
-            this.resets = resets;
+            this.resetAfterResponse = resetAfterResponse;
         }
 
         @Override
         public void connect(InetSocketAddress address, Dial dial) {
-            ByteArrayEndPoint end = new ByteArrayEndPoint(scheduler(), 0) {
+            ByteArrayEndPoint endPoint = new ByteArrayEndPoint(scheduler(), 0) {
                 @Override
                 public boolean flush(ByteBuffer... buffers) throws IOException {
                     boolean all = super.flush(buffers);
@@ -51,7 +51,7 @@
                 @Override
                 public int fill(ByteBuffer buffer) throws IOException {
                     int read = super.fill(buffer);
-                    if (read == 0 && resets && !opened.isEmpty()) {
+                    if (read == 0 && resetAfterResponse && !opened.isEmpty()) {
                         throw new IOException("Connection reset by peer");
                     }
                     return read;
@@ -62,47 +62,47 @@
                     task.run(); // the answer is read at once
                 }
             };
-            end.setGrowOutput(true);
-            opened.add(end);
-            Connection connection = dial.connected(end);
-            end.setConnection(connection);
-            end.onOpen();
+            endPoint.setGrowOutput(true);
+            opened.add(endPoint);
+            Connection connection = dial.connected(endPoint);
+            endPoint.setConnection(connection);
+            endPoint.onOpen();
             connection.onOpen();
         }
     }
 
     @Test
-    public void theNextRequestWaitsForTheEndOfTheWriteBefore() throws Exception {
-        try (Hasty network = new Hasty(false)) {
+    public void connectionIsReusedOnlyOnceItsWriteHasCompleted() throws Exception {
+        try (RespondsDuringWriteNetwork network = new RespondsDuringWriteNetwork(false)) {
             HttpPool pool = new HttpPool(network, 10, 8);
             List<String> ends = new ArrayList<>();
-            CountDownLatch over = new CountDownLatch(1);
-            next(pool, ends, over);
-            over.await(5, TimeUnit.SECONDS);
+            CountDownLatch done = new CountDownLatch(1);
+            runExchanges(pool, ends, done);
+            done.await(5, TimeUnit.SECONDS);
             assertEquals(ends, java.util.Collections.nCopies(EXCHANGES, "204"));
             // What was kept once its write was over serves the next call.
-            int before = network.opened.size();
+            int openedBefore = network.opened.size();
             ends.clear();
             ends.addAll(java.util.Collections.nCopies(EXCHANGES - 1, "earlier"));
-            next(pool, ends, new CountDownLatch(1));
+            runExchanges(pool, ends, new CountDownLatch(1));
             assertEquals(ends.get(EXCHANGES - 1), "204");
-            assertEquals(network.opened.size(), before, "connections opened");
+            assertEquals(network.opened.size(), openedBefore, "connections opened");
         }
     }
 
     @Test
-    public void anAnswerThatIsWholeCountsWhateverComesBehindIt() throws Exception {
-        try (Hasty network = new Hasty(true)) {
+    public void completeAnswerCountsDespiteResetAfterIt() throws Exception {
+        try (RespondsDuringWriteNetwork network = new RespondsDuringWriteNetwork(true)) {
             List<String> ends = new ArrayList<>();
-            next(new HttpPool(network, 10, 8), ends, new CountDownLatch(1));
+            runExchanges(new HttpPool(network, 10, 8), ends, new CountDownLatch(1));
             assertEquals(ends, java.util.Collections.nCopies(EXCHANGES, "204"));
             assertEquals(network.opened.size(), EXCHANGES, "what was reset is not used again");
         }
     }
 
-    private static void next(HttpPool pool, List<String> ends, CountDownLatch over) {
+    private static void runExchanges(HttpPool pool, List<String> ends, CountDownLatch done) {
         pool.exchange(
-                AT,
+                ADDRESS,
                 HttpMessage.request("GET", "/discovery/hosts", new byte[0], "Host", "a"),
                 () -> true,
                 new HttpPool.Listener() {
@@ -119,9 +119,9 @@
                     private void told(String end) {
                         ends.add(end);
                         if (ends.size() < EXCHANGES) {
-                            next(pool, ends, over);
+                            runExchanges(pool, ends, done);
                         } else {
-                            over.countDown();
+                            done.countDown();
                         }
                     }
                 });
--- a/src/test/java/juniperusher/net/ExchangesTest.java
+++ b/src/test/java/juniperusher/net/ExchangesTest.java
@@ -19,36 +19,36 @@
 
 /** Each recorded exchange, played against a relay of its own. */
 public class ExchangesTest {
-    private static final Path RECORDED = Path.of("src/test/resources/exchanges");
+    private static final Path EXCHANGES_FOLDER = Path.of("src/test/resources/exchanges");
 
     @DataProvider
     public Object[][] recorded() throws IOException {
-        try (Stream<Path> files = Files.list(RECORDED)) {
+        try (Stream<Path> files = Files.list(EXCHANGES_FOLDER)) {
             return files.sorted().map(file -> new Object[] {file}).toArray(Object[][]::new);
         }
     }
 
-    private static int unused() throws IOException {
+    private static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return socket.getLocalPort();
         }
     }
 
-    private static String at(int port) {
+    private static String localAddress(int port) {
         return "127.0.0.1:" + port;
     }
 
     @Test(dataProvider = "recorded")
-    public void theProgramSaysWhatWasRecorded(Path file) throws Exception {
+    public void relayReproducesRecordedExchange(Path file) throws Exception {
         Path folder = Files.createTempDirectory("exchange");
         try (Player player = new Player()) {
             JsonObject json = Json.parse(Files.readString(Path.of("src/main/resources/selftest.json")))
                     .asObject();
-            int listen = unused();
-            int amqp = unused();
+            int listen = freePort();
+            int amqp = freePort();
             player.client("client", listen);
             player.client("publisher", amqp);
-            json.set("listen", at(listen)).set("discovery", at(player.server("platform")));
+            json.set("listen", localAddress(listen)).set("discovery", localAddress(player.server("platform")));
             json.get("known")
                     .asObject()
                     .set(
@@ -56,7 +56,7 @@
                             new JsonArray()
                                     .add(new JsonObject()
                                             .add("id", "s-1")
-                                            .add("addr", at(player.server("endpoint")))
+                                            .add("addr", localAddress(player.server("endpoint")))
                                             .add("zone", "lisboa-1")
                                             .add("cell", 7)
                                             .add("kind", "pequeno-projeto")
@@ -64,8 +64,8 @@
                                             .add("weight", 5)));
             JsonObject front = Json.parse(Files.readString(Path.of("src/test/resources/amqp.json")))
                     .asObject();
-            front.set("listen", at(amqp));
-            front.get("brokers").asArray().get(0).asObject().set("address", at(player.server("broker")));
+            front.set("listen", localAddress(amqp));
+            front.get("brokers").asArray().get(0).asObject().set("address", localAddress(player.server("broker")));
             Files.writeString(folder.resolve("relay.json"), json.toString());
             Config config = Config.read(folder.resolve("relay.json"));
             Network network = new Network(1);
--- a/src/test/java/juniperusher/net/HttpServerConnectionTest.java
+++ b/src/test/java/juniperusher/net/HttpServerConnectionTest.java
@@ -25,21 +25,21 @@
  * handler, so that what a client has sent has come and nobody has read it.
  */
 public class HttpServerConnectionTest {
-    private static final String HOLD = "/hold";
+    private static final String HOLD_PATH = "/hold";
     private static final int DESCRIPTORS = 64; // the bound on connections is 28 of these
 
-    private final List<String> handled = new CopyOnWriteArrayList<>();
-    private CountDownLatch holding;
-    private CountDownLatch go;
+    private final List<String> handledPaths = new CopyOnWriteArrayList<>();
+    private CountDownLatch handlerBlocked;
+    private CountDownLatch releaseHandler;
     private Network network;
     private Closeable listener;
     private int port;
 
     @BeforeMethod
     public void listen() throws Exception {
-        handled.clear();
-        holding = new CountDownLatch(1);
-        go = new CountDownLatch(1);
+        handledPaths.clear();
+        handlerBlocked = new CountDownLatch(1);
+        releaseHandler = new CountDownLatch(1);
         network = new Network(1, DESCRIPTORS);
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             port = free.getLocalPort();
@@ -49,10 +49,10 @@
                 endPoint -> new HttpServerConnection(endPoint, network, 1024, new HttpServerConnection.Handler() {
                     @Override
                     public void handle(HttpMessage request, HttpServerConnection.Responder responder) {
-                        handled.add(request.path());
-                        if (request.path().equals(HOLD)) {
-                            holding.countDown();
-                            await(go);
+                        handledPaths.add(request.path());
+                        if (request.path().equals(HOLD_PATH)) {
+                            handlerBlocked.countDown();
+                            await(releaseHandler);
                         }
                         responder.respond(HttpMessage.response(200, ""));
                     }
@@ -66,7 +66,7 @@
 
     @AfterMethod(alwaysRun = true)
     public void close() throws Exception {
-        go.countDown();
+        releaseHandler.countDown();
         listener.close();
         network.close();
     }
@@ -79,14 +79,14 @@
         }
     }
 
-    private static void until(BooleanSupplier met, String what) throws InterruptedException {
-        for (int i = 0; !met.getAsBoolean(); i++) {
-            assertTrue(i < 1_000, what);
+    private static void awaitCondition(BooleanSupplier condition, String failure) throws InterruptedException {
+        for (int i = 0; !condition.getAsBoolean(); i++) {
+            assertTrue(i < 1_000, failure);
             Thread.sleep(5);
         }
     }
 
-    private Socket client() throws IOException {
+    private Socket connect() throws IOException {
         Socket socket = new Socket("127.0.0.1", port);
         socket.setSoTimeout(10_000);
         socket.setTcpNoDelay(true);
@@ -97,123 +97,123 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static String get(String path) {
+    private static String getRequest(String path) {
         return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
     }
 
     /** An answer's head, up to the empty line; what has come where the connection ends before. */
-    private static String head(Socket socket) throws IOException {
-        StringBuilder got = new StringBuilder();
-        while (got.indexOf("\r\n\r\n") < 0) {
+    private static String readHead(Socket socket) throws IOException {
+        StringBuilder head = new StringBuilder();
+        while (head.indexOf("\r\n\r\n") < 0) {
             int next = socket.getInputStream().read();
             if (next < 0) {
                 break;
             }
-            got.append((char) next);
+            head.append((char) next);
         }
-        return got.toString();
+        return head.toString();
     }
 
-    private Socket resting() throws Exception {
-        Socket socket = client();
-        send(socket, get("/first"));
-        assertTrue(head(socket).startsWith("HTTP/1.1 200"));
+    private Socket connectIdle() throws Exception {
+        Socket socket = connect();
+        send(socket, getRequest("/first"));
+        assertTrue(readHead(socket).startsWith("HTTP/1.1 200"));
         return socket;
     }
 
     /** Holds the selector's thread: from now on what comes is not read until it is let go. */
-    private Socket held() throws Exception {
-        Socket socket = client();
-        send(socket, get(HOLD));
-        await(holding);
+    private Socket blockSelector() throws Exception {
+        Socket socket = connect();
+        send(socket, getRequest(HOLD_PATH));
+        await(handlerBlocked);
         return socket;
     }
 
     @Test
-    public void whatCameInTheInstantOfItsEndIsAnswered() throws Exception {
-        try (Socket resting = resting();
-                Socket holder = held()) {
-            send(resting, get("/crossing"));
+    public void requestThatArrivesAsConnectionIsShedIsAnswered() throws Exception {
+        try (Socket idle = connectIdle();
+                Socket blocking = blockSelector()) {
+            send(idle, getRequest("/crossing"));
             network.inbound().endAll(true);
-            String answer = head(resting);
+            String answer = readHead(idle);
             assertTrue(answer.startsWith("HTTP/1.1 200") && answer.contains("Connection: close"), answer);
-            assertEquals(resting.getInputStream().read(), -1);
-            assertEquals(handled, List.of("/first", HOLD, "/crossing"));
+            assertEquals(idle.getInputStream().read(), -1);
+            assertEquals(handledPaths, List.of("/first", HOLD_PATH, "/crossing"));
         }
     }
 
     @Test
-    public void whatCameInTheInstantOfItsIdleTimeOutIsAnswered() throws Exception {
-        try (Socket resting = resting();
-                Socket holder = held()) {
-            send(resting, get("/crossing"));
-            String answer = head(resting); // once it has been idle for 2 s: the selector reads nothing
-            assertEquals(go.getCount(), 1);
+    public void requestThatArrivesAsIdleTimeoutExpiresIsAnswered() throws Exception {
+        try (Socket idle = connectIdle();
+                Socket blocking = blockSelector()) {
+            send(idle, getRequest("/crossing"));
+            String answer = readHead(idle); // once it has been idle for 2 s: the selector reads nothing
+            assertEquals(releaseHandler.getCount(), 1);
             assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
         }
     }
 
     @Test
-    public void whatComesAfterOurShutdownIsNeverHandledAndResetsNothing() throws Exception {
-        try (Socket resting = resting()) {
+    public void requestAfterOutputShutdownIsDiscardedWithoutReset() throws Exception {
+        try (Socket idle = connectIdle()) {
             network.inbound().endAll(true);
-            assertEquals(resting.getInputStream().read(), -1);
-            send(resting, get("/late"));
-            resting.shutdownOutput();
-            until(() -> network.inbound().size() == 0, "it stays open after its client's end");
-            assertEquals(resting.getInputStream().read(), -1); // no reset
-            assertEquals(handled, List.of("/first"));
+            assertEquals(idle.getInputStream().read(), -1);
+            send(idle, getRequest("/late"));
+            idle.shutdownOutput();
+            awaitCondition(() -> network.inbound().size() == 0, "it stays open after its client's end");
+            assertEquals(idle.getInputStream().read(), -1); // no reset
+            assertEquals(handledPaths, List.of("/first"));
         }
     }
 
     @Test
-    public void aClientThatNeverClosesWhatWasEndedHoldsItForAWhileOnly() throws Exception {
-        try (Socket resting = resting()) {
+    public void connectionClosesThoughClientNeverCloses() throws Exception {
+        try (Socket idle = connectIdle()) {
             network.inbound().endAll(true);
-            until(() -> network.inbound().size() == 0, "it stays open");
+            awaitCondition(() -> network.inbound().size() == 0, "it stays open");
         }
     }
 
     @Test
-    public void aRequestBegunGetsAnAnswerWhereItsConnectionHasToEnd() throws Exception {
-        try (Socket half = client()) {
-            send(half, get("/never").substring(0, 12));
-            until(() -> network.inbound().size() == 1, "it is not there");
+    public void incompleteRequestGets503WhenConnectionIsShed() throws Exception {
+        try (Socket incomplete = connect()) {
+            send(incomplete, getRequest("/never").substring(0, 12));
+            awaitCondition(() -> network.inbound().size() == 1, "it is not there");
             network.inbound().endAll(false);
-            assertTrue(head(half).startsWith("HTTP/1.1 503"));
-            assertEquals(handled, List.of());
+            assertTrue(readHead(incomplete).startsWith("HTTP/1.1 503"));
+            assertEquals(handledPaths, List.of());
         }
     }
 
     @Test
-    public void whoIsServedIsAnsweredFirst() throws Exception {
-        try (Socket holder = held()) {
+    public void requestInHandlerIsAnsweredBeforeConnectionEnds() throws Exception {
+        try (Socket blocking = blockSelector()) {
             network.inbound().endAll(false);
-            assertFalse(holder.getInputStream().available() > 0);
-            go.countDown();
-            String answer = head(holder);
+            assertFalse(blocking.getInputStream().available() > 0);
+            releaseHandler.countDown();
+            String answer = readHead(blocking);
             assertTrue(answer.startsWith("HTTP/1.1 200") && answer.contains("Connection: close"), answer);
         }
     }
 
     @Test
-    public void thoseShedForRoomAreAnsweredOrEndedInOrder() throws Exception {
-        Socket[] many = new Socket[40];
+    public void connectionsShedAtTheBoundEndWithoutReset() throws Exception {
+        Socket[] sockets = new Socket[40];
         try {
-            for (int i = 0; i < many.length; i++) {
-                many[i] = resting();
+            for (int i = 0; i < sockets.length; i++) {
+                sockets[i] = connectIdle();
             }
-            for (Socket one : many) {
+            for (Socket socket : sockets) {
                 // Each has had its answer; what its client says now is dropped, or is answered. No reset.
-                if (one.getInputStream().available() == 0) {
-                    one.shutdownOutput();
+                if (socket.getInputStream().available() == 0) {
+                    socket.shutdownOutput();
                 }
-                assertEquals(one.getInputStream().read(), -1);
+                assertEquals(socket.getInputStream().read(), -1);
             }
         } finally {
-            for (Socket one : many) {
-                if (one != null) {
-                    one.close();
+            for (Socket socket : sockets) {
+                if (socket != null) {
+                    socket.close();
                 }
             }
         }
--- a/src/test/java/juniperusher/net/IdleEndTest.java
+++ b/src/test/java/juniperusher/net/IdleConnectionCloseTest.java
@@ -18,40 +18,40 @@
 import org.testng.annotations.Test;
 
 /** How connections to endpoints end, with bytes that come in that very instant. */
-public class IdleEndTest {
-    private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+public class IdleConnectionCloseTest {
+    private static final String OK_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
     private Network network;
     private HttpPool pool;
     private ServerSocket server;
-    private ServerSocket other;
+    private ServerSocket otherServer;
 
     @BeforeMethod
     public void open() throws Exception {
         network = new Network(1);
         pool = new HttpPool(network, 60, 8);
         server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
-        other = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
+        otherServer = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
     }
 
     @AfterMethod(alwaysRun = true)
     public void close() throws Exception {
         network.close();
         server.close();
-        other.close();
+        otherServer.close();
     }
 
-    private CompletableFuture<String> ask(ServerSocket of, Runnable then) {
+    private CompletableFuture<String> startExchange(ServerSocket endpoint, Runnable onAnswered) {
         CompletableFuture<String> end = new CompletableFuture<>();
         pool.exchange(
-                (InetSocketAddress) of.getLocalSocketAddress(),
+                (InetSocketAddress) endpoint.getLocalSocketAddress(),
                 HttpMessage.request("GET", "/x", new byte[0], "Host", "a"),
                 () -> true,
                 new HttpPool.Listener() {
                     @Override
                     public void answered(HttpMessage response) {
                         end.complete("" + response.status());
-                        then.run();
+                        onAnswered.run();
                     }
 
                     @Override
@@ -62,14 +62,14 @@
         return end;
     }
 
-    private static Socket serve(ServerSocket of, String answer) throws Exception {
-        Socket socket = of.accept();
+    private static Socket acceptAndAnswer(ServerSocket endpoint, String answer) throws Exception {
+        Socket socket = endpoint.accept();
         socket.setSoTimeout(5_000);
         socket.setTcpNoDelay(true);
-        String got = "";
+        String request = "";
         InputStream in = socket.getInputStream();
-        while (!got.endsWith("\r\n\r\n")) {
-            got += (char) in.read();
+        while (!request.endsWith("\r\n\r\n")) {
+            request += (char) in.read();
         }
         write(socket, answer);
         return socket;
@@ -80,7 +80,7 @@
     }
 
     /** What is written for a while is taken, as a reset would be seen by the next write but one. */
-    private static void staysOpen(Socket socket) throws Exception {
+    private static void assertWritesSucceed(Socket socket) throws Exception {
         for (int i = 0; i < 15; i++) {
             write(socket, "x");
             Thread.sleep(20);
@@ -89,65 +89,65 @@
 
     /** Else the endpoint could not know what of its answer was read. */
     @Test
-    public void halfALineInTheInstantOfTheEndResetsNothing() throws Exception {
-        CountDownLatch holding = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        CompletableFuture<String> first = ask(server, () -> {});
-        try (Socket resting = serve(server, OK)) {
+    public void partialInputDuringIdleCloseDoesNotReset() throws Exception {
+        CountDownLatch selectorBlocked = new CountDownLatch(1);
+        CountDownLatch releaseSelector = new CountDownLatch(1);
+        CompletableFuture<String> first = startExchange(server, () -> {});
+        try (Socket idle = acceptAndAnswer(server, OK_RESPONSE)) {
             assertEquals(first.get(5, TimeUnit.SECONDS), "200");
-            ask(other, () -> {
-                holding.countDown();
+            startExchange(otherServer, () -> {
+                selectorBlocked.countDown();
                 try {
-                    go.await(10, TimeUnit.SECONDS); // the selector's thread reads nothing meanwhile
+                    releaseSelector.await(10, TimeUnit.SECONDS); // the selector's thread reads nothing meanwhile
                 } catch (InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
             });
-            try (Socket held = serve(other, OK)) {
-                assertTrue(holding.await(5, TimeUnit.SECONDS));
-                write(resting, "HTTP/1.1 2"); // has come, and nobody has read it
+            try (Socket blocking = acceptAndAnswer(otherServer, OK_RESPONSE)) {
+                assertTrue(selectorBlocked.await(5, TimeUnit.SECONDS));
+                write(idle, "HTTP/1.1 2"); // has come, and nobody has read it
                 pool.closeIdle((InetSocketAddress) server.getLocalSocketAddress(), 0);
-                assertEquals(resting.getInputStream().read(), -1);
-                go.countDown();
-                staysOpen(resting);
-                resting.shutdownOutput();
+                assertEquals(idle.getInputStream().read(), -1);
+                releaseSelector.countDown();
+                assertWritesSucceed(idle);
+                idle.shutdownOutput();
             }
         } finally {
-            go.countDown();
+            releaseSelector.countDown();
         }
     }
 
     @Test
-    public void whatComesBehindAnAnswerResetsNothing() throws Exception {
-        CompletableFuture<String> first = ask(server, () -> {});
-        try (Socket talks = serve(server, OK + "and more")) {
+    public void bytesAfterAnswerDoNotReset() throws Exception {
+        CompletableFuture<String> first = startExchange(server, () -> {});
+        try (Socket endpoint = acceptAndAnswer(server, OK_RESPONSE + "and more")) {
             assertEquals(first.get(5, TimeUnit.SECONDS), "200");
-            assertEquals(talks.getInputStream().read(), -1);
-            staysOpen(talks);
-            talks.shutdownOutput();
+            assertEquals(endpoint.getInputStream().read(), -1);
+            assertWritesSucceed(endpoint);
+            endpoint.shutdownOutput();
         }
     }
 
     @Test
-    public void anEndpointThatNeverEndsHoldsItForAWhileOnly() throws Exception {
-        CompletableFuture<String> first = ask(server, () -> {});
-        try (Socket stays = serve(server, OK)) {
+    public void lingeringEndsThoughEndpointNeverCloses() throws Exception {
+        CompletableFuture<String> first = startExchange(server, () -> {});
+        try (Socket endpoint = acceptAndAnswer(server, OK_RESPONSE)) {
             assertEquals(first.get(5, TimeUnit.SECONDS), "200");
             pool.closeIdle((InetSocketAddress) server.getLocalSocketAddress(), 0);
-            assertEquals(stays.getInputStream().read(), -1);
-            boolean gone = false;
-            for (int i = 0; i < 500 && !gone; i++) {
+            assertEquals(endpoint.getInputStream().read(), -1);
+            boolean closed = false;
+            for (int i = 0; i < 500 && !closed; i++) {
                 Thread.sleep(10);
                 try {
-                    write(stays, "x"); // answered with a reset once the other side is closed
+                    write(endpoint, "x"); // answered with a reset once the other side is closed
                 } catch (java.net.SocketException e) {
-                    gone = true;
+                    closed = true;
                 }
                 if (i == 5) {
                     Thread.sleep(1_200); // longer than it lingers without a byte
                 }
             }
-            assertTrue(gone, "it stays open");
+            assertTrue(closed, "it stays open");
         }
     }
 }
--- a/src/test/java/juniperusher/net/InheritedSocketTest.java
+++ b/src/test/java/juniperusher/net/InheritedSocketTest.java
@@ -17,14 +17,14 @@
 /** A listening socket that the process did not bind, as at an upgrade. */
 public class InheritedSocketTest {
     @Test
-    public void aSocketBoundElsewhereIsServedAndOutlivesNothingButItsHandle() throws Exception {
-        ServerSocketChannel held = ServerSocketChannel.open();
-        held.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        int port = ((InetSocketAddress) held.getLocalAddress()).getPort();
+    public void servesInheritedSocketAndClosesItWithTheHandle() throws Exception {
+        ServerSocketChannel inherited = ServerSocketChannel.open();
+        inherited.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        int port = ((InetSocketAddress) inherited.getLocalAddress()).getPort();
         CountDownLatch opened = new CountDownLatch(1);
         Network network = new Network(1.0);
         try {
-            Closeable listening = network.listen(held, endPoint -> {
+            Closeable listening = network.listen(inherited, endPoint -> {
                 opened.countDown();
                 return new AbstractConnection(endPoint, network.threads()) {
                     @Override
@@ -35,21 +35,21 @@
                 assertTrue(opened.await(5, TimeUnit.SECONDS), "the connection was not served");
             }
             listening.close();
-            assertTrue(!held.isOpen(), "the handle leaves this process's descriptor open");
+            assertTrue(!inherited.isOpen(), "the handle leaves this process's descriptor open");
         } finally {
             network.close();
         }
     }
 
     @Test
-    public void anotherDescriptorThanZeroIsOneClearLine() {
-        String said = null;
+    public void descriptorOtherThanZeroIsRefusedWithOneLine() {
+        String message = null;
         try {
             Network.inherited("3");
         } catch (IllegalArgumentException | java.io.IOException e) {
-            said = e.getMessage();
+            message = e.getMessage();
         }
-        assertEquals(said, "RELAY_ACCEPT_FD is '3': expected 0, the descriptor that standard input " + "holds");
+        assertEquals(message, "RELAY_ACCEPT_FD is '3': expected 0, the descriptor that standard input " + "holds");
     }
 
     @Test
--- a/src/test/java/juniperusher/net/LateConnectTest.java
+++ b/src/test/java/juniperusher/net/LateConnectTest.java
@@ -21,16 +21,16 @@
 
 /** Connections that come up when their exchange is being given up. */
 public class LateConnectTest {
-    private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 1);
+    private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 1);
     private static final int ROUNDS = 20_000; // enough that each of the two is first many times
     private static final long SEED = 20261202;
-    private static final int SPREAD = 40_000; // ns over which the two are shifted against each other
+    private static final int MAX_SHIFT_NANOS = 40_000; // ns over which the two are shifted against each other
 
     /** A network whose connections come up when the test says so. */
-    private static final class Slow extends Network {
+    private static final class ManualConnectNetwork extends Network {
         private final BlockingQueue<Dial> dials = new LinkedBlockingQueue<>();
 
-        Slow() throws Exception {
+        ManualConnectNetwork() throws Exception {
             super(1);
         }
 
@@ -39,20 +39,23 @@
             dials.add(dial);
         }
 
-        ByteArrayEndPoint comesUp() throws InterruptedException {
-            ByteArrayEndPoint end = new ByteArrayEndPoint(scheduler(), 0);
-            end.setGrowOutput(true);
-            Connection connection = dials.take().connected(end);
-            end.setConnection(connection);
-            end.onOpen();
+        ByteArrayEndPoint completeConnect() throws InterruptedException {
+            ByteArrayEndPoint endPoint = new ByteArrayEndPoint(scheduler(), 0);
+            endPoint.setGrowOutput(true);
+            Connection connection = dials.take().connected(endPoint);
+            endPoint.setConnection(connection);
+            endPoint.onOpen();
             connection.onOpen();
-            return end;
+            return endPoint;
         }
     }
 
     private static HttpPool.Exchange exchange(HttpPool pool, List<CallEnd> ends) {
         return pool.exchange(
-                AT, HttpMessage.request("GET", "/x", new byte[0], "Host", "a"), () -> true, new HttpPool.Listener() {
+                ADDRESS,
+                HttpMessage.request("GET", "/x", new byte[0], "Host", "a"),
+                () -> true,
+                new HttpPool.Listener() {
                     @Override
                     public void answered(HttpMessage response) {
                         ends.add(CallEnd.DELIVERED);
@@ -66,42 +69,42 @@
     }
 
     @Test
-    public void whatWasGivenUpBeforeItsConnectionIsThereNeverLeaves() throws Exception {
-        try (Slow network = new Slow()) {
+    public void exchangeAbandonedBeforeConnectIsNeverSent() throws Exception {
+        try (ManualConnectNetwork network = new ManualConnectNetwork()) {
             HttpPool pool = new HttpPool(network, 10, 8);
             List<CallEnd> ends = new ArrayList<>();
             exchange(pool, ends).abandon(CallEnd.TIMED_OUT);
-            ByteArrayEndPoint end = network.comesUp();
+            ByteArrayEndPoint endPoint = network.completeConnect();
             assertEquals(ends, List.of(CallEnd.NOT_CONNECTED));
-            assertEquals(end.getOutputString(), "");
-            assertTrue(end.isOpen(), "it can serve another");
+            assertEquals(endPoint.getOutputString(), "");
+            assertTrue(endPoint.isOpen(), "it can serve another");
             exchange(pool, ends);
-            assertTrue(end.getOutputString().startsWith("GET /x"), "it was kept");
+            assertTrue(endPoint.getOutputString().startsWith("GET /x"), "it was kept");
         }
     }
 
     /** Either not a byte has left, or the connection is closed: nothing is out behind a reported end. */
     @Test
-    public void inWhicheverOrderNothingStaysOut() throws Exception {
-        ExecutorService two = Executors.newFixedThreadPool(2);
-        try (Slow network = new Slow()) {
+    public void abandonRacingConnectLeavesNothingInFlight() throws Exception {
+        ExecutorService threads = Executors.newFixedThreadPool(2);
+        try (ManualConnectNetwork network = new ManualConnectNetwork()) {
             HttpPool pool = new HttpPool(network, 10, 8);
             SplittableRandom random = new SplittableRandom(SEED);
             for (int round = 0; round < ROUNDS; round++) {
-                long shift = random.nextInt(SPREAD);
+                long shiftNanos = random.nextInt(MAX_SHIFT_NANOS);
                 List<CallEnd> ends = new ArrayList<>();
                 HttpPool.Exchange exchange = exchange(pool, ends);
                 CyclicBarrier start = new CyclicBarrier(2);
                 CountDownLatch done = new CountDownLatch(2);
-                Future<ByteArrayEndPoint> up = two.submit(() -> {
+                Future<ByteArrayEndPoint> connected = threads.submit(() -> {
                     start.await();
-                    ByteArrayEndPoint end = network.comesUp();
+                    ByteArrayEndPoint endPoint = network.completeConnect();
                     done.countDown();
-                    return end;
+                    return endPoint;
                 });
-                two.submit(() -> {
+                threads.submit(() -> {
                     start.await();
-                    for (long from = System.nanoTime(); System.nanoTime() - from < shift; ) {
+                    for (long from = System.nanoTime(); System.nanoTime() - from < shiftNanos; ) {
                         Thread.onSpinWait();
                     }
                     exchange.abandon(CallEnd.TIMED_OUT);
@@ -109,16 +112,17 @@
                     return null;
                 });
                 done.await();
-                ByteArrayEndPoint end = up.get();
-                boolean left = !end.getOutputString().isEmpty();
+                ByteArrayEndPoint endPoint = connected.get();
+                boolean requestSent = !endPoint.getOutputString().isEmpty();
                 assertEquals(ends.size(), 1, "round " + round);
                 assertTrue(
-                        ends.get(0) == CallEnd.NOT_CONNECTED ? !left : !end.isOpen(),
-                        "seed " + SEED + " round " + round + ": " + ends + ", open=" + end.isOpen() + ", left=" + left);
-                pool.closeIdle(AT, 0);
+                        ends.get(0) == CallEnd.NOT_CONNECTED ? !requestSent : !endPoint.isOpen(),
+                        "seed " + SEED + " round " + round + ": " + ends + ", open=" + endPoint.isOpen() + ", left="
+                                + requestSent);
+                pool.closeIdle(ADDRESS, 0);
             }
         } finally {
-            two.shutdownNow();
+            threads.shutdownNow();
         }
     }
 }
--- a/src/test/java/juniperusher/net/Player.java
+++ b/src/test/java/juniperusher/net/Player.java
@@ -43,17 +43,17 @@
     }
 
     private Socket socket(String party) throws IOException {
-        Socket known = sockets.get(party);
-        if (known == null) {
+        Socket existing = sockets.get(party);
+        if (existing == null) {
             String kind = party.replaceAll("\\d", "");
-            known = servers.containsKey(kind)
+            existing = servers.containsKey(kind)
                     ? servers.get(kind).accept()
                     : new Socket(InetAddress.getByName("127.0.0.1"), ports.get(kind));
-            known.setSoTimeout(5_000);
-            known.setTcpNoDelay(true);
-            sockets.put(party, known);
+            existing.setSoTimeout(5_000);
+            existing.setTcpNoDelay(true);
+            sockets.put(party, existing);
         }
-        return known;
+        return existing;
     }
 
     /** Plays the file. */
@@ -93,23 +93,24 @@
     }
 
     private static void expect(InputStream in, String text, String where) {
-        String wanted = new String(bytes(text), StandardCharsets.ISO_8859_1);
+        String expected = new String(bytes(text), StandardCharsets.ISO_8859_1);
         StringBuilder pattern = new StringBuilder();
-        for (String part : wanted.split(Pattern.quote("{*}"), -1)) {
+        for (String part : expected.split(Pattern.quote("{*}"), -1)) {
             pattern.append(pattern.length() > 0 ? "[^\r\n]*?" : "").append(Pattern.quote(part));
         }
         Pattern whole = Pattern.compile(pattern.toString(), Pattern.DOTALL);
-        StringBuilder got = new StringBuilder();
-        while (!whole.matcher(got).matches()) {
-            int next = got.length() < wanted.length() + 400 ? read(in) : -3;
-            boolean possible = next >= 0 && (wanted.contains("{*}") || wanted.startsWith(got.toString() + (char) next));
+        StringBuilder received = new StringBuilder();
+        while (!whole.matcher(received).matches()) {
+            int next = received.length() < expected.length() + 400 ? read(in) : -3;
+            boolean possible =
+                    next >= 0 && (expected.contains("{*}") || expected.startsWith(received.toString() + (char) next));
             if (!possible) {
                 assertEquals(
-                        next >= 0 ? got.toString() + (char) next : got.toString(),
-                        wanted,
+                        next >= 0 ? received.toString() + (char) next : received.toString(),
+                        expected,
                         where + " (read " + next + ")");
             }
-            got.append((char) next);
+            received.append((char) next);
         }
     }
 
--- a/src/test/java/juniperusher/net/PollTest.java
+++ b/src/test/java/juniperusher/net/PollTest.java
@@ -16,16 +16,16 @@
 
 /** An answer that has come is read when it is asked for, though the selector is busy. */
 public class PollTest {
-    private static final byte[] ANSWER =
+    private static final byte[] RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    private static HttpPool.Listener listener(CompletableFuture<Integer> status, CountDownLatch stuck) {
+    private static HttpPool.Listener listener(CompletableFuture<Integer> status, CountDownLatch release) {
         return new HttpPool.Listener() {
             @Override
             public void answered(HttpMessage response) {
                 status.complete(response.status());
                 try {
-                    stuck.await(10, TimeUnit.SECONDS);
+                    release.await(10, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -40,7 +40,7 @@
 
     @Test
     public void anAnswerIsReadThoughTheSelectorIsBusy() throws Exception {
-        CountDownLatch stuck = new CountDownLatch(1);
+        CountDownLatch releaseSelector = new CountDownLatch(1);
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
                 Network network = new Network(1)) {
             HttpPool pool = new HttpPool(network, 5, 5);
@@ -48,22 +48,22 @@
             HttpMessage request = HttpMessage.request("GET", "/", new byte[0], "Host", "a");
             CompletableFuture<Integer> first = new CompletableFuture<>();
             CompletableFuture<Integer> second = new CompletableFuture<>();
-            pool.exchange(address, request, () -> true, listener(first, stuck));
+            pool.exchange(address, request, () -> true, listener(first, releaseSelector));
             try (Socket one = server.accept()) {
-                HttpPool.Exchange asked =
+                HttpPool.Exchange polled =
                         pool.exchange(address, request, () -> true, listener(second, new CountDownLatch(0)));
                 try (Socket two = server.accept()) {
                     two.getInputStream().read(); // its request is written
-                    one.getOutputStream().write(ANSWER);
+                    one.getOutputStream().write(RESPONSE);
                     assertEquals(first.get(2, TimeUnit.SECONDS), (Integer) 200);
-                    two.getOutputStream().write(ANSWER);
+                    two.getOutputStream().write(RESPONSE);
                     Thread.sleep(100);
                     assertFalse(second.isDone(), "the selector is not busy");
-                    asked.poll();
+                    polled.poll();
                     assertEquals(second.getNow(0), (Integer) 200);
                 }
             } finally {
-                stuck.countDown();
+                releaseSelector.countDown();
             }
         }
     }
--- a/src/test/java/juniperusher/net/RestartTest.java
+++ b/src/test/java/juniperusher/net/RestartTest.java
@@ -19,9 +19,9 @@
 
 /** The program through SIGTERM and SIGKILL, with what it owes before and after. */
 public class RestartTest {
-    private static final String LIST = "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s-1\","
+    private static final String ENDPOINT_LIST = "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s-1\","
             + "\"kind\":\"pequeno-projeto\",\"cell\":7,\"state\":\"up\",\"weight\":5}]}";
-    private static final String WATCH = watch("platform", LIST, 1);
+    private static final String WATCH_EXCHANGE = watch("platform", ENDPOINT_LIST, 1);
 
     private Path folder;
     private Player player;
@@ -64,7 +64,7 @@
     }
 
     @AfterMethod(alwaysRun = true)
-    public void end() throws Exception {
+    public void stop() throws Exception {
         program.destroyForcibly().waitFor();
         player.close();
     }
@@ -111,7 +111,7 @@
         player.play(Files.writeString(folder.resolve("exchange.txt"), lines));
     }
 
-    private static String handIn(String party, String id, String kind) {
+    private static String submit(String party, String id, String kind) {
         return party + "> POST /" + kind + " HTTP/1.1\\r\\nHost: a\\r\\nX-Call-Id: " + id
                 + "\\r\\nX-Call-Class: " + kind
                 + "\\r\\nX-Budget: 15000m\\r\\nContent-Length: 2\\r\\nX-Envelope: dest=7\\r\\n\\r\\nab\n"
@@ -125,25 +125,25 @@
     }
 
     @Test
-    public void afterAKillAnOrderThatMayHaveRunIsGivenUpAndANoticeGoesAgain() throws Exception {
+    public void afterSigkillOrderThatMayHaveRunFailsAndNoticeIsResent() throws Exception {
         start();
-        play(WATCH
-                + handIn("client1", "order", "ordem-build")
+        play(WATCH_EXCHANGE
+                + submit("client1", "order", "ordem-build")
                 + received("endpoint1", "order")
-                + handIn("client2", "notice", "aviso-push")
+                + submit("client2", "notice", "aviso-push")
                 + received("endpoint2", "notice"));
         program.destroyForcibly().waitFor();
         start();
         // Only the notice comes to the endpoint: the order's call was out when the process ended.
         // Discovery is heard first, and the notice of the order's end comes on a connection of its own.
-        play(watch("platform2", LIST, 1) + received("endpoint3", "notice")
+        play(watch("platform2", ENDPOINT_LIST, 1) + received("endpoint3", "notice")
                 + "endpoint3> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
         play("platform3< POST /status HTTP/1.1\\r\\nHost: platform\\r\\nContent-Length: 41\\r\\n\\r\\n"
                 + "{\"message\":\"order\",\"outcome\":\"given_up\"}\\n\n"
                 + "platform3> HTTP/1.1 204 No Content\\r\\n\\r\\n\n");
     }
 
-    private void hangUp() throws Exception {
+    private void sendSighup() throws Exception {
         assertEquals(
                 new ProcessBuilder("kill", "-HUP", Long.toString(program.pid()))
                         .start()
@@ -153,28 +153,28 @@
 
     /** An ignored signal is inherited: a relay under nohup, or under a tool started so, gets none. */
     @Test
-    public void whereSighupIsIgnoredTheChangedFileIsTakenForIt() throws Exception {
-        reloads("trap '' HUP; exec \"$@\"");
+    public void changedFileIsReloadedWhenSighupIsIgnored() throws Exception {
+        assertReload("trap '' HUP; exec \"$@\"");
     }
 
     @Test
-    public void onSighupWatchAndNoticesMoveAndABrokenFileChangesNothing() throws Exception {
-        reloads("exec \"$@\"");
+    public void sighupMovesWatchAndReportsAndIgnoresBrokenFile() throws Exception {
+        assertReload("exec \"$@\"");
     }
 
-    private void reloads(String shell) throws Exception {
+    private void assertReload(String shell) throws Exception {
         start(shell);
-        play(WATCH + handIn("client1", "order", "ordem-build") + received("endpoint1", "order"));
+        play(WATCH_EXCHANGE + submit("client1", "order", "ordem-build") + received("endpoint1", "order"));
         Path file = folder.resolve("relay.json");
         JsonObject json = Json.parse(Files.readString(file)).asObject();
         Files.writeString(file, json.toString().substring(0, 900));
-        hangUp();
-        play("~ 300\n" + handIn("client1", "m1", "aviso-push") + received("endpoint2", "m1")
+        sendSighup();
+        play("~ 300\n" + submit("client1", "m1", "aviso-push") + received("endpoint2", "m1")
                 + "endpoint2> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
         Files.writeString(
                 file,
                 json.set("discovery", "127.0.0.1:" + player.server("moved")).toString());
-        hangUp();
+        sendSighup();
         // Another source may number its lists otherwise.
         play("platform!\n" + watch("moved", "{\"version\":0,\"full\":true,\"servers\":[]}", 0)
                 + "endpoint1x\nmoved2< POST /status HTTP/1.1\\r\\nHost: platform\\r\\n"
@@ -183,32 +183,32 @@
         assertTrue(program.isAlive());
     }
 
-    private void moveTo(String party, JsonObject json) throws Exception {
+    private void moveDiscoveryTo(String party, JsonObject json) throws Exception {
         Files.writeString(
                 folder.resolve("relay.json"),
                 json.set("discovery", "127.0.0.1:" + player.server(party)).toString());
-        hangUp();
+        sendSighup();
     }
 
     @Test
-    public void sighupIsHeardWhileItEnds() throws Exception {
+    public void sighupIsHandledDuringShutdown() throws Exception {
         start();
-        play(WATCH);
+        play(WATCH_EXCHANGE);
         program.destroy();
-        moveTo(
+        moveDiscoveryTo(
                 "moved",
                 Json.parse(Files.readString(folder.resolve("relay.json"))).asObject());
-        play("platform!\n" + watch("moved", LIST.replace("\"up\"", "\"draining\""), 1));
+        play("platform!\n" + watch("moved", ENDPOINT_LIST.replace("\"up\"", "\"draining\""), 1));
         assertTrue(program.waitFor(5, TimeUnit.SECONDS), "it does not end");
         assertEquals(program.exitValue(), 143);
     }
 
     /** Back with the list known before SIGHUP, whose version was another agent's. */
     @Test
-    public void killedRightAfterSighupItTrustsNoOldVersion() throws Exception {
+    public void killAfterSighupDiscardsVersionOfPreviousSource() throws Exception {
         start();
-        play(WATCH);
-        moveTo(
+        play(WATCH_EXCHANGE);
+        moveDiscoveryTo(
                 "moved",
                 Json.parse(Files.readString(folder.resolve("relay.json"))).asObject());
         program.destroyForcibly().waitFor();
@@ -219,23 +219,23 @@
                 folder.resolve("relay.json"),
                 json.set("discovery", "127.0.0.1:" + player.server("back")).toString());
         start();
-        String list = LIST.replace("\"version\":1", "\"version\":0").replace("\"up\"", "\"draining\"");
-        play(watch("back", list, 0) + handIn("client1", "m1", "aviso-push").replace("15000m", "400m")
+        String list = ENDPOINT_LIST.replace("\"version\":1", "\"version\":0").replace("\"up\"", "\"draining\"");
+        play(watch("back", list, 0) + submit("client1", "m1", "aviso-push").replace("15000m", "400m")
                 + "back2< POST /status HTTP/1.1\\r\\nHost: platform\\r\\nContent-Length: 59\\r\\n\\r\\n"
                 + "{\"message\":\"m1\",\"outcome\":\"handed_back\",\"retry_in_ms\":{*}}\\n\n"
                 + "back2> HTTP/1.1 204 No Content\\r\\n\\r\\n\n");
     }
 
     @Test
-    public void onSigtermItServesWhatStillArrivesAndIsOutBeforeTheKill() throws Exception {
+    public void sigtermServesArrivingMessagesAndExitsInTime() throws Exception {
         start();
-        play(WATCH + handIn("client1", "m1", "aviso-push") + received("endpoint1", "m1")
+        play(WATCH_EXCHANGE + submit("client1", "m1", "aviso-push") + received("endpoint1", "m1")
                 + "endpoint1> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
         long from = System.currentTimeMillis();
         program.destroy();
-        play("~ 300\n" + handIn("client1", "m2", "aviso-push") + received("endpoint1", "m2")
+        play("~ 300\n" + submit("client1", "m2", "aviso-push") + received("endpoint1", "m2")
                 + "endpoint1> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n~ 1600\n"
-                + handIn("client2", "order", "ordem-build"));
+                + submit("client2", "order", "ordem-build"));
         assertTrue(program.waitFor(5, TimeUnit.SECONDS), "it does not end");
         long took = System.currentTimeMillis() - from;
         assertTrue(took < 4_000, "it ended after " + took + " ms");
@@ -250,12 +250,12 @@
      * comes too late for that is taken on, not begun: else it would go to the endpoint twice.
      */
     @Test
-    public void whatIsOutBeforeTheEndMayEndAndWhatComesLateGoesOnceAfterTheRestart() throws Exception {
+    public void callsInFlightAtExitCompleteAndLateMessagesAreSentOnceAfterRestart() throws Exception {
         start();
-        play(WATCH);
+        play(WATCH_EXCHANGE);
         program.destroy();
-        play("~ 3000\n" + handIn("client1", "m1", "aviso-push") + received("endpoint1", "m1")
-                + "~ 270\n" + handIn("client1", "m2", "aviso-push")
+        play("~ 3000\n" + submit("client1", "m1", "aviso-push") + received("endpoint1", "m1")
+                + "~ 270\n" + submit("client1", "m2", "aviso-push")
                 + "endpoint1> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
         assertTrue(program.waitFor(5, TimeUnit.SECONDS), "it does not end");
         start();
--- a/src/test/java/juniperusher/net/UpgradeTest.java
+++ b/src/test/java/juniperusher/net/UpgradeTest.java
@@ -30,16 +30,16 @@
  */
 public class UpgradeTest {
     private static final Pattern ID = Pattern.compile("X-Call-Id: (\\S+)");
-    private static final long PATIENCE = 10_000; // ms for each condition
+    private static final long CONDITION_TIMEOUT_MILLIS = 10_000; // ms for each condition
 
-    private final List<String> received = new CopyOnWriteArrayList<>(); // ids of calls, as they came
-    private final List<String> notices = new CopyOnWriteArrayList<>();
-    private final List<Process> programs = new CopyOnWriteArrayList<>();
+    private final List<String> receivedIds = new CopyOnWriteArrayList<>(); // ids of calls, as they came
+    private final List<String> statusReports = new CopyOnWriteArrayList<>();
+    private final List<Process> processes = new CopyOnWriteArrayList<>();
     private final List<ServerSocket> servers = new CopyOnWriteArrayList<>();
 
     @AfterMethod(alwaysRun = true)
-    public void end() throws Exception {
-        for (Process program : programs) {
+    public void stop() throws Exception {
+        for (Process program : processes) {
             program.destroyForcibly().waitFor();
         }
         for (ServerSocket server : servers) {
@@ -48,7 +48,7 @@
     }
 
     /** Reads one request's head and content; null at the connection's end. */
-    private static String request(InputStream in) throws IOException {
+    private static String readRequest(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
             int b = in.read();
@@ -75,9 +75,9 @@
                     Socket socket = server.accept();
                     Thread one = new Thread(() -> {
                         try (socket) {
-                            for (String got = request(socket.getInputStream());
+                            for (String got = readRequest(socket.getInputStream());
                                     got != null;
-                                    got = request(socket.getInputStream())) {
+                                    got = readRequest(socket.getInputStream())) {
                                 handler.handle(got, socket.getOutputStream());
                             }
                         } catch (IOException e) {
@@ -117,7 +117,7 @@
         Process program = builder.redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        programs.add(program);
+        processes.add(program);
         await("the program listens", () -> {
             try (Socket probe = new Socket(InetAddress.getLoopbackAddress(), listen)) {
                 return true;
@@ -129,7 +129,7 @@
         return program;
     }
 
-    private static int handIn(int port, String id, String kind) throws IOException {
+    private static int submit(int port, String id, String kind) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(5_000);
             write(
@@ -143,19 +143,19 @@
     }
 
     private static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.currentTimeMillis() + PATIENCE;
+        long until = System.currentTimeMillis() + CONDITION_TIMEOUT_MILLIS;
         while (!condition.getAsBoolean()) {
             assertTrue(System.currentTimeMillis() < until, "does not come: " + what);
             Thread.sleep(10);
         }
     }
 
-    private long count(String id) {
-        return received.stream().filter(id::equals).count();
+    private long receivedCount(String id) {
+        return receivedIds.stream().filter(id::equals).count();
     }
 
     @Test
-    public void theSecondProcessTakesOverOnlyOnceTheFirstIsKilled() throws Exception {
+    public void secondProcessTakesOverOnlyAfterFirstIsKilled() throws Exception {
         Path folder = Files.createTempDirectory("upgrade");
         Path state = folder.resolve("state");
         // The endpoint delivers notices and never answers orders: an order out at the first one's end may
@@ -164,7 +164,7 @@
         int endpoint = serve((request, out) -> {
             Matcher id = ID.matcher(request);
             if (id.find()) {
-                received.add(id.group(1));
+                receivedIds.add(id.group(1));
                 if (id.group(1).equals("notice")) {
                     write(out, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
                 }
@@ -179,7 +179,7 @@
             } else if (request.startsWith("GET /discovery/hosts")) {
                 write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
             } else {
-                notices.add(request.substring(request.indexOf("\r\n\r\n") + 4));
+                statusReports.add(request.substring(request.indexOf("\r\n\r\n") + 4));
                 write(out, "HTTP/1.1 204 No Content\r\n\r\n");
             }
         });
@@ -197,35 +197,35 @@
                 .get(1)
                 .asObject()
                 .set("objectiveS", 4);
-        int first = free();
-        int second = free();
-        Path one = Files.writeString(
+        int firstPort = freePort();
+        int secondPort = freePort();
+        Path firstConfig = Files.writeString(
                 folder.resolve("one.json"),
-                json.set("listen", "127.0.0.1:" + first).toString());
-        Path two = Files.writeString(
+                json.set("listen", "127.0.0.1:" + firstPort).toString());
+        Path secondConfig = Files.writeString(
                 folder.resolve("two.json"),
-                json.set("listen", "127.0.0.1:" + second).toString());
+                json.set("listen", "127.0.0.1:" + secondPort).toString());
 
-        Process old = start(one, state, first);
-        assertEquals(handIn(first, "order", "ordem-build"), 202);
-        assertEquals(handIn(first, "notice", "aviso-push"), 202);
-        await("both calls are out", () -> count("order") == 1 && count("notice") == 1);
-        start(two, state, second);
+        Process firstProcess = start(firstConfig, state, firstPort);
+        assertEquals(submit(firstPort, "order", "ordem-build"), 202);
+        assertEquals(submit(firstPort, "notice", "aviso-push"), 202);
+        await("both calls are out", () -> receivedCount("order") == 1 && receivedCount("notice") == 1);
+        start(secondConfig, state, secondPort);
         Thread.sleep(500); // a successor that took up the journal would send both again by now
-        assertEquals(count("order"), 1L, "the second process sent the first one's order while it lived");
-        assertEquals(count("notice"), 1L, "the second process sent the first one's notice while it lived");
+        assertEquals(receivedCount("order"), 1L, "the second process sent the first one's order while it lived");
+        assertEquals(receivedCount("notice"), 1L, "the second process sent the first one's notice while it lived");
 
-        old.destroyForcibly().waitFor();
+        firstProcess.destroyForcibly().waitFor();
         await(
                 "the order is given up",
-                () -> notices.stream()
+                () -> statusReports.stream()
                         .anyMatch(text -> text.contains("{\"message\":\"order\",\"outcome\":\"given_up\"}")));
         Thread.sleep(500); // what the second process took over it has sent by now
-        assertEquals(count("order"), 1L, "an order that may have run was sent again");
-        assertEquals(count("notice"), 1L, "a delivered notice was sent again");
+        assertEquals(receivedCount("order"), 1L, "an order that may have run was sent again");
+        assertEquals(receivedCount("notice"), 1L, "a delivered notice was sent again");
     }
 
-    private static int free() throws IOException {
+    private static int freePort() throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return free.getLocalPort();
         }
