--- a/src/main/java/juniperusher/mgmt/Management.java
+++ b/src/main/java/juniperusher/mgmt/Management.java
@@ -17,21 +17,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The operators' listener. Calls, each on a connection of its own that ends with the answer:
+ * The HTTP listener for operators. Each connection carries one call and closes after the response. Calls:
  *
  * <ul>
- * <li>{@code GET /status}: 200 once this process takes clients, 503 before and after;</li>
- * <li>{@code POST /maintenance/enter} with {@code {"target":"ID"}}: 200 once nothing new goes to endpoint ID,
- * 404 for an id that discovery never named, 503 while the relay starts;</li>
- * <li>{@code POST /maintenance/exit}, the same: 200 once it may serve again.</li>
+ * <li>{@code GET /status}: 200 while this process serves clients, otherwise 503;</li>
+ * <li>{@code POST /maintenance/enter} with {@code {"target":"ID"}}: 200 once no new calls go to endpoint ID,
+ * 404 for an id that discovery has never listed, 503 while the relay starts;</li>
+ * <li>{@code POST /maintenance/exit}, with the same body and errors: 200 once the endpoint may receive calls
+ * again.</li>
  * </ul>
- * A body that cannot be read gets 400, another method 405, another path 404. A call that is not whole within
- * 2.5 s, or that says nothing for 2 s, is closed; those who hold connections so delay nobody else.
+ * An invalid body gets 400, another method 405, another path 404. A connection is closed if its call has not arrived
+ * within 2.5 s or if no data arrives for 2 s, so that callers which hold connections open do not delay others.
  */
 public final class Management implements HttpServerConnection.Handler, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Management.class);
-    private static final int MAX_BODY_BYTES = 4 * 1024; // bytes; a target's id is short
-    private static final int MAX_CONNECTIONS = 64; // the mute and idle go first beyond that
+    private static final int MAX_BODY_BYTES = 4 * 1024; // ids of endpoints are short
+    private static final int MAX_CONNECTIONS = 64; // beyond that, the longest waiting ones are shed
 
     private final AtomicReference<Operated> currentRelay = new AtomicReference<>(Operated.STARTING);
     private final AtomicLong shedCount = new AtomicLong();
@@ -40,9 +41,9 @@
     private Management() {}
 
     /**
-     * Listens on {@code address}; calls act on {@link Operated#STARTING} until {@link #operate} says more.
+     * Listens on {@code address}. Calls act on {@link Operated#STARTING} until {@link #operate} is called.
      *
-     * @throws IOException where the address cannot be bound
+     * @throws IOException if the address cannot be bound
      */
     public static Management listen(Network network, InetSocketAddress address) throws IOException {
         Management management = new Management();
@@ -51,7 +52,7 @@
                 address,
                 endPoint -> new HttpServerConnection(endPoint, network, ownBound, MAX_BODY_BYTES, management),
                 false);
-        LOG.atInfo().addKeyValue("address", address).log("operators' calls are taken");
+        LOG.atInfo().addKeyValue("address", address).log("listening for operator calls");
         return management;
     }
 
@@ -62,19 +63,19 @@
         }
     }
 
-    /** From now on calls act on {@code relay}. */
+    /** Makes calls act on {@code relay} from now on. */
     public void operate(Operated relay) {
         currentRelay.set(relay);
     }
 
-    /** How many connections were closed for want of room. */
+    /** The number of connections shed because of the bound, since the start. */
     public long shed() {
         return shedCount.get();
     }
 
     @Override
     public boolean closing() {
-        return true; // one call a connection
+        return true; // one call per connection
     }
 
     @Override
@@ -82,7 +83,7 @@
         responder.respond(answer(request));
     }
 
-    /** The answer to one call. */
+    /** Executes one call and returns the response. */
     HttpMessage answer(HttpMessage request) {
         String path = request.path();
         int query = path.indexOf('?');
@@ -124,7 +125,11 @@
         }
     }
 
-    /** The id in a body {@code {"target":"ID"}}; an {@link IllegalArgumentException} says what is wrong. */
+    /**
+     * Returns the id in a body {@code {"target":"ID"}}.
+     *
+     * @throws IllegalArgumentException if the body is invalid; the message is sent to the caller
+     */
     static String parseTarget(byte[] body) {
         JsonValue json;
         try {
--- a/src/main/java/juniperusher/mgmt/Operated.java
+++ b/src/main/java/juniperusher/mgmt/Operated.java
@@ -1,24 +1,27 @@
 package juniperusher.mgmt;
 
-/** What the operators' calls act on: a relay, or nothing yet while it starts. */
+/** The relay as the operators' calls see it. Implementations are thread-safe. */
 public interface Operated {
-    /** What a call to endpoint maintenance came to. */
+    /** The result of entering or leaving maintenance. */
     enum Answer {
+        /** The call has taken effect, or already had. */
         DONE,
+        /** Discovery has never listed an endpoint with this id. */
         UNKNOWN,
+        /** The relay is still starting. */
         NOT_NOW
     }
 
-    /** Whether this process takes clients now. */
+    /** Whether this process serves clients at present. */
     boolean serving();
 
-    /** Nothing new goes to endpoint {@code id} from the return of this on, until {@link #exit}. */
+    /** Puts the endpoint under maintenance: after the return no new calls go to it, until {@link #exit}. */
     Answer enter(String id);
 
-    /** Endpoint {@code id} may serve again. */
+    /** Ends the maintenance of the endpoint, so that calls may go to it again. */
     Answer exit(String id);
 
-    /** Before the relay is up: not serving, and maintenance is not yet possible. */
+    /** Stands for a relay that is still starting: it does not serve, and maintenance calls are refused. */
     Operated STARTING = new Operated() {
         @Override
         public boolean serving() {
--- a/src/main/java/juniperusher/mgmt/package-info.java
+++ b/src/main/java/juniperusher/mgmt/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The operators' listener ({@code mgmt}): HTTP/1.1, one call a connection, on the same selector as the fronts
- * but bounded apart from the clients, so that no load of theirs delays an answer. Owns the calls' paths,
- * bodies and answers. The door is {@link juniperusher.mgmt.Management}; what a call does is the part of an
- * {@link juniperusher.mgmt.Operated}.
+ * The HTTP/1.1 listener for operators ({@code mgmt}), with one call per connection. It shares the selector with the
+ * fronts but has its own bound on connections, so that the load of clients does not delay it. This package defines
+ * the paths, bodies and responses of the calls. The entry point is {@link juniperusher.mgmt.Management}; an
+ * {@link juniperusher.mgmt.Operated} carries the calls out.
  *
- * <p>Must not know: the platform's front, AMQP, the module, the journal, discovery.
+ * <p>This package must not depend on the platform's front, AMQP, the decision module, the journal or discovery.
  */
 package juniperusher.mgmt;
--- a/src/main/java/juniperusher/net/HttpClientConnection.java
+++ b/src/main/java/juniperusher/net/HttpClientConnection.java
@@ -20,19 +20,23 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The client's side of an HTTP/1.1 connection: one exchange at a time. Guards against answers that cannot be
- * read, do not end or are too long: such an answer is spoilt, and its connection is closed at once. What
- * comes behind a good answer spoils the connection alone and is never read as the next call's answer.
+ * The client side of an HTTP/1.1 connection, with one exchange at a time. A response that cannot be parsed, does
+ * not end or is too long ends its exchange as {@link CallEnd#SPOILT}, and the connection is closed at once. Bytes
+ * that follow a valid response do not affect that response; the connection is then closed, so that they are never
+ * parsed as the response to the next call.
+ *
+ * <p>Input is processed under the connection's lock. Exchanges are completed outside of it, since their listeners
+ * may use other connections.
  */
 final class HttpClientConnection extends AbstractConnection implements HttpParser.ResponseHandler {
     private static final int INPUT_BUFFER_BYTES = 4 * 1024;
-    private static final int MAX_HEAD_BYTES = 16 * 1024; // bytes
-    private static final int MAX_INTERIM_RESPONSES = 16; // 1xx answers in front of the final one
-    private static final long RESPONSE_TIMEOUT_MILLIS = 500; // ms from an answer's first byte to its last
-    private static final long LINGER_IDLE_TIMEOUT_MILLIS =
-            1_000; // ms without a byte for which one that has ended is read on
-    private static final int MAX_DISCARDED_BYTES = 1 << 20; // bytes of it that are read and dropped at most
-    // Where they go: shared, since nobody reads them.
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
+    private static final int MAX_INTERIM_RESPONSES = 16; // 1xx responses before the final one
+    private static final long RESPONSE_TIMEOUT_MILLIS = 500; // from the first byte of a response to its last
+    // Idle time after which a connection whose output is shut down is closed.
+    private static final long LINGER_IDLE_TIMEOUT_MILLIS = 1_000;
+    private static final int MAX_DISCARDED_BYTES = 1 << 20; // read and discarded after the output is shut down
+    // Shared by all connections, because its content is never read.
     private static final ByteBuffer DISCARD_BUFFER = ByteBuffer.allocateDirect(16 * 1024);
 
     private final Network network;
@@ -49,12 +53,12 @@
     private boolean keepAlive = true;
     private volatile HttpPool.Exchange exchange;
     private volatile boolean closed;
-    private volatile boolean lingering; // its output has ended, what still comes is dropped
+    private volatile boolean lingering; // the output is shut down, further input is discarded
     private int discardedBytes;
     private volatile long idleSinceNanos;
     private Scheduler.Task responseTimeout;
-    private boolean requestWriteInProgress; // the request's write has not said how it ended
-    private HttpPool.Exchange answeredBeforeWriteEnd; // whose answer came before that
+    private boolean requestWriteInProgress; // neither callback of the request's write has run yet
+    private HttpPool.Exchange answeredBeforeWriteEnd; // exchange whose response came while the write was in progress
 
     HttpClientConnection(EndPoint endPoint, Network network, HttpPool pool, Consumer<HttpClientConnection> onOpened) {
         super(endPoint, network.threads());
@@ -63,7 +67,7 @@
         this.onOpened = onOpened;
     }
 
-    /** Nothing here waits, so the selector's thread itself reads: no hand-over for each answer. */
+    /** Reading never blocks, so the selector thread reads each response without a hand-over to another thread. */
     @Override
     public InvocationType getInvocationType() {
         return InvocationType.NON_BLOCKING;
@@ -76,7 +80,7 @@
         onOpened.accept(this);
     }
 
-    /** Whether nothing has come since the last answer; asked before the connection is used again. */
+    /** Whether the connection is usable and no input has arrived since the last response. Checked before reuse. */
     synchronized boolean hasNoInput() {
         try {
             return isUsable() && !input.hasRemaining() && getEndPoint().fill(input) == 0;
@@ -86,7 +90,8 @@
     }
 
     /**
-     * Writes the exchange's request. From here on its last byte may be gone, unless the write says otherwise.
+     * Writes the exchange's request. From here on its last byte may have been sent, unless the failed write reports
+     * that bytes remain. Returns the connection to the pool if the exchange has ended meanwhile.
      */
     void send(HttpPool.Exchange next, ByteBuffer request) {
         exchange = next;
@@ -109,17 +114,15 @@
                             }),
                             request);
         } catch (WritePendingException e) {
-            next.requestNotFullyWritten(); // not one byte was taken
+            next.requestNotFullyWritten(); // no byte was written
             fail(CallEnd.BROKEN);
         }
     }
 
     /**
-     * The request is written. Guards the next request: an answer can come, and its connection be taken for
-     * the
-     * next call, before the thread that wrote the request has got this far; a write then would be refused
-     * with
-     * an exception that nobody waits for. So a connection is kept only once both have ended.
+     * Called when the request is written. A response can arrive, and its connection be reused for the next call,
+     * before the writing thread gets here; the next write would then fail with a {@link WritePendingException}.
+     * Therefore a connection returns to the pool only after both the response and this callback.
      */
     private void requestWritten() {
         HttpPool.Exchange completed;
@@ -146,10 +149,10 @@
     }
 
     /**
-     * Ends it with nothing out on it: the output first, then, once the other side has ended too or after a
-     * bound, the connection. Guards the answer before: a close over bytes that nobody has read, half a line
-     * that comes in this very instant, resets the connection, and the other side cannot know what of its
-     * answer was read.
+     * Closes an idle connection: shuts down the output, and closes the connection once the peer has closed its side
+     * or a limit of time or bytes is reached. Closing a socket with unread input, such as half a line that arrives
+     * at this moment, would reset the connection, and the peer could not tell how much of its last response was
+     * read.
      */
     void closeGracefully() {
         synchronized (this) {
@@ -198,7 +201,7 @@
         }
     }
 
-    /** Reads what has come though the selector has not got to it; its interest stays as it is. */
+    /** Reads input that the selector has not processed yet. The registered read interest does not change. */
     void poll() {
         read(false);
     }
@@ -209,11 +212,14 @@
             completion = fromSelector || exchange != null ? processInput(fromSelector) : null;
         }
         if (completion != null) {
-            completion.run(); // not under the lock: what hears of it may use other connections
+            completion.run(); // outside of the lock, since listeners may use other connections
         }
     }
 
-    /** Reads what is there; the rest of the matter, if an answer has come or can come no more. */
+    /**
+     * Reads and parses the available input. Returns the action that completes the exchange or closes the connection,
+     * to be run outside of the lock, or null if there is none.
+     */
     private Runnable processInput(boolean fromSelector) {
         try {
             while (!closed) {
@@ -234,13 +240,13 @@
                     }
                 }
                 if (exchange == null) {
-                    closed = true; // bytes that answer nothing
+                    closed = true; // input without a request in flight
                     lingering = true;
                     return () -> {
                         pool.remove(this);
                         startLingering();
                         if (fromSelector) {
-                            discardInput(); // else its interest in the next byte still stands
+                            discardInput(); // after a poll the read interest is still registered
                         }
                     };
                 }
@@ -251,7 +257,7 @@
                         && status < 200
                         && status != 101
                         && ++interimResponses <= MAX_INTERIM_RESPONSES) {
-                    resetParser(); // the final answer is still to come
+                    resetParser(); // an interim response; the final one follows
                 } else if (responseComplete && !responseInvalid && status >= 200) {
                     return completeExchange(fromSelector);
                 } else if (responseInvalid || parserStopped) {
@@ -315,7 +321,7 @@
         return completed == null ? null : () -> completed.answered(response, reuse && !releaseAfterWrite ? this : null);
     }
 
-    /** The connection is of no more use; an exchange on it ends so. */
+    /** Closes the connection and ends the exchange on it, if there is one, with {@code end}. */
     void fail(CallEnd end) {
         closed = true;
         close();
@@ -334,7 +340,7 @@
         pool.remove(this);
     }
 
-    // ---- the parser's calls ----
+    // ---- callbacks of the parser ----
 
     @Override
     public void startResponse(HttpVersion version, int code, String reason) {
@@ -384,7 +390,7 @@
 
     @Override
     public void earlyEOF() {
-        keepAlive = false; // the end of the input says the same
+        keepAlive = false; // processInput() handles the end of the input itself
     }
 
     @Override
--- a/src/main/java/juniperusher/net/HttpMessage.java
+++ b/src/main/java/juniperusher/net/HttpMessage.java
@@ -14,22 +14,22 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * One request or response.
+ * An HTTP/1.1 request or response with its whole content. The body is not copied and must not be modified.
  *
- * @param start  method and path of a request, the status of a response
+ * @param start  method and path of a request, separated by a space, or the status code of a response
  * @param fields header fields
- * @param body   the content
+ * @param body   the content, empty if there is none
  */
 public record HttpMessage(String start, HttpFields fields, byte[] body) {
     private static final int HEAD_BUFFER_BYTES = 4096;
     private static final Pattern DECIMAL_NUMBER = Pattern.compile("[+-]?\\d{1,12}(\\.\\d{0,12})?([eE][+-]?\\d{1,2})?");
 
-    /** A request; {@code fields} are names and values in turn. */
+    /** Creates a request; {@code fields} holds names and values of header fields in turn. */
     public static HttpMessage request(String method, String path, byte[] body, String... fields) {
         return new HttpMessage(method + ' ' + path, fields(fields), body);
     }
 
-    /** A response. */
+    /** Creates a response with the body in UTF-8; {@code fields} holds names and values of header fields in turn. */
     public static HttpMessage response(int status, String body, String... fields) {
         return new HttpMessage(Integer.toString(status), fields(fields), body.getBytes(StandardCharsets.UTF_8));
     }
@@ -42,44 +42,48 @@
         return out;
     }
 
-    /** Method of a request. */
+    /** The method of a request. */
     public String method() {
         return start.substring(0, start.indexOf(' '));
     }
 
-    /** Path of a request. */
+    /** The path of a request, including its query. */
     public String path() {
         return start.substring(start.indexOf(' ') + 1);
     }
 
-    /** Status of a response. */
+    /** The status code of a response. */
     public int status() {
         return Integer.parseInt(start);
     }
 
-    /** The field's value or null. */
+    /** The value of the first header field of this name, or null if there is none. */
     public String get(String name) {
         return fields.get(name);
     }
 
-    /** The wait that {@code Retry-After} tells, in seconds; 0 for none or one that is no number. */
+    /** The delay of the {@code Retry-After} field in seconds; 0 if it is missing, not a number or not positive. */
     public double retryAfter() {
         String value = get("Retry-After");
         double seconds = value == null ? 0 : number(value);
         return seconds > 0 ? seconds : 0;
     }
 
-    /** A decimal number, or NaN for what is none: 'Infinity' and '0x1p3' are none. */
+    /** Parses a decimal number; NaN for any other text, including 'Infinity' and '0x1p3'. */
     public static double number(String text) {
         return DECIMAL_NUMBER.matcher(text.strip()).matches() ? Double.parseDouble(text.strip()) : Double.NaN;
     }
 
-    /** The content as text. */
+    /** The content decoded as UTF-8. */
     public String text() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
-    /** The whole message as it goes over the wire. */
+    /**
+     * Encodes the whole message as it is sent.
+     *
+     * @throws IllegalArgumentException if the message cannot be encoded
+     */
     public ByteBuffer bytes() {
         HttpGenerator generator = new HttpGenerator();
         boolean request = start.indexOf(' ') > 0;
@@ -107,11 +111,11 @@
                     case DONE -> {
                         return ByteBuffer.wrap(out.toByteArray());
                     }
-                    default -> throw new IllegalStateException("generator wants " + result);
+                    default -> throw new IllegalStateException("unexpected result of the HTTP generator: " + result);
                 }
             }
         } catch (IOException e) {
-            throw new IllegalArgumentException("message cannot be written: " + start, e);
+            throw new IllegalArgumentException("cannot encode the HTTP message: " + start, e);
         }
     }
 }
--- a/src/main/java/juniperusher/net/HttpPool.java
+++ b/src/main/java/juniperusher/net/HttpPool.java
@@ -13,12 +13,13 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * HTTP/1.1 exchanges on connections that are kept and used again, the last used first. A connection is
- * closed before the other side's idle time is over, since a request written from then on would end as a
- * reset. Nothing is ever sent again here.
+ * Client for HTTP/1.1 exchanges with a pool of idle connections; the most recently used one is reused first. The
+ * idle timeout has to be shorter than the server's, since a request written to a connection that the server is
+ * closing ends with a reset. The pool never repeats a request. All methods are thread-safe.
  */
 public final class HttpPool {
-    private static final long MAX_RESPONSE_BYTES = 256 * 1024; // bytes; bodies hold 64 KiB at most, this allows more
+    private static final long MAX_RESPONSE_BYTES =
+            256 * 1024; // message bodies have at most 64 KiB; responses may be longer
 
     private final Network network;
     private final long idleTimeoutNanos;
@@ -26,10 +27,10 @@
     private final Map<ConnectionKey, Deque<HttpClientConnection>> idleByKey = new HashMap<>();
     private int idleCount;
 
-    /** Who a connection leads to: an address alone may pass from one endpoint to the next. */
+    /** The peer of a connection. The owner is part of it, because another endpoint may take over an address. */
     private record ConnectionKey(InetSocketAddress address, int owner) {}
 
-    /** Keeps idle connections for {@code idleSeconds}, and {@code mostIdle} of them, at most. */
+    /** Creates a pool that keeps at most {@code maxIdle} idle connections, each for {@code idleTimeoutSeconds}. */
     public HttpPool(Network network, double idleTimeoutSeconds, int maxIdle) {
         this.network = network;
         this.maxIdle = maxIdle;
@@ -37,40 +38,50 @@
         closeExpired();
     }
 
-    /** Hears how an exchange goes; exactly one of {@code answered} and {@code ended} comes. */
+    /**
+     * Receives the result of an exchange: exactly one call of {@link #answered} or {@link #ended}. Calls may come on
+     * any thread, including the one that starts the exchange, and must not block.
+     */
     public interface Listener {
-        /** The whole answer is there. */
+        /** The whole response has been received. */
         void answered(HttpMessage response);
 
         /**
-         * The exchange ended without one; {@code firstLine} is the status that its first line still said, or
-         * 0 if none came.
+         * The exchange ended without a whole response. {@code firstLine} is the status code of the response's first
+         * line, or 0 if that line did not arrive.
          */
         void ended(CallEnd why, int firstLine);
 
-        /** The answer has begun; its first line has this status. */
+        /** The first line of the response has arrived with this status code. */
         default void begun(int status) {}
 
-        /** Bytes that an answer's content may have; a longer one is spoilt. */
+        /**
+         * The maximum size of a response's content in bytes; a longer response ends as {@link CallEnd#SPOILT}. With
+         * {@link Long#MAX_VALUE} the response may also take any time.
+         */
         default long most() {
             return MAX_RESPONSE_BYTES;
         }
 
-        /** Content of an answer that is taken piece by piece; true if so. */
+        /**
+         * Offers a piece of the response's content on arrival. If this returns true, the listener has consumed the
+         * piece and it is not part of the response passed to {@link #answered}.
+         */
         default boolean streamed(int status, byte[] piece) {
             return false;
         }
     }
 
-    /** The same as below, where the address says who is there. */
+    /** Starts an exchange with a server that its address alone identifies. */
     public Exchange exchange(
             InetSocketAddress address, HttpMessage request, BooleanSupplier mayStart, Listener listener) {
         return exchange(address, 0, request, mayStart, listener);
     }
 
     /**
-     * Starts an exchange; {@code mayStart} is asked just before the first byte leaves. Only connections made
-     * for the same {@code owner} of the address are used again.
+     * Starts an exchange. {@code mayStart} is called right before a connection is opened and again right before the
+     * request is written; if it returns false, the exchange ends as {@link CallEnd#HELD_BACK}. Only connections
+     * opened for the same {@code owner} of the address are reused.
      */
     public Exchange exchange(
             InetSocketAddress address, int owner, HttpMessage request, BooleanSupplier mayStart, Listener listener) {
@@ -119,7 +130,7 @@
         }
     }
 
-    /** Guards descriptors: takes out the connection that has been idle longest. */
+    /** Removes the connection that has been idle longest, so that the pool does not use up file descriptors. */
     private HttpClientConnection removeLongestIdle() {
         Deque<HttpClientConnection> oldest = null;
         for (Deque<HttpClientConnection> candidates : idleByKey.values()) {
@@ -145,7 +156,7 @@
         }
     }
 
-    /** Closes the idle connections to the owner of an address. */
+    /** Closes the idle connections opened for this owner of the address. */
     public void closeIdle(InetSocketAddress address, int owner) {
         Deque<HttpClientConnection> removed;
         synchronized (idleByKey) {
@@ -172,7 +183,7 @@
         network.scheduler().schedule(this::closeExpired, 200, TimeUnit.MILLISECONDS);
     }
 
-    /** One exchange. */
+    /** One request and its response; ends exactly once. */
     public final class Exchange implements Network.Dial {
         private final ConnectionKey key;
         private final ByteBuffer request;
@@ -209,7 +220,10 @@
             ended(CallEnd.NOT_CONNECTED);
         }
 
-        /** Guards against a call that leaves after it was reported as never sent: both are settled here. */
+        /**
+         * Assigns the connection to this exchange. Returns false if the exchange has already ended; the request must
+         * then not be written, as it may have been reported as never sent.
+         */
         synchronized boolean claimConnection(HttpClientConnection claimed) {
             connection = claimed;
             requestMayBeComplete = !finished;
@@ -225,7 +239,7 @@
             listener.begun(status);
         }
 
-        /** Reads an answer that has come, should the selector not have got to it yet. */
+        /** Reads a response that has arrived but that the selector has not processed yet. */
         public void poll() {
             HttpClientConnection current;
             synchronized (this) {
@@ -251,7 +265,7 @@
         void answered(HttpMessage response, HttpClientConnection reusable) {
             synchronized (this) {
                 if (finished) {
-                    return; // given up in this very moment, and its connection closed with it
+                    return; // abandoned meanwhile, which also closed the connection
                 }
                 finished = true;
             }
@@ -274,8 +288,9 @@
         }
 
         /**
-         * Stops waiting: closes the connection if the request is on it, then reports the end. Guards against
-         * a request that leaves on a connection that comes up in this very instant, and stays out there.
+         * Stops waiting for the response: closes the connection that the request uses, if any, then reports the end.
+         * A connection that is established at the same time does not send the request afterwards. Has no effect on
+         * an exchange that has ended.
          */
         public void abandon(CallEnd why) {
             HttpClientConnection current;
--- a/src/main/java/juniperusher/net/HttpServerConnection.java
+++ b/src/main/java/juniperusher/net/HttpServerConnection.java
@@ -18,30 +18,31 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * The server's side of an HTTP/1.1 connection: one request at a time, answered before the next is read.
- * Guards against clients that send what cannot be read, too much, too slowly or nothing: what is read and
- * held is bounded, and so is the time. A refusal is written before the input has ended, and the rest of the
- * input is read and dropped, since a close with input unread would reset the refusal away.
+ * The server side of an HTTP/1.1 connection: one request at a time, answered before the next one is read. Size and
+ * duration of requests are bounded, so that clients which send invalid data, too much, too slowly or nothing at all
+ * hold no resources for long. An error response may be written before the request has arrived completely; the rest
+ * of the request is then read and discarded, since closing a socket with unread input resets the connection and the
+ * client may lose the response.
  *
- * <p>However it ends, it looks for a request that came in that very instant first, then ends its output, and
- * closes after a lingering read. What is read after the end of the output is dropped: nobody could be
- * answered for it, and its client sends it once more elsewhere.
+ * <p>Before the connection ends, it reads input once more and answers a request that has just arrived. Then it shuts
+ * down the output and discards further input until the client closes or a limit is reached. A request that arrives
+ * after the output is shut down is discarded unread; its client sends it again on another connection.
  */
 public final class HttpServerConnection extends AbstractConnection implements HttpParser.RequestHandler, Inbound.Guest {
     private static final int INPUT_BUFFER_BYTES = 8 * 1024;
-    private static final int MAX_HEAD_BYTES = 16 * 1024; // bytes; a longer head is refused
-    // ms without a byte, whatever the connection is doing: clients that ask once and keep their connection
-    // would else use up those that they may hold, and the others would find none.
+    private static final int MAX_HEAD_BYTES = 16 * 1024; // requests with a longer head are refused
+    // Applies in every state. Without it, clients that send one request and keep the connection would use up
+    // the bounded number of connections, and other clients could not connect.
     private static final long IDLE_TIMEOUT_MILLIS = 2_000;
-    private static final long REQUEST_TIMEOUT_NANOS = 2_500_000_000L; // ns from a request's first byte to its last
-    private static final long LINGER_TIMEOUT_NANOS =
-            3_000_000_000L; // ns for which the rest is dropped after the output
-    // ms without a byte after which one that was ended for want of room is closed, its client's end or not
+    private static final long REQUEST_TIMEOUT_NANOS = 2_500_000_000L; // from a request's first byte to its last
+    private static final long LINGER_TIMEOUT_NANOS = 3_000_000_000L; // from the end of the output to the close
+    // Idle time after which a shed connection whose output is shut down is closed.
     private static final long SHED_IDLE_TIMEOUT_MILLIS = 250;
-    private static final Throwable SHED_CAUSE = new IOException("ended, as its place or its process is going");
-    private static final int DISCARD_READS_PER_TURN = 16; // reads of dropped input before the others have their turn
-    private static final long MAX_DISCARDED_BYTES = 256L << 20; // bytes dropped after a refusal, at most
-    // Where dropped bytes go: shared, since nobody reads them.
+    private static final Throwable SHED_CAUSE =
+            new IOException("connection ended: connection limit reached or process shutting down");
+    private static final int DISCARD_READS_PER_TURN = 16; // then the selector processes the other connections
+    private static final long MAX_DISCARDED_BYTES = 256L << 20; // read and discarded after the output is shut down
+    // Shared by all connections, because its content is never read.
     private static final ByteBuffer DISCARD_BUFFER = ByteBuffer.allocateDirect(64 * 1024);
 
     private final Handler handler;
@@ -57,34 +58,34 @@
     private HttpMessage refusal;
     private long phaseStartNanos;
     private int discardReads;
-    private long lingerBytes; // bytes dropped plus one, 0 before the end of the output
-    private volatile boolean shedRequested; // with its next answer, or at once where none is owed
+    private long lingerBytes; // bytes discarded plus one; 0 until the output is shut down
+    private volatile boolean shedRequested; // ends after the next response, or at once if no request is in progress
     private volatile Inbound.Standing standing = Inbound.Standing.MUTE;
     private volatile long standingSinceNanos = System.nanoTime();
 
     /** Answers requests. */
     public interface Handler {
-        /** Answers by calling {@code responder} once, now or later, from any thread. */
+        /** Handles a request. Calls {@code responder} exactly once, now or later, on any thread. Must not block. */
         void handle(HttpMessage request, Responder responder);
 
-        /** Whether connections should end after their next answer. */
+        /** Whether connections should close after their next response. */
         boolean closing();
 
-        /** What could not be read, or was too much, has been refused with this status. */
+        /** An invalid, oversized or timed-out request was refused with this status code. */
         default void refused(int status) {}
     }
 
-    /** Takes the answer to one request. */
+    /** Sends the response to one request. */
     public interface Responder {
         void respond(HttpMessage response);
     }
 
-    /** Serves a connection whose requests have at most {@code mostBody} bytes of content. */
+    /** Creates a connection within the network's bound; longer request bodies than {@code maxBodyBytes} get 413. */
     public HttpServerConnection(EndPoint endPoint, Network network, int maxBodyBytes, Handler handler) {
         this(endPoint, network, network.inbound(), maxBodyBytes, handler);
     }
 
-    /** The same, counted in a bound of its own rather than among the clients' connections. */
+    /** Creates a connection within a separate bound; longer request bodies than {@code maxBodyBytes} get 413. */
     public HttpServerConnection(
             EndPoint endPoint, Network network, Inbound inbound, int maxBodyBytes, Handler handler) {
         super(endPoint, network.threads());
@@ -99,13 +100,13 @@
         getEndPoint().setIdleTimeout(IDLE_TIMEOUT_MILLIS);
         inbound.add(this);
         if (shedRequested) {
-            endWithoutInput(503); // there is no room for it, and its request may be here already
+            endWithoutInput(503); // shed on arrival; its request may have arrived already
         } else if (getEndPoint().isOpen()) {
             awaitInput();
         }
     }
 
-    /** Waits for its next byte. Guards an end that came just before against waiting for it as well. */
+    /** Registers for input. Repeats a shed that was requested just before, as it found no interest to cancel. */
     private void awaitInput() {
         fillInterested();
         if (shedRequested && lingerBytes == 0) {
@@ -119,7 +120,7 @@
         inbound.remove(this);
     }
 
-    /** Nothing here waits, so the selector's thread itself reads: no hand-over for each request. */
+    /** Reading never blocks, so the selector thread reads each request without a hand-over to another thread. */
     @Override
     public InvocationType getInvocationType() {
         return InvocationType.NON_BLOCKING;
@@ -136,8 +137,9 @@
     }
 
     /**
-     * Ends it as soon as nothing is owed. Whoever takes the interest in its next byte away owns it: either
-     * this call, which looks once more, or a read that is under way, which ends with its answer.
+     * Ends the connection once no request is in progress. May be called on any thread. Only the thread that cancels
+     * the read interest may go on reading: either this call, which then reads once more, or a read in progress,
+     * which ends the connection with its response.
      */
     @Override
     public void shed() {
@@ -164,10 +166,13 @@
         }
     }
 
-    /** Nothing more has come: ends the output, after a refusal where a request was begun, and lingers. */
+    /**
+     * Ends the connection after no input was found: shuts down the output and discards further input. A client whose
+     * request is incomplete first gets {@code status}, and so does, with 503, a client that has sent nothing.
+     */
     private void endWithoutInput(int status) {
         if (lingerBytes > 0) {
-            close(); // it has had its time
+            close(); // the linger time is over
         } else if (status == 503 && standing == Inbound.Standing.MUTE || standing == Inbound.Standing.UNFINISHED) {
             if (refuse(HttpMessage.response(status, ""))) {
                 onFillable();
@@ -191,7 +196,10 @@
         read(0);
     }
 
-    /** Reads what there is; where nothing is left and {@code otherwise} is a status, ends with it. */
+    /**
+     * Reads and handles the available input. If there is none and {@code statusIfNoInput} is not 0, ends the
+     * connection with that status.
+     */
     private void read(int statusIfNoInput) {
         try {
             while (true) {
@@ -222,13 +230,13 @@
                             return;
                         }
                         if (++discardReads % DISCARD_READS_PER_TURN == 0) {
-                            fillInterested(); // the others' turn
+                            fillInterested(); // lets the selector process other connections
                             return;
                         }
                         continue;
                     }
                 }
-                statusIfNoInput = shedRequested ? statusIfNoInput : 0; // it was not idle after all
+                statusIfNoInput = shedRequested ? statusIfNoInput : 0; // input arrived, so it has not timed out
                 if (standing != Inbound.Standing.UNFINISHED) {
                     phaseStartNanos = System.nanoTime();
                     setStanding(Inbound.Standing.UNFINISHED);
@@ -254,18 +262,23 @@
         }
     }
 
-    /** Has the request answered; whether that is done already, so that the caller reads on. */
+    /**
+     * Passes the request to the handler. Returns true if the response is already written, so that the caller goes on
+     * reading. The flag passed to {@link #respond} is set by the first of the two that finish, this thread and the
+     * callback of the write; the second one goes on reading.
+     */
     private boolean handleRequest() {
         HttpMessage request = new HttpMessage(requestLine, fields.asImmutable(), body.toByteArray());
         requestComplete = false;
         fields = HttpFields.build();
         body = new ByteArrayOutputStream();
         setStanding(Inbound.Standing.SERVED);
-        AtomicBoolean firstToFinish = new AtomicBoolean();
-        handler.handle(request, response -> respond(response, firstToFinish));
-        return !firstToFinish.compareAndSet(false, true);
+        AtomicBoolean oneFinished = new AtomicBoolean();
+        handler.handle(request, response -> respond(response, oneFinished));
+        return !oneFinished.compareAndSet(false, true);
     }
 
+    /** Writes an error response, after which the connection ends. Returns true like {@link #handleRequest}. */
     private boolean refuse(HttpMessage response) {
         handler.refused(response.status());
         refusal = response;
@@ -273,12 +286,12 @@
         body = new ByteArrayOutputStream();
         BufferUtil.clear(input);
         closeAfterResponse = true;
-        AtomicBoolean firstToFinish = new AtomicBoolean();
-        respond(response, firstToFinish);
-        return !firstToFinish.compareAndSet(false, true);
+        AtomicBoolean oneFinished = new AtomicBoolean();
+        respond(response, oneFinished);
+        return !oneFinished.compareAndSet(false, true);
     }
 
-    private void respond(HttpMessage response, AtomicBoolean firstToFinish) {
+    private void respond(HttpMessage response, AtomicBoolean oneFinished) {
         boolean last = closeAfterResponse || shedRequested || handler.closing() || inbound.isCrowded();
         HttpMessage sent = last
                 ? new HttpMessage(
@@ -298,7 +311,7 @@
                                         setStanding(Inbound.Standing.IDLE);
                                         getEndPoint().setIdleTimeout(IDLE_TIMEOUT_MILLIS);
                                     }
-                                    if (!firstToFinish.compareAndSet(false, true)) {
+                                    if (!oneFinished.compareAndSet(false, true)) {
                                         getExecutor().execute(this::onFillable);
                                     }
                                 },
@@ -306,7 +319,7 @@
                         sent.bytes());
     }
 
-    // ---- the parser's calls ----
+    // ---- callbacks of the parser ----
 
     @Override
     public void startRequest(String method, String uri, HttpVersion version) {
@@ -323,7 +336,7 @@
     @Override
     public boolean headerComplete() {
         if (parser.getContentLength() > maxBodyBytes) {
-            refusal = HttpMessage.response(413, ""); // the length alone condemns it
+            refusal = HttpMessage.response(413, ""); // refused before its content is read
         }
         return refusal != null;
     }
--- a/src/main/java/juniperusher/net/Inbound.java
+++ b/src/main/java/juniperusher/net/Inbound.java
@@ -5,51 +5,55 @@
 import java.util.Set;
 
 /**
- * The connections that came in, bounded in number, so that calls to endpoints, the watch and the journal
- * always find a descriptor. At the bound the one that matters least goes, and those that say nothing go
- * first.
+ * The set of inbound connections. Their number is bounded, so that file descriptors remain for calls to endpoints,
+ * the watch and the journal. When the bound is exceeded, the least important connection is shed, that is, ended as soon
+ * as no request is in progress on it. Connections that have sent no data are shed first. Thread-safe.
  */
 public final class Inbound {
-    private static final long MUTE_AFTER_NANOS = 250_000_000L; // ns after which one that has said nothing is mute
-    private static final long STALLED_AFTER_NANOS = 1_000_000_000L; // ns after which a request begun is taken to hang
-    private static final double CROWDED_SHARE = 0.45; // of the bound: well below the share that clients hold
+    private static final long MUTE_AFTER_NANOS = 250_000_000L; // then a connection without data is shed first
+    private static final long STALLED_AFTER_NANOS = 1_000_000_000L; // then an incomplete request counts as stalled
+    private static final double CROWDED_SHARE = 0.45; // of the bound; well below the share that clients may use
     private static final int SERVED_RANK = 5;
-    private static final int SHED_DIVISOR = 8; // one in so many of the bound may be shed and not closed yet
+    private static final int SHED_DIVISOR = 8; // 1/8 of the bound may be shed but not closed yet
 
     private final int maxConnections;
     private final Runnable onShed;
     private final boolean oldestFirst;
     private final Set<Guest> connections = new LinkedHashSet<>();
-    private final Set<Guest> shedButOpen = new LinkedHashSet<>(); // shed, but not closed yet
+    private final Set<Guest> shedButOpen = new LinkedHashSet<>();
 
-    /** What a connection is doing. */
+    /** The state of an inbound connection. */
     public enum Standing {
+        /** No data has arrived yet, the handshake is incomplete, or the output is already shut down. */
         MUTE,
+        /** Open without a request since the last response. */
         IDLE,
+        /** A request has arrived in part. */
         UNFINISHED,
+        /** A request is being handled. */
         SERVED
     }
 
-    /** A connection that came in. */
+    /** An inbound connection. Its methods may be called on any thread. */
     public interface Guest {
-        /** What it is doing now. */
+        /** The current state. */
         Standing standing();
 
-        /** Since when, by {@link System#nanoTime}. */
+        /** The {@link System#nanoTime} at which the current state began. */
         long since();
 
-        /** Ends it as soon as nothing is owed to its client; what comes in that instant is seen to first. */
+        /** Ends the connection once no request is in progress; a request that has just arrived is answered first. */
         void shed();
 
-        /** Closes it at once, as its descriptor is needed. */
+        /** Closes the connection at once, because its file descriptor is needed. */
         void drop();
     }
 
     /**
-     * A bound of its own, for a listener that clients must not crowd out (the operators' one):
-     * {@code most} connections, {@code shedOne} told of each that is closed for want of room. Each carries
-     * one short call, so the one that has waited longest goes first, whatever it has sent: guards a call that
-     * has not yet been read against those that hold half a call beside it.
+     * Creates a separate bound for a listener that must not compete with clients for connections, such as the
+     * operators' one. It allows {@code maxConnections} and calls {@code onShed} for each connection that it sheds.
+     * Each connection carries one short call, so the one that has waited longest is shed first, whatever it has sent.
+     * Otherwise a call that is not read yet would be shed before connections that hold an incomplete call open.
      */
     public static Inbound oldestFirst(int maxConnections, Runnable onShed) {
         return new Inbound(maxConnections, onShed, true);
@@ -65,7 +69,10 @@
         this.oldestFirst = oldestFirst;
     }
 
-    /** A connection came in; at the bound the least of the others is closed, or this one if all serve. */
+    /**
+     * Adds a new connection. At the bound, sheds the least important of the other connections, or the new one if all
+     * others are being served.
+     */
     public void add(Guest connection) {
         Guest shed = null;
         Guest dropped = null;
@@ -88,13 +95,13 @@
             shed.shed();
         }
         if (dropped != null) {
-            dropped.drop(); // Guards descriptors against clients that never close what was ended
+            dropped.drop(); // its client may never close; the descriptor is needed now
         }
     }
 
     /**
-     * Ends all, or with {@code resting} those alone on which nothing seems to be under way: one that has just
-     * come may still say what it came for. None is closed with something owed on it.
+     * Sheds all connections, or with {@code idleOnly} only the idle ones and those that have sent no data for some
+     * time; on a connection just opened a request may still arrive. Requests in progress are answered first.
      */
     public void endAll(boolean idleOnly) {
         List<Guest> selected;
@@ -126,8 +133,8 @@
     }
 
     /**
-     * The lower, the sooner it goes. Guards those who have just come and whose first request is on its way:
-     * they count for more than those that rest after an answer, who may come again on a new connection.
+     * The importance of a connection; the lowest rank is shed first. A new connection, whose first request is
+     * probably on its way, ranks above an idle one, whose client can open a new connection.
      */
     private static int rank(Standing standing, long ageNanos) {
         return switch (standing) {
@@ -139,14 +146,14 @@
     }
 
     /**
-     * Whether so many are here that each should end with its answer. Clients hold a bounded number of
-     * connections for all that they ask: those that rest here would leave none for the others.
+     * Whether each connection should close after its next response because there are too many. Clients have a bounded
+     * number of connections in total; if many of them stay idle here, none remain for other clients.
      */
     public boolean isCrowded() {
         return size() > maxConnections * CROWDED_SHARE;
     }
 
-    /** A connection has ended. */
+    /** Removes a closed connection. */
     public void remove(Guest connection) {
         synchronized (connections) {
             connections.remove(connection);
@@ -154,7 +161,7 @@
         }
     }
 
-    /** How many there are. */
+    /** The number of open connections, without those that have been shed. */
     public int size() {
         synchronized (connections) {
             return connections.size();
--- a/src/main/java/juniperusher/net/Network.java
+++ b/src/main/java/juniperusher/net/Network.java
@@ -26,18 +26,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Jetty's selector, its threads and its timers, for the connections of every front. */
+/**
+ * Jetty's selector, thread pool and timers, shared by all fronts and by outbound connections. Connections are read on
+ * the selector thread, so their code must not block. All methods are thread-safe.
+ */
 public class Network implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Network.class);
-    private static final int THREAD_COUNT = 8; // reading is the selector's own work: few hand-overs are left
-    // Of the descriptors, for connections that come in: clients hold a third at most, the rest is for
-    // bad ones to be turned away on; what remains is for calls, the watch, the journal and the JVM.
+    private static final int THREAD_COUNT = 8; // few are needed, since the selector thread does the reading
+    // Share of the file descriptors for inbound connections. Clients use a third of all descriptors at most; the
+    // difference lets invalid connections be refused. The rest is for calls, the watch, the journal and the JVM.
     private static final double INBOUND_DESCRIPTOR_SHARE = 0.45;
-    private static final double OPENING_DESCRIPTOR_SHARE = 0.1; // the same for those that are not yet looked at
-    private static final long ACCEPT_RETRY_MILLIS = 50; // ms for which nothing is accepted after that has failed
-    private static final int MIN_CONNECTION_BOUND = 16; // connections, whatever the limit says
+    private static final double OPENING_DESCRIPTOR_SHARE = 0.1; // for connections accepted but not opened yet
+    private static final long ACCEPT_RETRY_MILLIS = 50; // pause after a failed accept
+    private static final int MIN_CONNECTION_BOUND = 16; // however few descriptors the process may have
 
-    // All are started at once: one that cannot be started later would leave a connection without its turn.
+    // All threads start at once. If a thread could not be started later, a connection would never be processed.
     private final QueuedThreadPool threads = new QueuedThreadPool(THREAD_COUNT, THREAD_COUNT);
     private final Scheduler scheduler = new ScheduledExecutorScheduler("timers", true);
     private final Selector selector = new Selector();
@@ -48,23 +51,25 @@
     private final AtomicLong acceptFailureCount = new AtomicLong();
     private final int maxOpenAndOpening;
 
-    /** Someone who wants a connection: makes its object once it is up, or hears why it is not. */
+    /** Receives the result of a connection attempt. Methods run on the selector thread or the caller's. */
     public interface Dial {
-        /** The connection is up. */
+        /** The socket is connected; returns the connection object to use on it. */
         Connection connected(EndPoint endPoint);
 
-        /** It was refused or did not come up in time. */
+        /** The connection was refused, timed out or could not be opened. */
         void failed(Throwable why);
     }
 
-    /** A network within the descriptors that a machine has by default, see the other constructor. */
+    /** Creates a network for a process with 1024 file descriptors, a common default. */
     public Network(double connectTimeoutSeconds) throws Exception {
         this(connectTimeoutSeconds, 1024);
     }
 
     /**
-     * A network whose connections count as failed if they are not up within {@code connectTimeout} seconds,
-     * for a process that may hold so many descriptors.
+     * Creates and starts a network.
+     *
+     * @param connectTimeoutSeconds time after which an outbound connection attempt fails
+     * @param descriptors           number of file descriptors that the process may have
      */
     public Network(double connectTimeoutSeconds, int descriptors) throws Exception {
         int maxConnections = Math.max(MIN_CONNECTION_BOUND, (int) (descriptors * INBOUND_DESCRIPTOR_SHARE));
@@ -80,14 +85,18 @@
         selector.start();
     }
 
-    /** Listens on the address; each connection that comes in is served by what the factory makes. */
+    /**
+     * Listens on the address. The factory creates the connection object for each inbound connection. Closing the
+     * returned handle stops listening and leaves accepted connections open.
+     */
     public Closeable listen(InetSocketAddress address, Function<EndPoint, Connection> factory) throws IOException {
         return listen(address, factory, true);
     }
 
     /**
-     * The same; where {@code bounded} is false, what comes in on it is not held to the clients' bound on
-     * connections that are not yet looked at, and is bounded by its factory instead.
+     * Listens on the address like {@link #listen(InetSocketAddress, Function)}. If {@code bounded} is false, the
+     * clients' bound on connections that are open or being opened does not apply, and the factory has to limit their
+     * number.
      */
     public Closeable listen(InetSocketAddress address, Function<EndPoint, Connection> factory, boolean bounded)
             throws IOException {
@@ -103,8 +112,8 @@
     }
 
     /**
-     * Serves a listening socket that this process did not bind, such as the one that it inherited as
-     * descriptor 0; closing the returned handle stops the accepting and closes this process's descriptor.
+     * Listens on a socket that this process did not bind, such as one inherited as descriptor 0. Closing the returned
+     * handle stops accepting and closes this process's descriptor.
      */
     public Closeable listen(ServerSocketChannel channel, Function<EndPoint, Connection> factory) throws IOException {
         channel.configureBlocking(false);
@@ -116,9 +125,11 @@
     }
 
     /**
-     * The listening socket that the platform hands on as descriptor {@code fd}, as {@code RELAY_ACCEPT_FD}
-     * names it; an {@link IllegalArgumentException} says in one line why it cannot be had. Only descriptor 0
-     * can be taken, through {@link System#inheritedChannel()}.
+     * Returns the listening socket inherited from the platform as descriptor {@code fd}, the value of
+     * {@code RELAY_ACCEPT_FD}. Only descriptor 0 is possible, through {@link System#inheritedChannel()}.
+     *
+     * @throws IllegalArgumentException if the value is not 0 or the descriptor is no listening TCP socket; its message
+     *     is one line
      */
     public static ServerSocketChannel inherited(String fd) throws IOException {
         if (!fd.strip().equals("0")) {
@@ -132,7 +143,7 @@
                 "RELAY_ACCEPT_FD names descriptor 0, which holds no listening " + "TCP socket");
     }
 
-    /** Opens a connection. */
+    /** Opens a connection and reports the result to {@code dial}. Does not block. */
     public void connect(InetSocketAddress address, Dial dial) {
         SocketChannel channel = null;
         try {
@@ -156,46 +167,46 @@
         }
     }
 
-    /** The connections that came in. */
+    /** The inbound connections within the clients' bound. */
     public Inbound inbound() {
         return inbound;
     }
 
-    /** How many were closed before they were looked at, since too many came at once. */
+    /** The number of inbound connections that were closed unopened because of the bound, since the start. */
     public long unopened() {
         return closedUnopenedCount.get();
     }
 
-    /** How often a connection could not be accepted. */
+    /** The number of failed accepts since the start. */
     public long acceptFailures() {
         return acceptFailureCount.get();
     }
 
-    /** How many have come and are not yet looked at. */
+    /** The number of inbound connections that are accepted but not opened yet. */
     public int coming() {
         return openingCount.get();
     }
 
-    /** How many of them were closed for want of room. */
+    /** The number of inbound connections that were shed because of the bound, since the start. */
     public long shed() {
         return shedCount.get();
     }
 
-    /** Timers. */
+    /** The scheduler for timers. */
     public Scheduler scheduler() {
         return scheduler;
     }
 
-    /** Threads for what a connection has to do. */
+    /** The thread pool that runs the selector and the tasks of connections. */
     public QueuedThreadPool threads() {
         return threads;
     }
 
-    /** What a listener serves its connections with, and whether they count towards the clients' bound. */
+    /** A listening socket: the factory of its connections, and whether they count towards the clients' bound. */
     private static final class ListeningSocket {
         final Function<EndPoint, Connection> factory;
         final boolean bounded;
-        final AtomicBoolean acceptPaused = new AtomicBoolean(); // nothing is accepted for a moment
+        final AtomicBoolean acceptPaused = new AtomicBoolean(); // after a failed accept
         volatile Closeable acceptor;
 
         ListeningSocket(Function<EndPoint, Connection> factory, boolean bounded) {
@@ -211,10 +222,11 @@
         LifeCycle.stop(threads);
     }
 
+    /** Creates the end points of accepted and outbound sockets. Has one selector thread. */
     private final class Selector extends SelectorManager {
         private final java.util.Map<SelectableChannel, ListeningSocket> listeners =
                 new java.util.concurrent.ConcurrentHashMap<>();
-        private volatile boolean lastAcceptFailed; // the last accept has failed
+        private volatile boolean lastAcceptFailed;
 
         Selector() {
             super(threads, scheduler, 1);
@@ -231,14 +243,14 @@
         }
 
         /**
-         * Accepts a connection. Guards the processor against an accept that keeps failing (no descriptor is left, say)
-         * while connections wait: the selector would come back to it at once.
+         * Accepts a connection. Pauses accepting after a failure: if accept keeps failing while connections wait, for
+         * example because no descriptor is left, the selector would retry at once and use up the processor.
          */
         @Override
         protected SelectableChannel doAccept(SelectableChannel server) throws IOException {
             ListeningSocket listener = listeners.get(server);
             if (listener != null && listener.acceptPaused.get()) {
-                return null; // its acceptor is still to be closed
+                return null; // the acceptor is being closed
             }
             try {
                 SelectableChannel accepted = super.doAccept(server);
@@ -250,7 +262,7 @@
                 acceptFailureCount.incrementAndGet();
                 if (!lastAcceptFailed) {
                     lastAcceptFailed = true;
-                    LOG.atWarn().log("connections cannot be accepted for now: {}", e.toString());
+                    LOG.atWarn().log("cannot accept connections; retrying: {}", e.toString());
                 }
                 pauseAccepting(server);
                 return null;
@@ -270,11 +282,11 @@
             if (listener == null) {
                 return;
             }
-            if (server.isRegistered()) { // the selector has not let it go yet
+            if (server.isRegistered()) { // the selector has not deregistered the socket yet
                 scheduler.schedule(() -> resumeAccepting(server), ACCEPT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
             } else {
                 listener.acceptor = acceptor(server);
-                listener.acceptPaused.set(false); // from here on a failure closes this acceptor, not the one before
+                listener.acceptPaused.set(false); // only now, so that a failure closes the new acceptor
             }
         }
 
@@ -286,7 +298,7 @@
             for (var listener : listeners.entrySet()) {
                 InetSocketAddress listenAddress =
                         (InetSocketAddress) ((ServerSocketChannel) listener.getKey()).getLocalAddress();
-                // The port alone does not tell: the operators' address may share it with the clients'.
+                // The operators' and the clients' listener may use one port on different addresses.
                 if (listenAddress != null
                         && localAddress != null
                         && listenAddress.getPort() == localAddress.getPort()
@@ -297,7 +309,7 @@
                 }
             }
             openingCount.incrementAndGet();
-            // Guards against running out of descriptors: those that come at once all wait here to be opened.
+            // Many connections may be accepted before the first is opened, so they count as well.
             if (match == null || match.bounded && inbound.size() + openingCount.get() > maxOpenAndOpening) {
                 openingCount.decrementAndGet();
                 closedUnopenedCount.incrementAndGet();
