--- a/src/test/java/juniperusher/mgmt/ManagementTest.java
+++ b/src/test/java/juniperusher/mgmt/ManagementTest.java
@@ -24,7 +24,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The operators' calls on a socket: answers, refusals, and callers that hold connections without a call. */
+/** Operators' calls over a socket: responses, errors, and callers that hold connections without a complete call. */
 public class ManagementTest {
     private Network network;
     private Management management;
@@ -68,7 +68,7 @@
         });
     }
 
-    /** Sends one call and reads to the end of the connection; the status line's code. */
+    /** Sends one call, reads to the end of the connection and returns the status code. */
     private int call(String request) throws IOException {
         return call(InetAddress.getLoopbackAddress(), request);
     }
@@ -86,13 +86,15 @@
                 read.write(buffer, 0, n);
             }
             String text = read.toString(StandardCharsets.ISO_8859_1);
-            assertTrue(text.startsWith("HTTP/1.1 "), "no status line in: " + text);
-            assertTrue(text.toLowerCase().contains("connection: close"), "a second call was offered: " + text);
+            assertTrue(text.startsWith("HTTP/1.1 "), "no status line in the response: " + text);
+            assertTrue(
+                    text.toLowerCase().contains("connection: close"),
+                    "the response allows a second call on the connection: " + text);
             return Integer.parseInt(text.substring(9, 12));
         }
     }
 
-    private static String post(String path, String body) {
+    private static String postRequest(String path, String body) {
         return "POST " + path + " HTTP/1.1\r\nHost: relay\r\nContent-Length: "
                 + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body;
     }
@@ -100,7 +102,7 @@
     @Test
     public void statusIs503UntilTheRelayServes() throws IOException {
         assertEquals(call("GET /status HTTP/1.1\r\nHost: relay\r\n\r\n"), 503);
-        assertEquals(call(post("/maintenance/enter", "{\"target\":\"s-1\"}")), 503);
+        assertEquals(call(postRequest("/maintenance/enter", "{\"target\":\"s-1\"}")), 503);
         attachRelay();
         assertEquals(call("GET /status HTTP/1.1\r\nHost: relay\r\n\r\n"), 503);
         serving = true;
@@ -110,23 +112,23 @@
     @Test
     public void enterIsIdempotentAndUnknownIdsGet404() throws IOException {
         attachRelay();
-        assertEquals(call(post("/maintenance/enter", "{\"target\":\"s-1\"}")), 200);
-        assertEquals(call(post("/maintenance/enter", "{\"target\":\"s-1\"}")), 200);
+        assertEquals(call(postRequest("/maintenance/enter", "{\"target\":\"s-1\"}")), 200);
+        assertEquals(call(postRequest("/maintenance/enter", "{\"target\":\"s-1\"}")), 200);
         assertEquals(underMaintenance, Set.of("s-1"));
-        assertEquals(call(post("/maintenance/exit", "{\"target\":\"s-1\"}")), 200);
+        assertEquals(call(postRequest("/maintenance/exit", "{\"target\":\"s-1\"}")), 200);
         assertEquals(underMaintenance, Set.of());
-        assertEquals(call(post("/maintenance/enter", "{\"target\":\"nobody\"}")), 404);
+        assertEquals(call(postRequest("/maintenance/enter", "{\"target\":\"nobody\"}")), 404);
     }
 
     @Test
     public void invalidCallsGet4xxAndChangeNothing() throws IOException {
         attachRelay();
-        assertEquals(call(post("/maintenance/enter", "{\"target\":")), 400);
-        assertEquals(call(post("/maintenance/enter", "[\"s-1\"]")), 400);
-        assertEquals(call(post("/maintenance/enter", "{\"target\":7}")), 400);
-        assertEquals(call(post("/maintenance/enter", "")), 400);
+        assertEquals(call(postRequest("/maintenance/enter", "{\"target\":")), 400);
+        assertEquals(call(postRequest("/maintenance/enter", "[\"s-1\"]")), 400);
+        assertEquals(call(postRequest("/maintenance/enter", "{\"target\":7}")), 400);
+        assertEquals(call(postRequest("/maintenance/enter", "")), 400);
         assertEquals(call("GET /maintenance/enter HTTP/1.1\r\nHost: relay\r\n\r\n"), 405);
-        assertEquals(call(post("/status", "")), 405);
+        assertEquals(call(postRequest("/status", "")), 405);
         assertEquals(call("GET /elsewhere HTTP/1.1\r\nHost: relay\r\n\r\n"), 404);
         assertEquals(call("NONSENSE\r\n\r\n"), 400);
         assertEquals(underMaintenance, Set.of());
@@ -138,7 +140,7 @@
         serving = true;
         List<Socket> sockets = new ArrayList<>();
         try {
-            // Twice as many as the listener keeps: some hold half a call, some say nothing at all.
+            // Twice the listener's bound; half of the connections send part of a call, the others send nothing.
             for (int i = 0; i < 128; i++) {
                 Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
                 if (i % 2 == 0) {
@@ -150,7 +152,7 @@
             for (int i = 0; i < 20; i++) {
                 assertEquals(call("GET /status HTTP/1.1\r\nHost: relay\r\n\r\n"), 200);
             }
-            assertTrue(System.nanoTime() - from < 20 * 1_000_000_000L / 2, "answers came slowly");
+            assertTrue(System.nanoTime() - from < 20 * 1_000_000_000L / 2, "responses took more than 0.5 s on average");
         } finally {
             for (Socket socket : sockets) {
                 socket.close();
--- a/src/test/java/juniperusher/net/EarlyAnswerTest.java
+++ b/src/test/java/juniperusher/net/EarlyAnswerTest.java
@@ -17,20 +17,19 @@
 import org.testng.annotations.Test;
 
 /**
- * An answer that comes, and is acted upon, while the thread that wrote the request is still within its write:
- * on
- * part of a core that thread may stand still for long.
+ * A response that is received and acted upon while the writing thread has not yet returned from the write of the
+ * request. This happens when that thread is descheduled, for example with a small CPU quota.
  */
 public class EarlyAnswerTest {
     private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 1);
     private static final int EXCHANGES = 5;
 
-    /** A network whose other side has answered before a write returns. */
+    /** A network whose peer responds before the write of the request returns. */
     private static final class RespondsDuringWriteNetwork extends Network {
         private final List<ByteArrayEndPoint> opened = new CopyOnWriteArrayList<>();
         private final boolean resetAfterResponse;
 
-        /** {@code resets}: a reset comes right behind each answer. */
+        /** With {@code resetAfterResponse}, the peer resets the connection right after each response. */
         RespondsDuringWriteNetwork(boolean resetAfterResponse) throws Exception {
             super(1);
             this.resetAfterResponse = resetAfterResponse;
@@ -59,7 +58,7 @@
 
                 @Override
                 protected void execute(Runnable task) {
-                    task.run(); // the answer is read at once
+                    task.run(); // reads the response at once, within the write
                 }
             };
             endPoint.setGrowOutput(true);
@@ -80,7 +79,7 @@
             runExchanges(pool, ends, done);
             done.await(5, TimeUnit.SECONDS);
             assertEquals(ends, java.util.Collections.nCopies(EXCHANGES, "204"));
-            // What was kept once its write was over serves the next call.
+            // The connection was kept after its write completed, and is reused.
             int openedBefore = network.opened.size();
             ends.clear();
             ends.addAll(java.util.Collections.nCopies(EXCHANGES - 1, "earlier"));
@@ -96,7 +95,7 @@
             List<String> ends = new ArrayList<>();
             runExchanges(new HttpPool(network, 10, 8), ends, new CountDownLatch(1));
             assertEquals(ends, java.util.Collections.nCopies(EXCHANGES, "204"));
-            assertEquals(network.opened.size(), EXCHANGES, "what was reset is not used again");
+            assertEquals(network.opened.size(), EXCHANGES, "connections that were reset are not reused");
         }
     }
 
--- a/src/test/java/juniperusher/net/ExchangesTest.java
+++ b/src/test/java/juniperusher/net/ExchangesTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Each recorded exchange, played against a relay of its own. */
+/** Plays each recorded exchange against a new relay and compares what the relay sends. */
 public class ExchangesTest {
     private static final Path EXCHANGES_FOLDER = Path.of("src/test/resources/exchanges");
 
--- a/src/test/java/juniperusher/net/HttpServerConnectionTest.java
+++ b/src/test/java/juniperusher/net/HttpServerConnectionTest.java
@@ -21,12 +21,12 @@
 import org.testng.annotations.Test;
 
 /**
- * How connections that came in end, in the orders that no luck brings: the selector's thread is held in a
- * handler, so that what a client has sent has come and nobody has read it.
+ * The end of inbound connections while input arrives. A handler blocks the selector thread, so that input which has
+ * arrived stays unread; such orders of events would otherwise occur only by chance.
  */
 public class HttpServerConnectionTest {
     private static final String HOLD_PATH = "/hold";
-    private static final int DESCRIPTORS = 64; // the bound on connections is 28 of these
+    private static final int DESCRIPTORS = 64; // this bounds the connections to 28
 
     private final List<String> handledPaths = new CopyOnWriteArrayList<>();
     private CountDownLatch handlerBlocked;
@@ -73,7 +73,7 @@
 
     private static void await(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(10, TimeUnit.SECONDS), "it never came to that");
+            assertTrue(latch.await(10, TimeUnit.SECONDS), "the awaited event did not occur");
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -101,7 +101,7 @@
         return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
     }
 
-    /** An answer's head, up to the empty line; what has come where the connection ends before. */
+    /** Reads a response's head up to the empty line, or what has arrived if the connection ends before that. */
     private static String readHead(Socket socket) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -114,6 +114,7 @@
         return head.toString();
     }
 
+    /** Opens a connection that is idle after one answered request. */
     private Socket connectIdle() throws Exception {
         Socket socket = connect();
         send(socket, getRequest("/first"));
@@ -121,7 +122,7 @@
         return socket;
     }
 
-    /** Holds the selector's thread: from now on what comes is not read until it is let go. */
+    /** Blocks the selector thread in a handler, so that no input is read until {@code releaseHandler}. */
     private Socket blockSelector() throws Exception {
         Socket socket = connect();
         send(socket, getRequest(HOLD_PATH));
@@ -147,7 +148,7 @@
         try (Socket idle = connectIdle();
                 Socket blocking = blockSelector()) {
             send(idle, getRequest("/crossing"));
-            String answer = readHead(idle); // once it has been idle for 2 s: the selector reads nothing
+            String answer = readHead(idle); // comes when the idle timeout of 2 s expires; the selector is blocked
             assertEquals(releaseHandler.getCount(), 1);
             assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
         }
@@ -160,7 +161,7 @@
             assertEquals(idle.getInputStream().read(), -1);
             send(idle, getRequest("/late"));
             idle.shutdownOutput();
-            awaitCondition(() -> network.inbound().size() == 0, "it stays open after its client's end");
+            awaitCondition(() -> network.inbound().size() == 0, "the connection stays open after its client closed");
             assertEquals(idle.getInputStream().read(), -1); // no reset
             assertEquals(handledPaths, List.of("/first"));
         }
@@ -170,7 +171,7 @@
     public void connectionClosesThoughClientNeverCloses() throws Exception {
         try (Socket idle = connectIdle()) {
             network.inbound().endAll(true);
-            awaitCondition(() -> network.inbound().size() == 0, "it stays open");
+            awaitCondition(() -> network.inbound().size() == 0, "the connection stays open");
         }
     }
 
@@ -178,7 +179,7 @@
     public void incompleteRequestGets503WhenConnectionIsShed() throws Exception {
         try (Socket incomplete = connect()) {
             send(incomplete, getRequest("/never").substring(0, 12));
-            awaitCondition(() -> network.inbound().size() == 1, "it is not there");
+            awaitCondition(() -> network.inbound().size() == 1, "the connection was not accepted");
             network.inbound().endAll(false);
             assertTrue(readHead(incomplete).startsWith("HTTP/1.1 503"));
             assertEquals(handledPaths, List.of());
@@ -204,7 +205,7 @@
                 sockets[i] = connectIdle();
             }
             for (Socket socket : sockets) {
-                // Each has had its answer; what its client says now is dropped, or is answered. No reset.
+                // Each connection has received its response, so it ends without a reset.
                 if (socket.getInputStream().available() == 0) {
                     socket.shutdownOutput();
                 }
--- a/src/test/java/juniperusher/net/IdleConnectionCloseTest.java
+++ b/src/test/java/juniperusher/net/IdleConnectionCloseTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** How connections to endpoints end, with bytes that come in that very instant. */
+/** The close of idle connections to endpoints while bytes arrive on them. */
 public class IdleConnectionCloseTest {
     private static final String OK_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
@@ -79,7 +79,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** What is written for a while is taken, as a reset would be seen by the next write but one. */
+    /** Writes for a while and expects no error; after a reset the second write would fail. */
     private static void assertWritesSucceed(Socket socket) throws Exception {
         for (int i = 0; i < 15; i++) {
             write(socket, "x");
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Else the endpoint could not know what of its answer was read. */
+    /** After a reset the endpoint could not tell how much of its response was read. */
     @Test
     public void partialInputDuringIdleCloseDoesNotReset() throws Exception {
         CountDownLatch selectorBlocked = new CountDownLatch(1);
@@ -98,14 +98,14 @@
             startExchange(otherServer, () -> {
                 selectorBlocked.countDown();
                 try {
-                    releaseSelector.await(10, TimeUnit.SECONDS); // the selector's thread reads nothing meanwhile
+                    releaseSelector.await(10, TimeUnit.SECONDS); // the selector thread reads nothing meanwhile
                 } catch (InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
             });
             try (Socket blocking = acceptAndAnswer(otherServer, OK_RESPONSE)) {
                 assertTrue(selectorBlocked.await(5, TimeUnit.SECONDS));
-                write(idle, "HTTP/1.1 2"); // has come, and nobody has read it
+                write(idle, "HTTP/1.1 2"); // arrives and stays unread
                 pool.closeIdle((InetSocketAddress) server.getLocalSocketAddress(), 0);
                 assertEquals(idle.getInputStream().read(), -1);
                 releaseSelector.countDown();
@@ -139,15 +139,15 @@
             for (int i = 0; i < 500 && !closed; i++) {
                 Thread.sleep(10);
                 try {
-                    write(endpoint, "x"); // answered with a reset once the other side is closed
+                    write(endpoint, "x"); // causes a reset once the relay has closed the connection
                 } catch (java.net.SocketException e) {
                     closed = true;
                 }
                 if (i == 5) {
-                    Thread.sleep(1_200); // longer than it lingers without a byte
+                    Thread.sleep(1_200); // longer than the idle timeout of a lingering connection
                 }
             }
-            assertTrue(closed, "it stays open");
+            assertTrue(closed, "the connection stays open");
         }
     }
 }
--- a/src/test/java/juniperusher/net/InboundTest.java
+++ b/src/test/java/juniperusher/net/InboundTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Who goes when too many connections have come in. */
+/** Which connections are shed when there are too many inbound ones. */
 public class InboundTest {
     private final List<String> shed = new ArrayList<>();
     private final List<String> dropped = new ArrayList<>();
@@ -49,35 +49,35 @@
     public void shedsMuteThenLongestIdleButNeverServedConnections() {
         Inbound inbound = new Inbound(6, () -> {});
         inbound.add(connection("served", Standing.SERVED, 60_000));
-        inbound.add(connection("just come", Standing.MUTE, 1));
+        inbound.add(connection("just opened", Standing.MUTE, 1));
         inbound.add(connection("idle", Standing.IDLE, 10));
-        inbound.add(connection("longer idle", Standing.IDLE, 500));
+        inbound.add(connection("longest idle", Standing.IDLE, 500));
         inbound.add(connection("mute", Standing.MUTE, 400));
-        inbound.add(connection("hangs", Standing.UNFINISHED, 1_500));
+        inbound.add(connection("stalled", Standing.UNFINISHED, 1_500));
         assertEquals(shed, List.of());
-        assertTrue(inbound.isCrowded(), "each should end with its answer");
+        assertTrue(inbound.isCrowded(), "each connection should close after its response");
         for (int i = 0; i < 6; i++) {
             inbound.add(connection("new " + i, Standing.SERVED, 0));
         }
-        assertEquals(shed, List.of("mute", "longer idle", "idle", "hangs", "just come", "new 5"));
+        assertEquals(shed, List.of("mute", "longest idle", "idle", "stalled", "just opened", "new 5"));
         assertEquals(inbound.size(), 6);
-        // Those that were shed and have not closed yet are dropped, the earliest first, once they are many.
-        assertEquals(dropped, List.of("mute", "longer idle", "idle", "hangs", "just come"));
+        // Connections that were shed but are not closed yet are dropped once there are too many, the earliest first.
+        assertEquals(dropped, List.of("mute", "longest idle", "idle", "stalled", "just opened"));
     }
 
     @Test
     public void endingIdleConnectionsSparesThoseJustOpened() {
         Inbound inbound = new Inbound(6, () -> {});
         inbound.add(connection("served", Standing.SERVED, 60_000));
-        inbound.add(connection("just come", Standing.MUTE, 1));
+        inbound.add(connection("just opened", Standing.MUTE, 1));
         inbound.add(connection("idle", Standing.IDLE, 1));
         inbound.add(connection("mute", Standing.MUTE, 400));
-        inbound.add(connection("half a call", Standing.UNFINISHED, 1));
+        inbound.add(connection("partial request", Standing.UNFINISHED, 1));
         inbound.endAll(true);
         assertEquals(shed, List.of("idle", "mute"));
         shed.clear();
         inbound.endAll(false);
-        assertEquals(shed, List.of("served", "just come", "idle", "mute", "half a call"));
+        assertEquals(shed, List.of("served", "just opened", "idle", "mute", "partial request"));
         assertEquals(dropped, List.of());
     }
 
@@ -85,10 +85,10 @@
     public void oldestFirstShedsLongestWaitingAndKeepsUnreadCall() {
         Inbound inbound = Inbound.oldestFirst(4, () -> {});
         for (int i = 0; i < 4; i++) {
-            inbound.add(connection("half a call " + i, Standing.UNFINISHED, 40 - i));
+            inbound.add(connection("partial request " + i, Standing.UNFINISHED, 40 - i));
         }
         inbound.add(connection("call", Standing.MUTE, 1));
-        inbound.add(connection("straggler", Standing.MUTE, 0));
-        assertEquals(shed, List.of("half a call 0", "half a call 1"));
+        inbound.add(connection("late arrival", Standing.MUTE, 0));
+        assertEquals(shed, List.of("partial request 0", "partial request 1"));
     }
 }
--- a/src/test/java/juniperusher/net/InheritedSocketTest.java
+++ b/src/test/java/juniperusher/net/InheritedSocketTest.java
@@ -14,7 +14,7 @@
 import org.eclipse.jetty.io.AbstractConnection;
 import org.testng.annotations.Test;
 
-/** A listening socket that the process did not bind, as at an upgrade. */
+/** Listening on a socket that another process has bound, as during an upgrade. */
 public class InheritedSocketTest {
     @Test
     public void servesInheritedSocketAndClosesItWithTheHandle() throws Exception {
@@ -35,7 +35,7 @@
                 assertTrue(opened.await(5, TimeUnit.SECONDS), "the connection was not served");
             }
             listening.close();
-            assertTrue(!inherited.isOpen(), "the handle leaves this process's descriptor open");
+            assertTrue(!inherited.isOpen(), "closing the handle leaves this process's descriptor open");
         } finally {
             network.close();
         }
@@ -54,7 +54,7 @@
 
     @Test
     public void standardInputThatIsNoListeningSocketIsRefused() {
-        // The test's standard input is a pipe or a terminal, never a listening socket.
+        // The standard input of a test run is a pipe or a terminal, never a listening socket.
         assertThrows(IllegalArgumentException.class, () -> Network.inherited("0"));
     }
 }
--- a/src/test/java/juniperusher/net/LateConnectTest.java
+++ b/src/test/java/juniperusher/net/LateConnectTest.java
@@ -19,14 +19,14 @@
 import org.eclipse.jetty.io.Connection;
 import org.testng.annotations.Test;
 
-/** Connections that come up when their exchange is being given up. */
+/** Connections that are established while their exchange is being abandoned. */
 public class LateConnectTest {
     private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 1);
-    private static final int ROUNDS = 20_000; // enough that each of the two is first many times
+    private static final int ROUNDS = 20_000; // enough for each of the two orders to occur many times
     private static final long SEED = 20261202;
-    private static final int MAX_SHIFT_NANOS = 40_000; // ns over which the two are shifted against each other
+    private static final int MAX_SHIFT_NANOS = 40_000; // delay of the abandonment against the connection
 
-    /** A network whose connections come up when the test says so. */
+    /** A network whose connections are established only by {@link #completeConnect}. */
     private static final class ManualConnectNetwork extends Network {
         private final BlockingQueue<Dial> dials = new LinkedBlockingQueue<>();
 
@@ -77,13 +77,13 @@
             ByteArrayEndPoint endPoint = network.completeConnect();
             assertEquals(ends, List.of(CallEnd.NOT_CONNECTED));
             assertEquals(endPoint.getOutputString(), "");
-            assertTrue(endPoint.isOpen(), "it can serve another");
+            assertTrue(endPoint.isOpen(), "the connection should stay open for another exchange");
             exchange(pool, ends);
-            assertTrue(endPoint.getOutputString().startsWith("GET /x"), "it was kept");
+            assertTrue(endPoint.getOutputString().startsWith("GET /x"), "the connection was not reused");
         }
     }
 
-    /** Either not a byte has left, or the connection is closed: nothing is out behind a reported end. */
+    /** Once the end is reported, either no byte was sent or the connection is closed. */
     @Test
     public void abandonRacingConnectLeavesNothingInFlight() throws Exception {
         ExecutorService threads = Executors.newFixedThreadPool(2);
--- a/src/test/java/juniperusher/net/Player.java
+++ b/src/test/java/juniperusher/net/Player.java
@@ -18,18 +18,25 @@
 import java.util.regex.Pattern;
 
 /**
- * Plays a recorded exchange against the program and compares. A line is a party, a sign and bytes: {@code
- * >} the party sends them to the program, {@code <} the program must send exactly them, {@code !} the
- * program must close the party's connection, {@code x} the party closes it, {@code ~} a pause in ms. Bytes
- * are text with \r, \n and \xHH, or hexadecimal after {@code hex:}; {*} stands for anything but a line's
- * end.
+ * Plays a recorded exchange against the program and compares what the program sends. Each line holds the name of a
+ * party, an operator and bytes:
+ *
+ * <ul>
+ * <li>{@code >}: the party sends the bytes to the program;</li>
+ * <li>{@code <}: the program must send exactly these bytes;</li>
+ * <li>{@code !}: the program must close the party's connection;</li>
+ * <li>{@code x}: the party closes its connection;</li>
+ * <li>{@code ~}: a pause in milliseconds.</li>
+ * </ul>
+ * Bytes are text with \r, \n and \xHH, or hexadecimal after {@code hex:}, where text in single quotes is a comment.
+ * {*} matches any text without a line break. Blank lines and lines that begin with # are skipped.
  */
 public final class Player implements AutoCloseable {
     private final Map<String, ServerSocket> servers = new HashMap<>();
     private final Map<String, Integer> ports = new HashMap<>();
     private final Map<String, Socket> sockets = new HashMap<>();
 
-    /** A party that the program connects to; its port. */
+    /** Opens a server for a party that the program connects to, and returns its port. */
     public int server(String party) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         server.setSoTimeout(5_000);
@@ -37,7 +44,7 @@
         return server.getLocalPort();
     }
 
-    /** Parties of this name connect to the program at the port. */
+    /** Makes parties of this name, also followed by digits, connect to the program at the port. */
     public void client(String party, int port) {
         ports.put(party, port);
     }
@@ -56,7 +63,7 @@
         return existing;
     }
 
-    /** Plays the file. */
+    /** Plays all lines of the file in order; fails at the first difference. */
     public void play(Path file) throws Exception {
         int number = 0;
         int played = 0;
@@ -79,7 +86,7 @@
                 default -> throw new IllegalArgumentException(where);
             }
         }
-        assertTrue(played > 0, file + " holds nothing");
+        assertTrue(played > 0, file + " contains no lines to play");
     }
 
     private static int read(InputStream in) {
@@ -88,7 +95,7 @@
         } catch (java.net.SocketTimeoutException e) {
             return -2;
         } catch (IOException e) {
-            return -1; // a reset closes as well
+            return -1; // a reset also closes the connection
         }
     }
 
--- a/src/test/java/juniperusher/net/PollTest.java
+++ b/src/test/java/juniperusher/net/PollTest.java
@@ -14,7 +14,7 @@
 import juniperusher.core.CallEnd;
 import org.testng.annotations.Test;
 
-/** An answer that has come is read when it is asked for, though the selector is busy. */
+/** Polling an exchange reads a response that has arrived even while the selector is busy. */
 public class PollTest {
     private static final byte[] RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    public void anAnswerIsReadThoughTheSelectorIsBusy() throws Exception {
+    public void pollReadsResponseWhileSelectorIsBusy() throws Exception {
         CountDownLatch releaseSelector = new CountDownLatch(1);
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
                 Network network = new Network(1)) {
@@ -49,14 +49,14 @@
             CompletableFuture<Integer> first = new CompletableFuture<>();
             CompletableFuture<Integer> second = new CompletableFuture<>();
             pool.exchange(address, request, () -> true, listener(first, releaseSelector));
-            try (Socket one = server.accept()) {
+            try (Socket firstSocket = server.accept()) {
                 HttpPool.Exchange polled =
                         pool.exchange(address, request, () -> true, listener(second, new CountDownLatch(0)));
-                try (Socket two = server.accept()) {
-                    two.getInputStream().read(); // its request is written
-                    one.getOutputStream().write(RESPONSE);
+                try (Socket secondSocket = server.accept()) {
+                    secondSocket.getInputStream().read(); // waits until its request is written
+                    firstSocket.getOutputStream().write(RESPONSE);
                     assertEquals(first.get(2, TimeUnit.SECONDS), (Integer) 200);
-                    two.getOutputStream().write(RESPONSE);
+                    secondSocket.getOutputStream().write(RESPONSE);
                     Thread.sleep(100);
                     assertFalse(second.isDone(), "the selector is not busy");
                     polled.poll();
--- a/src/test/java/juniperusher/net/RestartTest.java
+++ b/src/test/java/juniperusher/net/RestartTest.java
@@ -17,11 +17,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The program through SIGTERM and SIGKILL, with what it owes before and after. */
+/** Restarts after SIGTERM and SIGKILL, and reloads on SIGHUP, with unfinished messages in the journal. */
 public class RestartTest {
     private static final String ENDPOINT_LIST = "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s-1\","
             + "\"kind\":\"pequeno-projeto\",\"cell\":7,\"state\":\"up\",\"weight\":5}]}";
-    private static final String WATCH_EXCHANGE = watch("platform", ENDPOINT_LIST, 1);
+    private static final String WATCH_REQUESTS = watchRequests("platform", ENDPOINT_LIST, 1);
 
     private Path folder;
     private Player player;
@@ -52,7 +52,7 @@
                                         .add("kind", "pequeno-projeto")
                                         .add("state", "up")
                                         .add("weight", 5)));
-        // An order's call stays out until the test ends it: its time-out goes by this aim.
+        // The timeout of an order's call depends on this objective; the call must last until the test ends it.
         json.get("settings")
                 .asObject()
                 .get("requestClasses")
@@ -99,8 +99,11 @@
         }
     }
 
-    /** The whole list first, since an index counts only where it was told; then the watch from there on. */
-    private static String watch(String party, String list, long version) {
+    /**
+     * The program's two requests to a source: first the whole list, since the index of a watch is valid only at the
+     * source that issued it, then the watch from that index on.
+     */
+    private static String watchRequests(String party, String list, long version) {
         return party + "< GET /discovery/hosts HTTP/1.1\\r\\nHost: discovery\\r\\n\\r\\n\n"
                 + party + "> HTTP/1.1 200 OK\\r\\nContent-Length: " + list.length() + "\\r\\n\\r\\n" + list
                 + '\n' + party + "< GET /discovery/hosts?stream=1&index=" + version
@@ -119,7 +122,7 @@
                 + "< HTTP/1.1 202 Accepted\\r\\nContent-Length: 0\\r\\n\\r\\n\n";
     }
 
-    private static String received(String party, String id) {
+    private static String receiveCall(String party, String id) {
         return party + "< POST /receive HTTP/1.1\\r\\nHost: endpoint\\r\\nX-Call-Id: " + id
                 + "\\r\\nX-Budget: {*}m\\r\\nContent-Length: 2\\r\\n\\r\\nab\n";
     }
@@ -127,16 +130,16 @@
     @Test
     public void afterSigkillOrderThatMayHaveRunFailsAndNoticeIsResent() throws Exception {
         start();
-        play(WATCH_EXCHANGE
+        play(WATCH_REQUESTS
                 + submit("client1", "order", "ordem-build")
-                + received("endpoint1", "order")
+                + receiveCall("endpoint1", "order")
                 + submit("client2", "notice", "aviso-push")
-                + received("endpoint2", "notice"));
+                + receiveCall("endpoint2", "notice"));
         program.destroyForcibly().waitFor();
         start();
-        // Only the notice comes to the endpoint: the order's call was out when the process ended.
-        // Discovery is heard first, and the notice of the order's end comes on a connection of its own.
-        play(watch("platform2", ENDPOINT_LIST, 1) + received("endpoint3", "notice")
+        // Only the notice reaches the endpoint again; the order's call was in flight when the process was killed.
+        // The status report of the order's failure comes on a separate connection after discovery has answered.
+        play(watchRequests("platform2", ENDPOINT_LIST, 1) + receiveCall("endpoint3", "notice")
                 + "endpoint3> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
         play("platform3< POST /status HTTP/1.1\\r\\nHost: platform\\r\\nContent-Length: 41\\r\\n\\r\\n"
                 + "{\"message\":\"order\",\"outcome\":\"given_up\"}\\n\n"
@@ -151,7 +154,7 @@
                 0);
     }
 
-    /** An ignored signal is inherited: a relay under nohup, or under a tool started so, gets none. */
+    /** Processes inherit an ignored signal, so a relay under nohup never receives SIGHUP and watches the file. */
     @Test
     public void changedFileIsReloadedWhenSighupIsIgnored() throws Exception {
         assertReload("trap '' HUP; exec \"$@\"");
@@ -164,19 +167,19 @@
 
     private void assertReload(String shell) throws Exception {
         start(shell);
-        play(WATCH_EXCHANGE + submit("client1", "order", "ordem-build") + received("endpoint1", "order"));
+        play(WATCH_REQUESTS + submit("client1", "order", "ordem-build") + receiveCall("endpoint1", "order"));
         Path file = folder.resolve("relay.json");
         JsonObject json = Json.parse(Files.readString(file)).asObject();
         Files.writeString(file, json.toString().substring(0, 900));
         sendSighup();
-        play("~ 300\n" + submit("client1", "m1", "aviso-push") + received("endpoint2", "m1")
+        play("~ 300\n" + submit("client1", "m1", "aviso-push") + receiveCall("endpoint2", "m1")
                 + "endpoint2> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
         Files.writeString(
                 file,
                 json.set("discovery", "127.0.0.1:" + player.server("moved")).toString());
         sendSighup();
-        // Another source may number its lists otherwise.
-        play("platform!\n" + watch("moved", "{\"version\":0,\"full\":true,\"servers\":[]}", 0)
+        // Another source may use other version numbers for its lists.
+        play("platform!\n" + watchRequests("moved", "{\"version\":0,\"full\":true,\"servers\":[]}", 0)
                 + "endpoint1x\nmoved2< POST /status HTTP/1.1\\r\\nHost: platform\\r\\n"
                 + "Content-Length: 41\\r\\n\\r\\n{\"message\":\"order\",\"outcome\":\"given_up\"}\\n\n"
                 + "moved2> HTTP/1.1 204 No Content\\r\\n\\r\\n\n");
@@ -193,26 +196,26 @@
     @Test
     public void sighupIsHandledDuringShutdown() throws Exception {
         start();
-        play(WATCH_EXCHANGE);
+        play(WATCH_REQUESTS);
         program.destroy();
         moveDiscoveryTo(
                 "moved",
                 Json.parse(Files.readString(folder.resolve("relay.json"))).asObject());
-        play("platform!\n" + watch("moved", ENDPOINT_LIST.replace("\"up\"", "\"draining\""), 1));
+        play("platform!\n" + watchRequests("moved", ENDPOINT_LIST.replace("\"up\"", "\"draining\""), 1));
         assertTrue(program.waitFor(5, TimeUnit.SECONDS), "it does not end");
         assertEquals(program.exitValue(), 143);
     }
 
-    /** Back with the list known before SIGHUP, whose version was another agent's. */
+    /** The restarted relay knows the list from before SIGHUP, whose version belongs to another source. */
     @Test
     public void killAfterSighupDiscardsVersionOfPreviousSource() throws Exception {
         start();
-        play(WATCH_EXCHANGE);
+        play(WATCH_REQUESTS);
         moveDiscoveryTo(
                 "moved",
                 Json.parse(Files.readString(folder.resolve("relay.json"))).asObject());
         program.destroyForcibly().waitFor();
-        player.server("moved"); // what the process before had opened there goes unheard
+        player.server("moved"); // ignores the connections of the killed process
         JsonObject json =
                 Json.parse(Files.readString(folder.resolve("relay.json"))).asObject();
         Files.writeString(
@@ -220,7 +223,8 @@
                 json.set("discovery", "127.0.0.1:" + player.server("back")).toString());
         start();
         String list = ENDPOINT_LIST.replace("\"version\":1", "\"version\":0").replace("\"up\"", "\"draining\"");
-        play(watch("back", list, 0) + submit("client1", "m1", "aviso-push").replace("15000m", "400m")
+        play(watchRequests("back", list, 0)
+                + submit("client1", "m1", "aviso-push").replace("15000m", "400m")
                 + "back2< POST /status HTTP/1.1\\r\\nHost: platform\\r\\nContent-Length: 59\\r\\n\\r\\n"
                 + "{\"message\":\"m1\",\"outcome\":\"handed_back\",\"retry_in_ms\":{*}}\\n\n"
                 + "back2> HTTP/1.1 204 No Content\\r\\n\\r\\n\n");
@@ -229,11 +233,11 @@
     @Test
     public void sigtermServesArrivingMessagesAndExitsInTime() throws Exception {
         start();
-        play(WATCH_EXCHANGE + submit("client1", "m1", "aviso-push") + received("endpoint1", "m1")
+        play(WATCH_REQUESTS + submit("client1", "m1", "aviso-push") + receiveCall("endpoint1", "m1")
                 + "endpoint1> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
         long from = System.currentTimeMillis();
         program.destroy();
-        play("~ 300\n" + submit("client1", "m2", "aviso-push") + received("endpoint1", "m2")
+        play("~ 300\n" + submit("client1", "m2", "aviso-push") + receiveCall("endpoint1", "m2")
                 + "endpoint1> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n~ 1600\n"
                 + submit("client2", "order", "ordem-build"));
         assertTrue(program.waitFor(5, TimeUnit.SECONDS), "it does not end");
@@ -241,24 +245,25 @@
         assertTrue(took < 4_000, "it ended after " + took + " ms");
         assertEquals(program.exitValue(), 143);
         start();
-        // The order was taken on too late to be sent; the next process owes it and sends it.
-        play(received("endpoint2", "order") + "endpoint2> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
+        // The order was accepted too late to be sent; the next process sends it from the journal.
+        play(receiveCall("endpoint2", "order") + "endpoint2> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
     }
 
     /**
-     * Clients send on their open connections up to the end. What is out by then has had time to end, and what
-     * comes too late for that is taken on, not begun: else it would go to the endpoint twice.
+     * Clients submit on their open connections until the process exits. Calls in flight may complete before that. A
+     * message that arrives too late is accepted but not sent; otherwise it would reach the endpoint a second time
+     * after the restart.
      */
     @Test
     public void callsInFlightAtExitCompleteAndLateMessagesAreSentOnceAfterRestart() throws Exception {
         start();
-        play(WATCH_EXCHANGE);
+        play(WATCH_REQUESTS);
         program.destroy();
-        play("~ 3000\n" + submit("client1", "m1", "aviso-push") + received("endpoint1", "m1")
+        play("~ 3000\n" + submit("client1", "m1", "aviso-push") + receiveCall("endpoint1", "m1")
                 + "~ 270\n" + submit("client1", "m2", "aviso-push")
                 + "endpoint1> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
         assertTrue(program.waitFor(5, TimeUnit.SECONDS), "it does not end");
         start();
-        play(received("endpoint2", "m2") + "endpoint2> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
+        play(receiveCall("endpoint2", "m2") + "endpoint2> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
     }
 }
--- a/src/test/java/juniperusher/net/UpgradeTest.java
+++ b/src/test/java/juniperusher/net/UpgradeTest.java
@@ -24,15 +24,15 @@
 import org.testng.annotations.Test;
 
 /**
- * Two real processes of an upgrade on one folder: the second takes up nothing while the first lives, and
- * after the first's SIGKILL it takes over: the order whose call was out is given up and never sent again,
- * a notice that was delivered is not sent again.
+ * An upgrade with two real processes on one state folder. The second process leaves the journal alone while the first
+ * one runs, and takes it over after the first one's SIGKILL. Then it fails the order whose call was in flight
+ * permanently and sends neither that order nor the delivered notice again.
  */
 public class UpgradeTest {
     private static final Pattern ID = Pattern.compile("X-Call-Id: (\\S+)");
-    private static final long CONDITION_TIMEOUT_MILLIS = 10_000; // ms for each condition
+    private static final long CONDITION_TIMEOUT_MILLIS = 10_000;
 
-    private final List<String> receivedIds = new CopyOnWriteArrayList<>(); // ids of calls, as they came
+    private final List<String> receivedIds = new CopyOnWriteArrayList<>(); // ids of calls in the order of arrival
     private final List<String> statusReports = new CopyOnWriteArrayList<>();
     private final List<Process> processes = new CopyOnWriteArrayList<>();
     private final List<ServerSocket> servers = new CopyOnWriteArrayList<>();
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Reads one request's head and content; null at the connection's end. */
+    /** Reads the head and content of one request; null at the end of the connection. */
     private static String readRequest(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
@@ -65,7 +65,7 @@
                         StandardCharsets.ISO_8859_1);
     }
 
-    /** A stand-in that serves each connection on a thread of its own. */
+    /** Starts a server that handles each connection on a separate thread, and returns its port. */
     private int serve(Handler handler) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         servers.add(server);
@@ -73,19 +73,19 @@
             while (!server.isClosed()) {
                 try {
                     Socket socket = server.accept();
-                    Thread one = new Thread(() -> {
+                    Thread connectionThread = new Thread(() -> {
                         try (socket) {
-                            for (String got = readRequest(socket.getInputStream());
-                                    got != null;
-                                    got = readRequest(socket.getInputStream())) {
-                                handler.handle(got, socket.getOutputStream());
+                            for (String request = readRequest(socket.getInputStream());
+                                    request != null;
+                                    request = readRequest(socket.getInputStream())) {
+                                handler.handle(request, socket.getOutputStream());
                             }
                         } catch (IOException e) {
-                            // the program ended the connection, or was killed
+                            // the program closed the connection or was killed
                         }
                     });
-                    one.setDaemon(true);
-                    one.start();
+                    connectionThread.setDaemon(true);
+                    connectionThread.start();
                 } catch (IOException e) {
                     return;
                 }
@@ -143,9 +143,9 @@
     }
 
     private static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.currentTimeMillis() + CONDITION_TIMEOUT_MILLIS;
+        long deadlineMillis = System.currentTimeMillis() + CONDITION_TIMEOUT_MILLIS;
         while (!condition.getAsBoolean()) {
-            assertTrue(System.currentTimeMillis() < until, "does not come: " + what);
+            assertTrue(System.currentTimeMillis() < deadlineMillis, "timed out waiting for: " + what);
             Thread.sleep(10);
         }
     }
@@ -158,9 +158,9 @@
     public void secondProcessTakesOverOnlyAfterFirstIsKilled() throws Exception {
         Path folder = Files.createTempDirectory("upgrade");
         Path state = folder.resolve("state");
-        // The endpoint delivers notices and never answers orders: an order out at the first one's end may
-        // have run. Guards the count against the first process's own retries: it never sends an order
-        // twice, and a delivered notice is over.
+        // The endpoint answers notices but never orders, so the order in flight when the first process ends may
+        // have run. Retries of the first process do not change the counts: it never sends an order twice, and a
+        // delivered notice is finished.
         int endpoint = serve((request, out) -> {
             Matcher id = ID.matcher(request);
             if (id.find()) {
@@ -175,7 +175,7 @@
                 + "\"state\":\"up\",\"weight\":5}]}";
         int discovery = serve((request, out) -> {
             if (request.startsWith("GET /discovery/hosts?stream=1")) {
-                write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); // a watch, silent
+                write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); // a watch without data
             } else if (request.startsWith("GET /discovery/hosts")) {
                 write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
             } else {
@@ -189,7 +189,7 @@
         json.get("known")
                 .asObject()
                 .set("servers", Json.parse(list).asObject().get("servers").asArray());
-        // An order's call stays out until the process ends: its time-out goes by this aim.
+        // The timeout of an order's call depends on this objective; the call must last until the process ends.
         json.get("settings")
                 .asObject()
                 .get("requestClasses")
@@ -209,18 +209,20 @@
         Process firstProcess = start(firstConfig, state, firstPort);
         assertEquals(submit(firstPort, "order", "ordem-build"), 202);
         assertEquals(submit(firstPort, "notice", "aviso-push"), 202);
-        await("both calls are out", () -> receivedCount("order") == 1 && receivedCount("notice") == 1);
+        await("both calls are in flight", () -> receivedCount("order") == 1 && receivedCount("notice") == 1);
         start(secondConfig, state, secondPort);
-        Thread.sleep(500); // a successor that took up the journal would send both again by now
-        assertEquals(receivedCount("order"), 1L, "the second process sent the first one's order while it lived");
-        assertEquals(receivedCount("notice"), 1L, "the second process sent the first one's notice while it lived");
+        Thread.sleep(500); // a second process that read the journal would have sent both again by now
+        assertEquals(
+                receivedCount("order"), 1L, "the second process sent the order while the first process was running");
+        assertEquals(
+                receivedCount("notice"), 1L, "the second process sent the notice while the first process was running");
 
         firstProcess.destroyForcibly().waitFor();
         await(
-                "the order is given up",
+                "the order is reported as given up",
                 () -> statusReports.stream()
                         .anyMatch(text -> text.contains("{\"message\":\"order\",\"outcome\":\"given_up\"}")));
-        Thread.sleep(500); // what the second process took over it has sent by now
+        Thread.sleep(500); // by now the second process has sent what it took over
         assertEquals(receivedCount("order"), 1L, "an order that may have run was sent again");
         assertEquals(receivedCount("notice"), 1L, "a delivered notice was sent again");
     }
