--- a/src/main/java/juniperusher/net/HttpPool.java
+++ b/src/main/java/juniperusher/net/HttpPool.java
@@ -18,8 +18,8 @@
  * closing ends with a reset. The pool never repeats a request. All methods are thread-safe.
  */
 public final class HttpPool {
-    private static final long MAX_RESPONSE_BYTES =
-            256 * 1024; // message bodies have at most 64 KiB; responses may be longer
+    // Bodies of messages have at most 64 KiB; this allows longer responses.
+    private static final long MAX_RESPONSE_BYTES = 256 * 1024;
 
     private final Network network;
     private final long idleTimeoutNanos;
--- a/src/main/java/juniperusher/net/HttpServerConnection.java
+++ b/src/main/java/juniperusher/net/HttpServerConnection.java
@@ -56,7 +56,7 @@
     private boolean requestComplete;
     private boolean closeAfterResponse;
     private HttpMessage refusal;
-    private long phaseStartNanos;
+    private long phaseStartNanos; // first byte of the current request, or end of the output
     private int discardReads;
     private long lingerBytes; // bytes discarded plus one; 0 until the output is shut down
     private volatile boolean shedRequested; // ends after the next response, or at once if no request is in progress
@@ -65,7 +65,10 @@
 
     /** Answers requests. */
     public interface Handler {
-        /** Handles a request. Calls {@code responder} exactly once, now or later, on any thread. Must not block. */
+        /**
+         * Handles a request and calls {@code responder} exactly once, now or later, on any thread. Runs on the
+         * selector thread, so it must not block.
+         */
         void handle(HttpMessage request, Responder responder);
 
         /** Whether connections should close after their next response. */
--- a/src/test/c/faultshim.c
+++ b/src/test/c/faultshim.c
@@ -1,8 +1,9 @@
 /*
- * Makes system calls of one process fail on demand, for tests: preloaded into a relay, it reads what is to fail from a
- * small file that the test maps and writes. Only calls on regular files below FAULT_FOLDER count as calls to the folder.
+ * Makes system calls of one process fail on demand, for tests. The library is preloaded into a relay and reads the
+ * faults from a small control file (FAULT_CONTROL) that the test maps and writes. Faults of the folder apply to files
+ * whose path begins with FAULT_FOLDER.
  *
- * Words of the control file (int32, native order): see the enum; 0 means that nothing fails.
+ * The control file consists of the words in the enum below (int32 in native byte order); 0 means no fault.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -23,18 +24,18 @@
 
 enum {
     FOLDER_WRITE_ERRNO, /* writes to the folder fail with this errno */
-    FOLDER_WRITE_HALF,  /* before each failure, one write takes half of its bytes */
-    FOLDER_OPEN_ERRNO,  /* files of the folder cannot be opened for writing */
+    FOLDER_WRITE_HALF,  /* every other one of these writes writes half of its bytes instead of failing */
+    FOLDER_OPEN_ERRNO,  /* opening files of the folder for writing fails with this errno */
     WALL_CLOCK_SECONDS, /* added to the wall clock */
     ACCEPT_ERRNO,
     CONNECT_ERRNO,
-    SOCKET_PIECES,      /* reads of at most this many bytes on sockets, writes are halved */
+    SOCKET_PIECES,      /* reads from sockets return at most this many bytes, writes to sockets are halved */
     EPOLL_ERRNO,
     SOCKET_ERRNO,
-    ACCEPT_CALLS,       /* counted by this library */
-    FOLDER_FAILURES,    /* counted by this library */
+    ACCEPT_CALLS,       /* counter written by this library */
+    FOLDER_FAILURES,    /* counter written by this library: failed writes to the folder */
     SENDTO_ERRNO,
-    RECV_ERRNO,         /* datagrams cannot be received */
+    RECV_ERRNO,         /* receiving a datagram fails with this errno */
     WORDS
 };
 
@@ -91,7 +92,7 @@
     return fstat(fd, &about) == 0 && S_ISSOCK(about.st_mode);
 }
 
-/* -1: fails, 0: goes on, else: so many bytes are to be taken */
+/* Returns -1 if the write fails (errno is set), 0 if it is unchanged, otherwise the number of bytes to write. */
 static ssize_t folder_write(int fd, size_t size) {
     static volatile int halves;
     if (!wanted(FOLDER_WRITE_ERRNO) || !in_folder(fd)) {
--- a/src/test/java/juniperusher/faults/EndpointStandIn.java
+++ b/src/test/java/juniperusher/faults/EndpointStandIn.java
@@ -9,15 +9,15 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** An endpoint of a destination; {@code behaviour} says how it treats each call. */
+/** The endpoint of a destination; {@code behaviour} decides the treatment of each call by the ids of its messages. */
 final class EndpointStandIn extends HttpStandIn {
-    private static final long FOREVER = 120_000; // ms
+    private static final long HANG_MILLIS = 120_000; // longer than any test
 
     private final MessageLedger ledger;
     private volatile Function<List<String>, Treatment> behaviour;
 
-    /** What an endpoint does with a call. */
-    enum Kind {
+    /** How an endpoint treats a call. The names appear in the printed schedule. */
+    enum TreatmentKind {
         DELIVER,
         FAIL,
         TURN_AWAY,
@@ -26,15 +26,15 @@
         RESET
     }
 
-    /** What it does, and after how many milliseconds. */
-    record Treatment(Kind kind, long afterMillis) {}
+    /** A treatment and the delay before it in milliseconds. */
+    record Treatment(TreatmentKind kind, long afterMillis) {}
 
     EndpointStandIn(MessageLedger ledger, Function<List<String>, Treatment> behaviour) throws IOException {
         this.ledger = ledger;
         this.behaviour = behaviour;
     }
 
-    void behave(Function<List<String>, Treatment> next) {
+    void setBehaviour(Function<List<String>, Treatment> next) {
         behaviour = next;
     }
 
@@ -46,18 +46,20 @@
         }
         boolean shared = request.path().equals("/receive-many");
         List<String> ids = ids(request, shared);
-        TcpConnections.Ends call = connection.ends();
-        ids.forEach(id -> ledger.begun(id, call));
+        TcpConnections.EndPorts call = connection.endPorts();
+        ids.forEach(id -> ledger.callStarted(id, call));
         Treatment treatment = behaviour.apply(ids);
-        boolean ended = connection.endsWithin(treatment.kind() == Kind.HANG ? FOREVER : treatment.afterMillis());
-        if (ended || treatment.kind() == Kind.HANG) {
-            ids.forEach(id -> ledger.callEnded(id, call, true, "given up"));
+        boolean closedByPeer = connection.closedByPeerWithin(
+                treatment.kind() == TreatmentKind.HANG ? HANG_MILLIS : treatment.afterMillis());
+        if (closedByPeer || treatment.kind() == TreatmentKind.HANG) {
+            ids.forEach(id -> ledger.callEnded(id, call, true, "ended without an answer"));
             return false;
         }
         return answer(treatment.kind(), ids, shared, call, connection);
     }
 
-    private boolean answer(Kind kind, List<String> ids, boolean shared, TcpConnections.Ends call, Connection connection)
+    private boolean answer(
+            TreatmentKind kind, List<String> ids, boolean shared, TcpConnections.EndPorts call, Connection connection)
             throws IOException {
         switch (kind) {
             case FAIL -> {
@@ -81,7 +83,7 @@
             }
             default -> {
                 ids.forEach(id -> ledger.delivered(id, call));
-                connection.answer("200 OK", "", shared ? states(ids) : "");
+                connection.answer("200 OK", "", shared ? deliveredStates(ids) : "");
             }
         }
         return true;
@@ -98,7 +100,7 @@
         return ids;
     }
 
-    private static String states(List<String> ids) {
+    private static String deliveredStates(List<String> ids) {
         JsonArray states = new JsonArray();
         ids.forEach(id -> states.add(new JsonObject().add("id", id).add("state", "delivered")));
         return states.toString();
--- a/src/test/java/juniperusher/faults/FaultSchedule.java
+++ b/src/test/java/juniperusher/faults/FaultSchedule.java
@@ -7,60 +7,60 @@
 import java.util.Random;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Faults drawn from a seed, played on a {@link FaultWorld} one after the other, some of them beside each other. */
+/** Random faults from a seed, played on a {@link FaultTestbed} one after the other and some of them concurrently. */
 final class FaultSchedule {
-    private static final int CROWD = 200; // idle connections
-    private static final int SHORT_PAUSE = 150; // ms for which a process may be held up
-    private static final int SERIES = 5; // signals in a row, at most
+    private static final int IDLE_CLIENTS = 200; // connections per fault
+    private static final int STOP_MILLIS = 150; // between SIGSTOP and SIGCONT
+    private static final int MAX_SIGNALS = 5; // sent in a row
     private static final int[] FOLDER_ERRORS = {FaultShim.ENOSPC, FaultShim.EIO};
     private static final int[] ACCEPT_ERRORS = {FaultShim.ENFILE, FaultShim.EMFILE};
-    private static final int[] CLOCK_STEPS = {10, -10, 3_600, -3_600}; // s
+    private static final int[] CLOCK_STEPS_SECONDS = {10, -10, 3_600, -3_600};
 
-    private final FaultWorld world;
+    private final FaultTestbed testbed;
     private final Random random;
     private final List<String> played = new CopyOnWriteArrayList<>();
-    private int wallClock;
+    private int wallClockOffsetSeconds;
 
-    /** One fault; it returns once it is over. */
+    /** One fault; {@link #play} returns once the fault has ended. */
     private interface Fault {
         void play() throws IOException, InterruptedException;
     }
 
-    FaultSchedule(FaultWorld world, long seed) {
-        this.world = world;
+    FaultSchedule(FaultTestbed testbed, long seed) {
+        this.testbed = testbed;
         random = new Random(seed);
     }
 
-    /** What was played, for the report. */
+    /** Descriptions of the faults played so far, for the printed report. */
     List<String> played() {
         return played;
     }
 
-    /** Plays so many faults, and a restart somewhere among them. */
+    /** Plays this number of faults, with one restart at a random position among them. */
     void play(int faults) throws IOException, InterruptedException {
         int restartAt = random.nextInt(faults);
         for (int i = 0; i < faults; i++) {
             if (i == restartAt) {
-                Thread beside = beside(draw());
+                Thread concurrent = playConcurrently(drawFault());
                 restart();
-                beside.join();
+                concurrent.join();
             }
-            Thread beside = random.nextInt(3) == 0 ? beside(draw()) : null;
-            draw().play();
-            if (beside != null) {
-                beside.join();
+            Thread concurrent = random.nextInt(3) == 0 ? playConcurrently(drawFault()) : null;
+            drawFault().play();
+            if (concurrent != null) {
+                concurrent.join();
             }
             Thread.sleep(random.nextInt(300));
         }
-        world.relay.faults().heal();
+        testbed.relay.faults().clearFaults();
     }
 
-    private Thread beside(Fault fault) {
+    private Thread playConcurrently(Fault fault) {
         Thread thread = new Thread(() -> {
             try {
                 fault.play();
             } catch (IOException | InterruptedException e) {
-                world.ledger.broken("the test itself: " + e);
+                testbed.ledger.addViolation("the test itself: " + e);
             }
         });
         thread.start();
@@ -70,75 +70,76 @@
     private void restart() throws IOException, InterruptedException {
         if (random.nextBoolean()) {
             played.add("kill");
-            world.restart();
+            testbed.killAndRestart();
         } else {
-            int signals = 1 + random.nextInt(SERIES);
+            int signals = 1 + random.nextInt(MAX_SIGNALS);
             played.add("term*" + signals);
-            world.endAndRestart(signals);
+            testbed.terminateAndRestart(signals);
         }
     }
 
-    private Fault draw() {
+    private Fault drawFault() {
         return switch (random.nextInt(10)) {
-            case 0, 1, 2 -> endpoints();
-            case 3, 4 -> folder();
-            case 5 -> wallClock();
-            case 6 -> sockets();
-            case 7 -> signals();
-            case 8 -> discovery();
-            default -> crowd();
+            case 0, 1, 2 -> endpointFault();
+            case 3, 4 -> folderFault();
+            case 5 -> wallClockFault();
+            case 6 -> socketFault();
+            case 7 -> signalFault();
+            case 8 -> discoveryFault();
+            default -> idleClientsFault();
         };
     }
 
-    private long span(int least, int most) {
-        return least + random.nextInt(most - least);
+    private long randomMillis(int minMillis, int maxMillis) {
+        return minMillis + random.nextInt(maxMillis - minMillis);
     }
 
-    private Fault endpoints() {
-        EndpointStandIn.Kind[] kinds = EndpointStandIn.Kind.values();
-        EndpointStandIn.Kind kind = kinds[random.nextInt(kinds.length)];
-        long after = span(20, 900);
-        long lasts = span(400, 2_000);
-        int first = random.nextInt(world.endpoints.size());
-        int many = 1 + random.nextInt(world.endpoints.size());
+    private Fault endpointFault() {
+        EndpointStandIn.TreatmentKind[] kinds = EndpointStandIn.TreatmentKind.values();
+        EndpointStandIn.TreatmentKind kind = kinds[random.nextInt(kinds.length)];
+        long delayMillis = randomMillis(20, 900);
+        long durationMillis = randomMillis(400, 2_000);
+        int first = random.nextInt(testbed.endpoints.size());
+        int count = 1 + random.nextInt(testbed.endpoints.size());
         return () -> {
-            played.add(many + "*" + kind + "@" + after + "ms");
-            List<EndpointStandIn> struck = new ArrayList<>();
-            for (int i = 0; i < many; i++) {
-                struck.add(world.endpoints.get((first + i) % world.endpoints.size()));
+            played.add(count + "*" + kind + "@" + delayMillis + "ms");
+            List<EndpointStandIn> affected = new ArrayList<>();
+            for (int i = 0; i < count; i++) {
+                affected.add(testbed.endpoints.get((first + i) % testbed.endpoints.size()));
             }
-            struck.forEach(endpoint -> endpoint.behave(ids -> new EndpointStandIn.Treatment(kind, after)));
-            Thread.sleep(lasts);
-            struck.forEach(endpoint -> endpoint.behave(ids -> world.usual()));
+            affected.forEach(
+                    endpoint -> endpoint.setBehaviour(ids -> new EndpointStandIn.Treatment(kind, delayMillis)));
+            Thread.sleep(durationMillis);
+            affected.forEach(endpoint -> endpoint.setBehaviour(ids -> testbed.usualTreatment()));
         };
     }
 
-    private Fault folder() {
+    private Fault folderFault() {
         int error = FOLDER_ERRORS[random.nextInt(FOLDER_ERRORS.length)];
-        int half = random.nextInt(2);
-        int open = random.nextInt(3) == 0 ? error : 0;
-        long lasts = span(200, 1_500);
+        int partialWrites = random.nextInt(2);
+        int openError = random.nextInt(3) == 0 ? error : 0;
+        long durationMillis = randomMillis(200, 1_500);
         return () -> {
-            played.add("folder " + error + (half == 1 ? " half" : "") + (open != 0 ? " open" : ""));
-            world.relay.faults().set(FaultShim.Word.FOLDER_WRITE_HALF, half);
-            world.relay.faults().set(FaultShim.Word.FOLDER_OPEN_ERRNO, open);
-            world.relay.faults().set(FaultShim.Word.FOLDER_WRITE_ERRNO, error);
-            Thread.sleep(lasts);
-            world.relay.faults().set(FaultShim.Word.FOLDER_WRITE_ERRNO, 0);
-            world.relay.faults().set(FaultShim.Word.FOLDER_OPEN_ERRNO, 0);
+            played.add("folder " + error + (partialWrites == 1 ? " half" : "") + (openError != 0 ? " open" : ""));
+            testbed.relay.faults().set(FaultShim.Word.FOLDER_WRITE_HALF, partialWrites);
+            testbed.relay.faults().set(FaultShim.Word.FOLDER_OPEN_ERRNO, openError);
+            testbed.relay.faults().set(FaultShim.Word.FOLDER_WRITE_ERRNO, error);
+            Thread.sleep(durationMillis);
+            testbed.relay.faults().set(FaultShim.Word.FOLDER_WRITE_ERRNO, 0);
+            testbed.relay.faults().set(FaultShim.Word.FOLDER_OPEN_ERRNO, 0);
         };
     }
 
-    private Fault wallClock() {
-        int step = CLOCK_STEPS[random.nextInt(CLOCK_STEPS.length)];
+    private Fault wallClockFault() {
+        int step = CLOCK_STEPS_SECONDS[random.nextInt(CLOCK_STEPS_SECONDS.length)];
         return () -> {
             played.add("wall clock " + step);
-            wallClock += step;
-            world.relay.faults().set(FaultShim.Word.WALL_CLOCK_SECONDS, wallClock);
+            wallClockOffsetSeconds += step;
+            testbed.relay.faults().set(FaultShim.Word.WALL_CLOCK_SECONDS, wallClockOffsetSeconds);
         };
     }
 
-    private Fault sockets() {
+    private Fault socketFault() {
         FaultShim.Word[] words = {
             FaultShim.Word.ACCEPT_ERRNO,
             FaultShim.Word.CONNECT_ERRNO,
@@ -153,60 +154,60 @@
                     case SOCKET_PIECES -> 7;
                     default -> FaultShim.EMFILE;
                 };
-        long lasts = span(200, 1_000);
+        long durationMillis = randomMillis(200, 1_000);
         return () -> {
             played.add(word + "=" + value);
-            world.relay.faults().set(word, value);
-            Thread.sleep(lasts);
-            world.relay.faults().set(word, 0);
+            testbed.relay.faults().set(word, value);
+            Thread.sleep(durationMillis);
+            testbed.relay.faults().set(word, 0);
         };
     }
 
-    private Fault signals() {
-        int many = 1 + random.nextInt(SERIES);
+    private Fault signalFault() {
+        int count = 1 + random.nextInt(MAX_SIGNALS);
         boolean stop = random.nextBoolean();
         return () -> {
-            played.add(stop ? "stop" : "hup*" + many);
-            for (int i = 0; i < many && !stop; i++) {
-                world.relay.signal("HUP");
+            played.add(stop ? "stop" : "hup*" + count);
+            for (int i = 0; i < count && !stop; i++) {
+                testbed.relay.signal("HUP");
             }
             if (stop) {
-                world.relay.signal("STOP");
-                Thread.sleep(SHORT_PAUSE);
-                world.relay.signal("CONT");
+                testbed.relay.signal("STOP");
+                Thread.sleep(STOP_MILLIS);
+                testbed.relay.signal("CONT");
             }
         };
     }
 
-    private Fault discovery() {
-        long lasts = span(300, 3_000);
+    private Fault discoveryFault() {
+        long durationMillis = randomMillis(300, 3_000);
         return () -> {
             played.add("discovery silent");
-            world.platform.discoverySilent(true);
-            Thread.sleep(lasts);
-            world.platform.discoverySilent(false);
+            testbed.platform.setDiscoverySilent(true);
+            Thread.sleep(durationMillis);
+            testbed.platform.setDiscoverySilent(false);
         };
     }
 
-    /** Clients that say nothing, or half a request, and stay. */
-    private Fault crowd() {
-        long lasts = span(300, 2_500);
-        boolean half = random.nextBoolean();
+    /** Clients that keep connections open and send nothing or part of a request. */
+    private Fault idleClientsFault() {
+        long durationMillis = randomMillis(300, 2_500);
+        boolean partialRequest = random.nextBoolean();
         return () -> {
-            played.add(half ? "crowd with half a request" : "mute crowd");
+            played.add(partialRequest ? "crowd with half a request" : "mute crowd");
             List<Socket> sockets = new ArrayList<>();
             try {
-                for (int i = 0; i < CROWD; i++) {
+                for (int i = 0; i < IDLE_CLIENTS; i++) {
                     Socket socket = new Socket();
                     sockets.add(socket);
-                    socket.connect(world.relay.address(), 200);
-                    if (half) {
+                    socket.connect(testbed.relay.address(), 200);
+                    if (partialRequest) {
                         socket.getOutputStream().write("POST /aviso".getBytes());
                     }
                 }
-                Thread.sleep(lasts);
+                Thread.sleep(durationMillis);
             } catch (IOException e) {
-                Thread.sleep(lasts); // the relay is down, or ends them
+                Thread.sleep(durationMillis); // the relay is down or closes the connections
             } finally {
                 for (Socket socket : sockets) {
                     socket.close();
--- a/src/test/java/juniperusher/faults/FaultShim.java
+++ b/src/test/java/juniperusher/faults/FaultShim.java
@@ -9,17 +9,17 @@
 import java.nio.file.StandardOpenOption;
 import java.util.Map;
 
-/** The library {@code faultshim.c} in one process: which of its system calls fail, set from outside while it runs. */
+/** Controls the library {@code faultshim.c} in one process: sets which system calls fail while the process runs. */
 final class FaultShim {
     private static final Path SOURCE = Path.of("src/test/c/faultshim.c");
     private static final Path LIBRARY = Path.of("target/faultshim.so").toAbsolutePath();
-    private static final int BYTES = 4096;
+    private static final int CONTROL_FILE_BYTES = 4096;
 
     private final Path folder;
     private final Path file;
-    private final MappedByteBuffer words;
+    private final MappedByteBuffer controlWords;
 
-    /** Words of the control file, in the order of the library's enum. */
+    /** The words of the control file, in the order of the enum in {@code faultshim.c}. */
     enum Word {
         FOLDER_WRITE_ERRNO,
         FOLDER_WRITE_HALF,
@@ -36,7 +36,7 @@
         RECV_ERRNO
     }
 
-    /** Error numbers of Linux. */
+    // Error numbers of Linux.
     static final int EIO = 5;
 
     static final int ENFILE = 23;
@@ -46,16 +46,16 @@
     static final int ECONNABORTED = 103;
     static final int ENOBUFS = 105;
 
-    /** Faults of a process whose folder that lasts is {@code folder}; the control file lies at {@code file}. */
+    /** Prepares faults for a process with the state folder {@code folder}; the control file is {@code file}. */
     FaultShim(Path folder, Path file) throws IOException, InterruptedException {
         this.folder = folder;
         this.file = file;
         compile();
-        Files.write(file, new byte[BYTES]);
+        Files.write(file, new byte[CONTROL_FILE_BYTES]);
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            words = channel.map(FileChannel.MapMode.READ_WRITE, 0, BYTES);
+            controlWords = channel.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_FILE_BYTES);
         }
-        words.order(ByteOrder.nativeOrder());
+        controlWords.order(ByteOrder.nativeOrder());
     }
 
     private static synchronized void compile() throws IOException, InterruptedException {
@@ -69,10 +69,11 @@
                 .inheritIO()
                 .start();
         if (compiler.waitFor() != 0) {
-            throw new IOException("the library of faults cannot be compiled");
+            throw new IOException("cannot compile faultshim.c");
         }
     }
 
+    /** The environment variables that load the library into the process. */
     Map<String, String> environment() {
         return Map.of(
                 "LD_PRELOAD", LIBRARY.toString(),
@@ -81,15 +82,15 @@
     }
 
     void set(Word word, int value) {
-        words.putInt(word.ordinal() * Integer.BYTES, value);
+        controlWords.putInt(word.ordinal() * Integer.BYTES, value);
     }
 
     int get(Word word) {
-        return words.getInt(word.ordinal() * Integer.BYTES);
+        return controlWords.getInt(word.ordinal() * Integer.BYTES);
     }
 
-    /** Nothing fails any more; the wall clock stays as it is. */
-    void heal() {
+    /** Ends all faults; keeps the offset of the wall clock and the counters. */
+    void clearFaults() {
         for (Word word : Word.values()) {
             if (word != Word.WALL_CLOCK_SECONDS && word != Word.ACCEPT_CALLS && word != Word.FOLDER_FAILURES) {
                 set(word, 0);
--- a/src/test/java/juniperusher/faults/FaultSoakTest.java
+++ b/src/test/java/juniperusher/faults/FaultSoakTest.java
@@ -7,38 +7,39 @@
 import org.testng.annotations.Test;
 
 /**
- * Faults of many kinds at drawn moments under traffic, a restart among them. Each seed is a run of its own;
- * {@code -Dfaults.seeds=N} plays N of them and {@code -Dfaults.first=K} begins with seed K.
+ * Many kinds of faults at random times under traffic, with one restart among them. Each seed is a separate run.
+ * {@code -Dfaults.seeds=N} sets the number of runs, {@code -Dfaults.first=K} the first seed.
  */
 public class FaultSoakTest {
-    private static final int SEEDS = Integer.getInteger("faults.seeds", 4);
-    private static final int FIRST = Integer.getInteger("faults.first", 1);
-    private static final int FAULTS = 7;
-    private static final long LONGEST = 3_000; // ms of time that messages have
+    private static final int SEED_COUNT = Integer.getInteger("faults.seeds", 4);
+    private static final int FIRST_SEED = Integer.getInteger("faults.first", 1);
+    private static final int FAULTS_PER_SEED = 7;
+    private static final long MAX_BUDGET_MILLIS = 3_000;
 
     @Test
-    public void noRuleIsBrokenUnderDrawnFaults() throws Exception {
-        List<String> broken = new ArrayList<>();
-        for (int seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            broken.addAll(play(seed));
+    public void rulesHoldUnderRandomFaults() throws Exception {
+        List<String> violations = new ArrayList<>();
+        for (int seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+            violations.addAll(play(seed));
         }
-        assertEquals(String.join("\n", broken), "");
+        assertEquals(String.join("\n", violations), "");
     }
 
     private static List<String> play(int seed) throws Exception {
-        try (FaultWorld world = new FaultWorld(seed, LONGEST)) {
-            FaultSchedule schedule = new FaultSchedule(world, seed);
-            world.send();
+        try (FaultTestbed testbed = new FaultTestbed(seed, MAX_BUDGET_MILLIS)) {
+            FaultSchedule schedule = new FaultSchedule(testbed, seed);
+            testbed.startClients();
             try {
-                schedule.play(FAULTS);
+                schedule.play(FAULTS_PER_SEED);
             } catch (java.io.IOException e) {
-                world.ledger.broken("crash: " + e.getMessage());
+                testbed.ledger.addViolation("crash: " + e.getMessage());
             }
-            List<String> verdict = world.settle();
-            System.out.println("soak seed=" + seed + " taken=" + world.ledger.taken() + " delivered="
-                    + world.ledger.delivered() + " broken=" + verdict.size() + " log_bytes=" + world.relay.logBytes()
-                    + " folder=" + world.relay.folder() + " played=" + schedule.played());
-            return verdict.stream().map(rule -> "seed " + seed + ": " + rule).toList();
+            List<String> violations = testbed.settleAndCheck();
+            System.out.println("soak seed=" + seed + " taken=" + testbed.ledger.accepted() + " delivered="
+                    + testbed.ledger.delivered() + " broken=" + violations.size() + " log_bytes="
+                    + testbed.relay.logBytes()
+                    + " folder=" + testbed.relay.folder() + " played=" + schedule.played());
+            return violations.stream().map(rule -> "seed " + seed + ": " + rule).toList();
         }
     }
 }
--- /dev/null
+++ b/src/test/java/juniperusher/faults/FaultTestbed.java
@@ -0,0 +1,140 @@
+package juniperusher.faults;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import java.util.concurrent.TimeUnit;
+
+/** One relay process with endpoints, the platform and clients that send traffic, and a ledger that observes them. */
+final class FaultTestbed implements AutoCloseable {
+    private static final int DESTINATION_COUNT = 4;
+    private static final int CLIENT_COUNT = 24;
+    private static final long MEAN_PAUSE_MILLIS = 120; // between two requests of a client
+    private static final double ORDER_SHARE = 0.25; // share of messages that may not be repeated
+    private static final String[] KINDS = {"grande-parceiro", "pequeno-projeto"};
+    private static final long KILL_DELAY_MILLIS = 3_700; // minimum time from SIGTERM to SIGKILL
+    private static final long RESTART_DELAY_MILLIS = 600; // minimum time from SIGKILL to the next start
+    private static final long CONNECT_AFTER_SIGTERM_MILLIS = 400; // new connections still arrive for this time
+
+    final MessageLedger ledger = new MessageLedger();
+    final List<EndpointStandIn> endpoints = new ArrayList<>();
+    final PlatformStandIn platform;
+    final RelayUnderTest relay;
+    final Random random;
+    private final long maxBudgetMillis;
+    private final List<Thread> clients = new ArrayList<>();
+    private volatile boolean sendingEnabled;
+    private volatile boolean connectingEnabled = true; // the load balancer still sends connections to the relay
+
+    /** Starts the relay. Messages get a budget between 400 ms and {@code maxBudgetMillis}. */
+    FaultTestbed(long seed, long maxBudgetMillis) throws Exception {
+        random = new Random(seed);
+        this.maxBudgetMillis = maxBudgetMillis;
+        platform = new PlatformStandIn(ledger);
+        for (int i = 0; i < DESTINATION_COUNT; i++) {
+            endpoints.add(new EndpointStandIn(ledger, ids -> usualTreatment()));
+        }
+        Path folder = Files.createTempDirectory("faults");
+        relay = new RelayUnderTest(folder, platform, platform.setEndpoints(endpoints, "lisboa-1", i -> KINDS[i % 2]));
+        relay.start();
+    }
+
+    /** The treatment of a call without a fault: delivery after a random service time. */
+    EndpointStandIn.Treatment usualTreatment() {
+        long serviceMillis;
+        synchronized (random) {
+            serviceMillis = 10 + random.nextInt(60);
+        }
+        return new EndpointStandIn.Treatment(EndpointStandIn.TreatmentKind.DELIVER, serviceMillis);
+    }
+
+    /** Starts the clients. */
+    void startClients() {
+        sendingEnabled = true;
+        for (int i = 0; i < CLIENT_COUNT; i++) {
+            long seed = random.nextLong();
+            Thread client = new Thread(null, () -> runClient(new Random(seed)), "client", 256 * 1024);
+            client.setDaemon(true);
+            client.start();
+            clients.add(client);
+        }
+    }
+
+    private void runClient(Random clientRandom) {
+        try (TrafficClient client = new TrafficClient(relay.address(), ledger, () -> connectingEnabled)) {
+            while (sendingEnabled) {
+                int place = clientRandom.nextDouble() < ORDER_SHARE ? 1 : 0;
+                long budget = 400 + (long) (clientRandom.nextDouble() * (maxBudgetMillis - 400));
+                TrafficClient.Result answer =
+                        client.submit(place, clientRandom.nextInt(DESTINATION_COUNT), budget, TrafficClient.newId());
+                TimeUnit.MILLISECONDS.sleep(
+                        answer == TrafficClient.Result.NOT_CONNECTED
+                                ? MEAN_PAUSE_MILLIS
+                                : (long) (-Math.log(1 - clientRandom.nextDouble()) * MEAN_PAUSE_MILLIS));
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Stops the clients, waits until every message must have ended, and returns the violated rules. */
+    List<String> settleAndCheck() throws InterruptedException {
+        sendingEnabled = false;
+        for (Thread client : clients) {
+            client.join();
+        }
+        long deadline = System.nanoTime() + (maxBudgetMillis + 3_000) * 1_000_000;
+        while (ledger.unfinishedCount() > 0 && System.nanoTime() < deadline) {
+            Thread.sleep(20);
+        }
+        Thread.sleep(300); // forbidden calls or reports would arrive in this time
+        if (!relay.isAlive()) {
+            ledger.addViolation("crash: the relay process exited on its own");
+        }
+        return ledger.checkRules();
+    }
+
+    /** Sends SIGKILL, then starts a new process on the same folder. */
+    void killAndRestart() throws IOException, InterruptedException {
+        long from = System.nanoTime();
+        ledger.outageStarted(from, Long.MAX_VALUE / 2);
+        relay.kill();
+        startAgain(from);
+    }
+
+    /** Sends SIGTERM {@code signals} times, SIGKILL at the earliest allowed time, then starts on the same folder. */
+    void terminateAndRestart(int signals) throws IOException, InterruptedException {
+        long from = System.nanoTime();
+        ledger.shutdownStarted(from);
+        for (int i = 0; i < signals; i++) {
+            relay.signal("TERM");
+        }
+        Thread.sleep(CONNECT_AFTER_SIGTERM_MILLIS);
+        connectingEnabled = false;
+        Thread.sleep(KILL_DELAY_MILLIS - CONNECT_AFTER_SIGTERM_MILLIS);
+        long killed = System.nanoTime();
+        ledger.outageStarted(killed, Long.MAX_VALUE / 2);
+        relay.kill();
+        startAgain(killed);
+        connectingEnabled = true;
+    }
+
+    private void startAgain(long from) throws IOException, InterruptedException {
+        Thread.sleep(RESTART_DELAY_MILLIS);
+        relay.start();
+        ledger.outageEnded(from);
+    }
+
+    @Override
+    public void close() throws Exception {
+        sendingEnabled = false;
+        relay.close();
+        platform.close();
+        for (EndpointStandIn endpoint : endpoints) {
+            endpoint.close();
+        }
+    }
+}
--- a/src/test/java/juniperusher/faults/FolderFaultTest.java
+++ b/src/test/java/juniperusher/faults/FolderFaultTest.java
@@ -5,69 +5,69 @@
 
 import org.testng.annotations.Test;
 
-/** The folder that lasts cannot be written for a while: what was taken on is still owed, and answered in its time. */
+/** Writes to the state folder fail for some time: messages accepted before still end within their budget. */
 public class FolderFaultTest {
-    private static final long BEFORE = 800; // ms of traffic before the fault
-    private static final long FAULT = 1_500; // ms
-    private static final long SLOW =
-            500; // ms that endpoints take meanwhile, so that calls are out at its begin and end
-    private static final long LONGEST = 2_500; // ms of time that messages have
+    private static final long TRAFFIC_MILLIS = 800; // traffic before the fault
+    private static final long FAULT_MILLIS = 1_500;
+    // Service time during the fault, long enough that calls are in flight when the fault begins and ends.
+    private static final long SLOW_SERVICE_MILLIS = 500;
+    private static final long MAX_BUDGET_MILLIS = 2_500;
 
-    private static void fail(FaultWorld world, int error, boolean half) throws InterruptedException {
-        Thread.sleep(BEFORE);
-        world.endpoints.forEach(
-                endpoint -> endpoint.behave(ids -> new EndpointStandIn.Treatment(EndpointStandIn.Kind.FAIL, SLOW)));
-        Thread.sleep(2 * SLOW); // calls are out, and messages wait to go again
-        world.relay.faults().set(FaultShim.Word.FOLDER_WRITE_HALF, half ? 1 : 0);
-        world.relay.faults().set(FaultShim.Word.FOLDER_WRITE_ERRNO, error);
-        Thread.sleep(FAULT);
-        world.endpoints.forEach(endpoint -> endpoint.behave(ids -> world.usual()));
-        assertTrue(world.relay.faults().get(FaultShim.Word.FOLDER_FAILURES) > 0, "no write has failed");
+    private static void failWrites(FaultTestbed testbed, int error, boolean partialWrites) throws InterruptedException {
+        Thread.sleep(TRAFFIC_MILLIS);
+        testbed.endpoints.forEach(endpoint -> endpoint.setBehaviour(
+                ids -> new EndpointStandIn.Treatment(EndpointStandIn.TreatmentKind.FAIL, SLOW_SERVICE_MILLIS)));
+        Thread.sleep(2 * SLOW_SERVICE_MILLIS); // now calls are in flight and messages wait for a retry
+        testbed.relay.faults().set(FaultShim.Word.FOLDER_WRITE_HALF, partialWrites ? 1 : 0);
+        testbed.relay.faults().set(FaultShim.Word.FOLDER_WRITE_ERRNO, error);
+        Thread.sleep(FAULT_MILLIS);
+        testbed.endpoints.forEach(endpoint -> endpoint.setBehaviour(ids -> testbed.usualTreatment()));
+        assertTrue(testbed.relay.faults().get(FaultShim.Word.FOLDER_FAILURES) > 0, "no write failed during the fault");
     }
 
     @Test
-    public void eachMessageIsAnsweredThoughWritesFailForAWhile() throws Exception {
-        try (FaultWorld world = new FaultWorld(1, LONGEST)) {
-            world.send();
-            fail(world, FaultShim.ENOSPC, false);
-            world.relay.faults().heal();
-            Thread.sleep(FAULT);
-            assertEquals(String.join("\n", world.settle()), "");
+    public void messagesEndInTimeThoughJournalWritesFail() throws Exception {
+        try (FaultTestbed testbed = new FaultTestbed(1, MAX_BUDGET_MILLIS)) {
+            testbed.startClients();
+            failWrites(testbed, FaultShim.ENOSPC, false);
+            testbed.relay.faults().clearFaults();
+            Thread.sleep(FAULT_MILLIS);
+            assertEquals(String.join("\n", testbed.settleAndCheck()), "");
         }
     }
 
     @Test
-    public void aHalfWrittenRecordHidesNothingBehindIt() throws Exception {
-        try (FaultWorld world = new FaultWorld(2, LONGEST)) {
-            world.send();
-            fail(world, FaultShim.ENOSPC, true);
-            world.relay.faults().heal();
-            Thread.sleep(FAULT);
-            world.restart();
-            Thread.sleep(FAULT);
-            assertEquals(String.join("\n", world.settle()), "");
+    public void recordsAfterPartialRecordSurviveRestart() throws Exception {
+        try (FaultTestbed testbed = new FaultTestbed(2, MAX_BUDGET_MILLIS)) {
+            testbed.startClients();
+            failWrites(testbed, FaultShim.ENOSPC, true);
+            testbed.relay.faults().clearFaults();
+            Thread.sleep(FAULT_MILLIS);
+            testbed.killAndRestart();
+            Thread.sleep(FAULT_MILLIS);
+            assertEquals(String.join("\n", testbed.settleAndCheck()), "");
         }
     }
 
     @Test
-    public void aFolderThatFailsAtTheStartLosesNothing() throws Exception {
-        try (FaultWorld world = new FaultWorld(3, LONGEST)) {
-            world.send();
-            Thread.sleep(BEFORE);
-            Thread healing = new Thread(() -> {
+    public void writeFailuresDuringStartLoseNoMessage() throws Exception {
+        try (FaultTestbed testbed = new FaultTestbed(3, MAX_BUDGET_MILLIS)) {
+            testbed.startClients();
+            Thread.sleep(TRAFFIC_MILLIS);
+            Thread faultsEnd = new Thread(() -> {
                 try {
-                    Thread.sleep(FAULT + 1_000);
+                    Thread.sleep(FAULT_MILLIS + 1_000);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                world.relay.faults().heal();
+                testbed.relay.faults().clearFaults();
             });
-            world.relay.faults().set(FaultShim.Word.FOLDER_WRITE_ERRNO, FaultShim.EIO);
-            healing.start();
-            world.restart();
-            healing.join();
-            Thread.sleep(FAULT);
-            assertEquals(String.join("\n", world.settle()), "");
+            testbed.relay.faults().set(FaultShim.Word.FOLDER_WRITE_ERRNO, FaultShim.EIO);
+            faultsEnd.start();
+            testbed.killAndRestart();
+            faultsEnd.join();
+            Thread.sleep(FAULT_MILLIS);
+            assertEquals(String.join("\n", testbed.settleAndCheck()), "");
         }
     }
 }
--- a/src/test/java/juniperusher/faults/HttpStandIn.java
+++ b/src/test/java/juniperusher/faults/HttpStandIn.java
@@ -14,15 +14,15 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** An HTTP/1.1 server on loopback that plays an outside system, a thread for each connection. */
+/** An HTTP/1.1 server on loopback that stands in for an external system, with one thread per connection. */
 abstract class HttpStandIn implements AutoCloseable {
     private static final int BACKLOG = 500;
-    private static final int STACK = 256 * 1024; // bytes for each thread
+    private static final int THREAD_STACK_BYTES = 256 * 1024;
 
     private final ServerSocket server;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
 
-    /** One request; names of headers are in lower case. */
+    /** One request. Header names are in lower case. */
     record Request(String method, String path, Map<String, String> headers, byte[] body) {
         String text() {
             return new String(body, StandardCharsets.UTF_8);
@@ -31,7 +31,7 @@
 
     HttpStandIn() throws IOException {
         server = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
-        daemon(this::accept);
+        startDaemonThread(this::accept);
     }
 
     int port() {
@@ -43,41 +43,41 @@
             Socket socket = server.accept();
             socket.setTcpNoDelay(true);
             sockets.add(socket);
-            daemon(() -> serve(new Connection(socket)));
+            startDaemonThread(() -> serve(new Connection(socket)));
         }
     }
 
     private void serve(Connection connection) throws IOException {
         try (Socket socket = connection.socket) {
-            Request request = connection.read();
+            Request request = connection.readRequest();
             while (request != null && handle(request, connection)) {
-                request = connection.read();
+                request = connection.readRequest();
             }
         } finally {
             sockets.remove(connection.socket);
         }
     }
 
-    /** Answers the request; false ends the connection. */
+    /** Answers the request. Returns false to close the connection. */
     abstract boolean handle(Request request, Connection connection) throws IOException;
 
-    /** What a thread does until its socket is closed. */
-    interface Work {
+    /** The work of a thread, which ends with an {@link IOException} when its socket is closed. */
+    interface SocketTask {
         void run() throws IOException;
     }
 
-    static void daemon(Work work) {
+    static void startDaemonThread(SocketTask work) {
         Thread thread = new Thread(
                 null,
                 () -> {
                     try {
                         work.run();
                     } catch (IOException e) {
-                        return; // the other side or the test has closed the socket
+                        return; // the peer or the test closed the socket
                     }
                 },
                 "stand-in",
-                STACK);
+                THREAD_STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
@@ -90,43 +90,43 @@
         }
     }
 
-    /** A connection as its server sees it. */
+    /** The server side of a connection. */
     static final class Connection {
         private final Socket socket;
-        private final InputStream in;
+        private final InputStream input;
 
         Connection(Socket socket) throws IOException {
             this.socket = socket;
-            in = new BufferedInputStream(socket.getInputStream());
+            input = new BufferedInputStream(socket.getInputStream());
         }
 
-        TcpConnections.Ends ends() {
-            return new TcpConnections.Ends(socket.getLocalPort(), socket.getPort());
+        TcpConnections.EndPorts endPorts() {
+            return new TcpConnections.EndPorts(socket.getLocalPort(), socket.getPort());
         }
 
-        /** The next request, or null at the end. */
-        Request read() throws IOException {
+        /** Reads the next request; null at the end of the connection. */
+        Request readRequest() throws IOException {
             socket.setSoTimeout(0);
-            String first = line();
-            if (first == null) {
+            String requestLine = readLine();
+            if (requestLine == null) {
                 return null;
             }
             Map<String, String> headers = new HashMap<>();
-            for (String line = line(); line != null && !line.isEmpty(); line = line()) {
+            for (String line = readLine(); line != null && !line.isEmpty(); line = readLine()) {
                 int colon = line.indexOf(':');
                 headers.put(
                         line.substring(0, colon).toLowerCase(Locale.ROOT),
                         line.substring(colon + 1).strip());
             }
             int size = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-            byte[] body = in.readNBytes(size);
-            String[] words = first.split(" ");
+            byte[] body = input.readNBytes(size);
+            String[] words = requestLine.split(" ");
             return body.length < size ? null : new Request(words[0], words[1], headers, body);
         }
 
-        private String line() throws IOException {
+        private String readLine() throws IOException {
             StringBuilder line = new StringBuilder();
-            for (int b = in.read(); b >= 0; b = in.read()) {
+            for (int b = input.read(); b >= 0; b = input.read()) {
                 if (b == '\n') {
                     return line.toString();
                 }
@@ -137,17 +137,17 @@
             return null;
         }
 
-        /** Waits so long for the other side's end; whether it came. */
-        boolean endsWithin(long millis) throws IOException {
-            long until = System.nanoTime() + millis * 1_000_000;
+        /** Waits up to {@code millis} for the peer to close or reset the connection. Returns whether it did. */
+        boolean closedByPeerWithin(long millis) throws IOException {
+            long deadline = System.nanoTime() + millis * 1_000_000;
             while (true) {
-                long left = (until - System.nanoTime()) / 1_000_000;
-                if (left <= 0) {
+                long leftMillis = (deadline - System.nanoTime()) / 1_000_000;
+                if (leftMillis <= 0) {
                     return false;
                 }
-                socket.setSoTimeout((int) left);
+                socket.setSoTimeout((int) leftMillis);
                 try {
-                    if (in.read() < 0) {
+                    if (input.read() < 0) {
                         return true;
                     }
                 } catch (SocketTimeoutException e) {
@@ -171,7 +171,7 @@
                     + headers + "\r\n" + body;
         }
 
-        /** Ends it with a reset. */
+        /** Closes the connection with a reset. */
         void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
--- a/src/test/java/juniperusher/faults/MessageLedger.java
+++ b/src/test/java/juniperusher/faults/MessageLedger.java
@@ -8,47 +8,49 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * What clients, endpoints and the platform saw of each message, and the rules over it:
+ * Records what clients, endpoints and the platform observe of each message, and checks these rules:
  *
  * <ul>
- *   <li>a message that was taken on is delivered, or ended by a status report, in its time;
- *   <li>never two attempts of it out at once;
- *   <li>what may have run and may not be repeated is never sent again;
- *   <li>nothing is forwarded once its end is told, and no end is told while a call with the message is out.
+ *   <li>an accepted message is delivered, or ended by a status report, within its budget;
+ *   <li>two attempts of a message are never in flight at the same time;
+ *   <li>a message that must not be repeated is never sent again once it may have run;
+ *   <li>a message is not sent once its end is reported, and its end is not reported while a call with it is in
+ *       flight.
  * </ul>
  *
- * <p>Times are {@link System#nanoTime}. Safe for threads.
+ * <p>Times are {@link System#nanoTime}. Thread-safe.
  */
 final class MessageLedger {
-    private static final long MILLIS = 1_000_000; // ns
-    /** Time after a message's deadline in which its end may still come, with what a busy test machine needs. */
-    private static final long GRACE = 300 * MILLIS + 400 * MILLIS;
-    /** Time after a restart in which overdue ends are not yet held against the relay. */
-    private static final long AFTER_RESTART = 1_500 * MILLIS;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    /** Time after a message's deadline in which its end may still come, plus an allowance for a busy test machine. */
+    private static final long END_GRACE_NANOS = 300 * NANOS_PER_MILLI + 400 * NANOS_PER_MILLI;
+    /** Time after a restart in which overdue ends do not count as violations. */
+    private static final long RESTART_GRACE_NANOS = 1_500 * NANOS_PER_MILLI;
 
     private final Map<String, Entry> entries = new ConcurrentHashMap<>();
     private final List<String> violations = new CopyOnWriteArrayList<>();
     private final List<long[]> outages = new CopyOnWriteArrayList<>(); // from SIGKILL until the relay is ready again
-    private final List<long[]> overdue = new CopyOnWriteArrayList<>(); // from SIGTERM until then
+    private final List<long[]> shutdowns = new CopyOnWriteArrayList<>(); // from SIGTERM until the relay is ready again
 
+    /** The observations of one message. Guarded by its own lock. */
     private static final class Entry {
         final String id;
-        boolean unsafe;
-        boolean taken;
-        long deadline;
-        TcpConnections.Ends out; // the connection of the call that carries it now, or null
+        boolean mustNotRepeat;
+        boolean accepted;
+        long deadlineNanos;
+        TcpConnections.EndPorts currentCall; // connection of the call in flight, or null
         boolean mayHaveRun;
         boolean delivered;
-        long endedAt; // 0 while it has no end
-        String end = "none";
+        long endedNanos; // 0 until the message has ended
+        String outcome = "none";
         final List<String> history = new ArrayList<>();
 
         Entry(String id) {
             this.id = id;
         }
 
-        void note(String what) {
-            history.add(System.nanoTime() / MILLIS % 1_000_000 + " " + what);
+        void record(String what) {
+            history.add(System.nanoTime() / NANOS_PER_MILLI % 1_000_000 + " " + what);
         }
     }
 
@@ -56,177 +58,183 @@
         return entries.computeIfAbsent(id, Entry::new);
     }
 
-    private void violation(Entry entry, String rule) {
-        violations.add(rule + ": " + entry.id + (entry.unsafe ? " (may not be repeated) " : " ") + entry.history);
+    private void recordViolation(Entry entry, String rule) {
+        violations.add(
+                rule + ": " + entry.id + (entry.mustNotRepeat ? " (must not be repeated) " : " ") + entry.history);
     }
 
-    /** A client is about to hand the message in. */
-    void handedIn(String id, boolean unsafe, long deadline) {
+    /** A client is about to submit the message. */
+    void submitted(String id, boolean mustNotRepeat, long deadlineNanos) {
         Entry entry = entry(id);
         synchronized (entry) {
-            entry.unsafe = unsafe;
-            entry.deadline = deadline;
-            entry.note("handed in");
+            entry.mustNotRepeat = mustNotRepeat;
+            entry.deadlineNanos = deadlineNanos;
+            entry.record("submitted");
         }
     }
 
-    /** Its client has heard that it is taken on. */
-    void taken(String id) {
+    /** The client was told that the message is accepted. */
+    void accepted(String id) {
         Entry entry = entry(id);
         synchronized (entry) {
-            entry.taken = true;
-            entry.note("taken on");
+            entry.accepted = true;
+            entry.record("accepted");
         }
     }
 
-    /** Its client was told that it was not taken on, and that it has had no effect. */
+    /** The client was told that the message is not accepted and has had no effect. */
     void refused(String id) {
         Entry entry = entry(id);
         synchronized (entry) {
-            entry.note("refused");
-            end(entry, "refused");
-            if (entry.mayHaveRun || entry.out != null) {
-                violation(entry, "refused though it was sent");
+            entry.record("refused");
+            recordEnd(entry, "refused");
+            if (entry.mayHaveRun || entry.currentCall != null) {
+                recordViolation(entry, "refused though it was sent");
             }
         }
     }
 
-    /** A call with the message has come whole to an endpoint, on that connection. */
-    void begun(String id, TcpConnections.Ends call) {
+    /** A call with the message has arrived completely at an endpoint, on the connection {@code call}. */
+    void callStarted(String id, TcpConnections.EndPorts call) {
         Entry entry = entry(id);
         synchronized (entry) {
-            if (entry.unsafe && entry.mayHaveRun) {
-                violation(entry, "sent again");
+            if (entry.mustNotRepeat && entry.mayHaveRun) {
+                recordViolation(entry, "sent again");
             }
-            if (entry.endedAt != 0 && !entry.delivered && call.open()) {
-                violation(entry, "forwarded after its end");
+            if (entry.endedNanos != 0 && !entry.delivered && call.isOpen()) {
+                recordViolation(entry, "sent after its end was reported");
             }
-            if (entry.out != null && !entry.out.equals(call) && entry.out.open() && call.open()) {
-                violation(entry, "two attempts at once");
+            if (entry.currentCall != null
+                    && !entry.currentCall.equals(call)
+                    && entry.currentCall.isOpen()
+                    && call.isOpen()) {
+                recordViolation(entry, "two attempts at once");
             }
-            entry.note("call begins");
-            entry.out = call;
+            entry.record("call begins");
+            entry.currentCall = call;
         }
     }
 
-    /** The call has ended without a delivery; {@code ran} tells whether it may have run. */
-    void callEnded(String id, TcpConnections.Ends call, boolean ran, String how) {
+    /** The call has ended without a delivery. */
+    void callEnded(String id, TcpConnections.EndPorts call, boolean mayHaveRun, String how) {
         Entry entry = entry(id);
         synchronized (entry) {
-            entry.note("call " + how);
-            entry.mayHaveRun |= ran;
-            leave(entry, call);
+            entry.record("call " + how);
+            entry.mayHaveRun |= mayHaveRun;
+            clearCall(entry, call);
         }
     }
 
-    /** The endpoint is about to say that it is delivered. */
-    void delivered(String id, TcpConnections.Ends call) {
+    /** The endpoint is about to answer that the message is delivered. */
+    void delivered(String id, TcpConnections.EndPorts call) {
         Entry entry = entry(id);
         synchronized (entry) {
-            entry.note("call answered: delivered");
+            entry.record("call answered: delivered");
             entry.mayHaveRun = true;
             entry.delivered = true;
-            leave(entry, call);
-            end(entry, "delivered");
+            clearCall(entry, call);
+            recordEnd(entry, "delivered");
         }
     }
 
-    private static void leave(Entry entry, TcpConnections.Ends call) {
-        if (call.equals(entry.out)) {
-            entry.out = null;
+    private static void clearCall(Entry entry, TcpConnections.EndPorts call) {
+        if (call.equals(entry.currentCall)) {
+            entry.currentCall = null;
         }
     }
 
-    /** A status report with its end has come. */
+    /** The platform has received a status report with the end of the message. */
     void reported(String id, String outcome) {
         Entry entry = entry(id);
         synchronized (entry) {
-            entry.note("reported " + outcome);
-            if (entry.endedAt == 0 && entry.out != null && entry.out.open()) {
-                violation(entry, "its end was told while its call was out");
+            entry.record("reported " + outcome);
+            if (entry.endedNanos == 0 && entry.currentCall != null && entry.currentCall.isOpen()) {
+                recordViolation(entry, "its end was reported while its call was in flight");
             }
-            end(entry, outcome);
+            recordEnd(entry, outcome);
         }
     }
 
-    private static void end(Entry entry, String how) {
-        if (entry.endedAt == 0) {
-            entry.endedAt = System.nanoTime();
-            entry.end = how;
+    private static void recordEnd(Entry entry, String how) {
+        if (entry.endedNanos == 0) {
+            entry.endedNanos = System.nanoTime();
+            entry.outcome = how;
         }
     }
 
-    /** The process is gone from here on, until {@link #outageEnded}. */
-    void outage(long from, long until) {
-        outages.add(new long[] {from, until});
+    /** The process is down from now on until {@link #outageEnded}. */
+    void outageStarted(long fromNanos, long untilNanos) {
+        outages.add(new long[] {fromNanos, untilNanos});
     }
 
-    /** The process that followed the outage that began at {@code from} is ready. */
+    /** The process started after the outage that began at {@code from} is ready. */
     void outageEnded(long from) {
         long now = System.nanoTime();
         outages.stream().filter(outage -> outage[0] == from).forEach(outage -> outage[1] = now);
-        overdue.forEach(span -> span[1] = Math.min(span[1], now));
+        shutdowns.forEach(span -> span[1] = Math.min(span[1], now));
     }
 
-    /** The process was told to end: until it is ready again no end is held to be overdue. */
-    void noOverdueFrom(long from) {
-        overdue.add(new long[] {from, Long.MAX_VALUE / 2});
+    /** The process was sent SIGTERM. No end counts as overdue until the relay is ready again. */
+    void shutdownStarted(long from) {
+        shutdowns.add(new long[] {from, Long.MAX_VALUE / 2});
     }
 
-    /** Whether the relay was down or being ended at that moment, give or take {@code slack} ns. */
-    boolean outageAt(long time, long slack) {
-        return outages.stream().anyMatch(outage -> time >= outage[0] - slack && time <= outage[1] + slack);
+    /** Whether an outage contains this time, or is at most {@code slackNanos} away from it. */
+    boolean isOutageAt(long nanoTime, long slackNanos) {
+        return outages.stream()
+                .anyMatch(outage -> nanoTime >= outage[0] - slackNanos && nanoTime <= outage[1] + slackNanos);
     }
 
-    /** Something else that must not happen. */
-    void broken(String rule) {
+    /** Adds a violation that another part of the test has found. */
+    void addViolation(String rule) {
         violations.add(rule);
     }
 
-    /** Messages that were taken on and have no end yet. */
-    long open() {
+    /** The number of accepted messages that have not ended yet. */
+    long unfinishedCount() {
         return entries.values().stream()
-                .filter(entry -> entry.taken && entry.endedAt == 0)
+                .filter(entry -> entry.accepted && entry.endedNanos == 0)
                 .count();
     }
 
-    long taken() {
-        return entries.values().stream().filter(entry -> entry.taken).count();
+    long accepted() {
+        return entries.values().stream().filter(entry -> entry.accepted).count();
     }
 
     long delivered() {
         return entries.values().stream().filter(entry -> entry.delivered).count();
     }
 
-    private long due(Entry entry) {
-        long due = entry.deadline + GRACE;
-        List<long[]> spans = new ArrayList<>(overdue);
+    /** The latest time at which the end of the message may come, given shutdowns and outages. */
+    private long latestEnd(Entry entry) {
+        long latest = entry.deadlineNanos + END_GRACE_NANOS;
+        List<long[]> spans = new ArrayList<>(shutdowns);
         spans.addAll(outages);
         for (long[] outage : spans) {
-            if (due >= outage[0] && due <= outage[1] + AFTER_RESTART + GRACE) {
-                due = outage[1] + AFTER_RESTART + GRACE;
+            if (latest >= outage[0] && latest <= outage[1] + RESTART_GRACE_NANOS + END_GRACE_NANOS) {
+                latest = outage[1] + RESTART_GRACE_NANOS + END_GRACE_NANOS;
             }
         }
-        return due;
+        return latest;
     }
 
-    /** All broken rules; to be asked once all messages are due. */
-    List<String> verdict() {
+    /** Returns all violations. To be called once every accepted message must have ended. */
+    List<String> checkRules() {
         List<String> all = new ArrayList<>(violations);
         for (Entry entry : entries.values()) {
             synchronized (entry) {
-                if (entry.taken && entry.endedAt == 0) {
+                if (entry.accepted && entry.endedNanos == 0) {
                     all.add("lost: no end " + entry.id + " " + entry.history);
-                } else if (entry.taken && entry.endedAt > due(entry)) {
-                    all.add("lost: its end came " + (entry.endedAt - due(entry)) / MILLIS + " ms too late " + entry.id
-                            + " " + entry.history);
+                } else if (entry.accepted && entry.endedNanos > latestEnd(entry)) {
+                    all.add("lost: its end came " + (entry.endedNanos - latestEnd(entry)) / NANOS_PER_MILLI
+                            + " ms too late " + entry.id + " " + entry.history);
                 }
             }
         }
         return all;
     }
 
-    /** Ids of messages that were taken on. */
+    /** The ids of all messages seen so far. */
     Set<String> ids() {
         return entries.keySet();
     }
--- a/src/test/java/juniperusher/faults/PlatformStandIn.java
+++ b/src/test/java/juniperusher/faults/PlatformStandIn.java
@@ -7,20 +7,20 @@
 import java.util.List;
 import java.util.function.IntFunction;
 
-/** Discovery's agent and the platform's status reports at one address; it can fall silent. */
+/** The discovery agent and the receiver of status reports at one address; discovery can become unresponsive. */
 final class PlatformStandIn extends HttpStandIn {
-    private static final int HEARTBEAT = 2_000; // ms between two lines of a watch that has nothing to say
+    private static final int HEARTBEAT_MILLIS = 2_000; // between two empty lines of a watch without changes
 
     private final MessageLedger ledger;
-    private volatile String list = "";
+    private volatile String endpointList = "";
     private volatile boolean discoverySilent;
 
     PlatformStandIn(MessageLedger ledger) throws IOException {
         this.ledger = ledger;
     }
 
-    /** Sets the list of endpoints, one destination each, whose places are their destinations. */
-    JsonArray serve(List<EndpointStandIn> endpoints, String zone, IntFunction<String> kinds) {
+    /** Sets and returns the list of endpoints; the index of an endpoint is also its destination. */
+    JsonArray setEndpoints(List<EndpointStandIn> endpoints, String zone, IntFunction<String> kinds) {
         JsonArray servers = new JsonArray();
         for (int i = 0; i < endpoints.size(); i++) {
             servers.add(new JsonObject()
@@ -33,7 +33,7 @@
                     .add("weight", 200)
                     .add("started_ms", 0));
         }
-        list = new JsonObject()
+        endpointList = new JsonObject()
                 .add("version", 1)
                 .add("full", true)
                 .add("servers", servers)
@@ -41,8 +41,8 @@
         return servers;
     }
 
-    /** Whether discovery answers nothing; status reports are still acknowledged. */
-    void discoverySilent(boolean silent) {
+    /** Makes discovery unresponsive or responsive again. Status reports are acknowledged in both states. */
+    void setDiscoverySilent(boolean silent) {
         discoverySilent = silent;
     }
 
@@ -57,14 +57,14 @@
             return true;
         }
         if (discoverySilent) {
-            return !connection.endsWithin(HEARTBEAT * 5L);
+            return !connection.closedByPeerWithin(HEARTBEAT_MILLIS * 5L);
         }
         if (!request.path().contains("stream=1")) {
-            connection.answer("200 OK", "", list);
+            connection.answer("200 OK", "", endpointList);
             return true;
         }
         connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        while (!connection.endsWithin(HEARTBEAT)) {
+        while (!connection.closedByPeerWithin(HEARTBEAT_MILLIS)) {
             if (!discoverySilent) {
                 connection.write("1\r\n\n\r\n");
             }
--- a/src/test/java/juniperusher/faults/RelayUnderTest.java
+++ b/src/test/java/juniperusher/faults/RelayUnderTest.java
@@ -15,9 +15,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A relay process in its {@code serve} command, with the deployment's options and the library of faults. */
+/** A relay process that runs {@code serve} with the JVM options of the deployment and the fault library. */
 final class RelayUnderTest implements AutoCloseable {
-    private static final List<String> OPTIONS = List.of(
+    private static final List<String> JVM_OPTIONS = List.of(
             "-Djava.net.preferIPv4Stack=true",
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
@@ -26,8 +26,8 @@
             "-Xmx64m",
             "-Xss256k",
             "-XX:MaxMetaspaceSize=48m");
-    private static final long READY = 30_000; // ms for a start
-    /** Classes of the settings in {@code selftest.json}, the second of which may not be repeated. */
+    private static final long START_TIMEOUT_MILLIS = 30_000;
+    /** The message classes in {@code selftest.json}. Messages of the second one must not be repeated. */
     static final List<String> CLASSES = List.of("aviso-push", "ordem-build");
 
     private final Path folder;
@@ -68,11 +68,15 @@
         return new InetSocketAddress("127.0.0.1", port);
     }
 
-    /** Starts a process and waits until it answers that it is up. */
+    /**
+     * Starts a process and waits until it reports that it is up.
+     *
+     * @throws IOException if the process exits or is not up in time
+     */
     void start() throws IOException, InterruptedException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(OPTIONS);
+        command.addAll(JVM_OPTIONS);
         command.add("-Dorg.slf4j.simpleLogger.log.juniperusher.messages=debug");
         command.add("-cp");
         command.add(System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")));
@@ -88,10 +92,11 @@
     }
 
     private void awaitReady() throws IOException, InterruptedException {
-        long until = System.nanoTime() + READY * 1_000_000;
-        while (System.nanoTime() < until) {
+        long deadline = System.nanoTime() + START_TIMEOUT_MILLIS * 1_000_000;
+        while (System.nanoTime() < deadline) {
             if (!process.isAlive()) {
-                throw new IOException("the relay has ended with " + process.exitValue() + ": " + lastLines(5));
+                throw new IOException(
+                        "the relay process exited with code " + process.exitValue() + ": " + lastLines(5));
             }
             try (Socket socket = new Socket()) {
                 socket.connect(address(), 200);
@@ -103,35 +108,35 @@
                     return;
                 }
             } catch (IOException e) {
-                Thread.sleep(20); // not yet
+                Thread.sleep(20); // not listening yet
             }
         }
-        throw new IOException("the relay is not ready: " + lastLines(5));
+        throw new IOException("the relay did not report that it is up: " + lastLines(5));
     }
 
-    /** The end of its log. */
-    List<String> lastLines(int most) throws IOException {
+    /** The last lines of the log, at most {@code count}. */
+    List<String> lastLines(int count) throws IOException {
         List<String> lines = Files.readAllLines(log);
-        return lines.subList(Math.max(0, lines.size() - most), lines.size());
+        return lines.subList(Math.max(0, lines.size() - count), lines.size());
     }
 
-    /** Bytes of its log so far. */
+    /** The current size of the log in bytes. */
     long logBytes() throws IOException {
         return Files.size(log);
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process.isAlive();
     }
 
-    /** Sends a signal by its name, such as {@code HUP}. */
+    /** Sends the signal with this name, such as {@code HUP}. */
     void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                 .start()
                 .waitFor();
     }
 
-    /** SIGKILL, and the wait for its end. */
+    /** Sends SIGKILL and waits for the process to exit. */
     void kill() throws InterruptedException {
         process.destroyForcibly();
         process.waitFor(10, TimeUnit.SECONDS);
--- a/src/test/java/juniperusher/faults/SharedCallDeadlineTest.java
+++ b/src/test/java/juniperusher/faults/SharedCallDeadlineTest.java
@@ -14,18 +14,18 @@
 import org.testng.annotations.Test;
 
 /**
- * Incident 1: a call that several messages share went on after one of them had come to its deadline and its end
- * was told to the platform. The others then counted as delivered by an answer to a call that was over.
+ * Guards against incident 1: a call shared by several messages went on after one of them had reached its deadline and
+ * its end was reported to the platform. The other messages then counted as delivered by the answer to that call.
  */
 public class SharedCallDeadlineTest {
-    private static final String SHARED_KIND = "grande-parceiro"; // its endpoints take ten messages a call
-    private static final int SHORT = 500; // ms
-    private static final int LONG = 5_000; // ms
+    private static final String SHARED_KIND = "grande-parceiro"; // its endpoints accept ten messages per call
+    private static final int SHORT_BUDGET_MILLIS = 500;
+    private static final int LONG_BUDGET_MILLIS = 5_000;
     private static final int MESSAGES = 8;
     private static final int ROUNDS = 6;
 
     private final MessageLedger ledger = new MessageLedger();
-    private final AtomicInteger mixed = new AtomicInteger();
+    private final AtomicInteger mixedCalls = new AtomicInteger();
     private EndpointStandIn endpoint;
     private PlatformStandIn platform;
     private RelayUnderTest relay;
@@ -37,48 +37,49 @@
         relay = new RelayUnderTest(
                 Files.createTempDirectory("shared-call"),
                 platform,
-                platform.serve(List.of(endpoint), "lisboa-1", place -> SHARED_KIND));
+                platform.setEndpoints(List.of(endpoint), "lisboa-1", place -> SHARED_KIND));
         relay.start();
     }
 
     @AfterMethod(alwaysRun = true)
-    public void end() throws Exception {
+    public void stop() throws Exception {
         relay.close();
         endpoint.close();
         platform.close();
     }
 
-    /** A call in which a message with little time shares the way with others is answered behind that one's deadline. */
+    /** Answers calls that contain a message with a short budget only after that message's deadline. */
     private EndpointStandIn.Treatment treat(List<String> ids) {
-        boolean shortOne = ids.stream().anyMatch(id -> id.endsWith("5"));
-        boolean longOne = ids.stream().anyMatch(id -> !id.endsWith("5"));
-        if (ids.size() > 1 && shortOne && longOne) {
-            mixed.incrementAndGet();
+        boolean hasShortBudget = ids.stream().anyMatch(id -> id.endsWith("5"));
+        boolean hasLongBudget = ids.stream().anyMatch(id -> !id.endsWith("5"));
+        if (ids.size() > 1 && hasShortBudget && hasLongBudget) {
+            mixedCalls.incrementAndGet();
         }
-        return new EndpointStandIn.Treatment(EndpointStandIn.Kind.DELIVER, shortOne ? SHORT + 200 : 60);
+        return new EndpointStandIn.Treatment(
+                EndpointStandIn.TreatmentKind.DELIVER, hasShortBudget ? SHORT_BUDGET_MILLIS + 200 : 60);
     }
 
     @Test
-    public void noEndIsToldWhileACallWithTheMessageIsOut() throws Exception {
-        for (int round = 0; round < ROUNDS && mixed.get() < 2; round++) {
-            handInTogether();
-            Thread.sleep(SHORT + 800);
+    public void noEndIsReportedWhileCallWithMessageIsInFlight() throws Exception {
+        for (int round = 0; round < ROUNDS && mixedCalls.get() < 2; round++) {
+            submitTogether();
+            Thread.sleep(SHORT_BUDGET_MILLIS + 800);
         }
-        assertTrue(mixed.get() > 0, "no call was shared by messages with little and with much time");
-        Thread.sleep(LONG);
-        assertEquals(String.join("\n", ledger.verdict()), "");
+        assertTrue(mixedCalls.get() > 0, "no call was shared by messages with short and long budgets");
+        Thread.sleep(LONG_BUDGET_MILLIS);
+        assertEquals(String.join("\n", ledger.checkRules()), "");
     }
 
-    private void handInTogether() throws InterruptedException, IOException {
+    private void submitTogether() throws InterruptedException, IOException {
         List<Thread> clients = new ArrayList<>();
-        CountDownLatch together = new CountDownLatch(1);
+        CountDownLatch start = new CountDownLatch(1);
         for (int i = 0; i < MESSAGES; i++) {
-            boolean shortOne = i % 4 == 0;
-            String id = TrafficClient.newId() + (shortOne ? "5" : "0");
+            boolean shortBudget = i % 4 == 0;
+            String id = TrafficClient.newId() + (shortBudget ? "5" : "0");
             Thread client = new Thread(() -> {
                 try (TrafficClient one = new TrafficClient(relay.address(), ledger)) {
-                    together.await();
-                    one.handIn(0, 0, shortOne ? SHORT : LONG, id);
+                    start.await();
+                    one.submit(0, 0, shortBudget ? SHORT_BUDGET_MILLIS : LONG_BUDGET_MILLIS, id);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -86,7 +87,7 @@
             client.start();
             clients.add(client);
         }
-        together.countDown();
+        start.countDown();
         for (Thread client : clients) {
             client.join();
         }
--- a/src/test/java/juniperusher/faults/SystemCallFaultTest.java
+++ b/src/test/java/juniperusher/faults/SystemCallFaultTest.java
@@ -5,58 +5,60 @@
 
 import org.testng.annotations.Test;
 
-/** System calls of a relay that fail for a while, and a wall clock that steps. */
+/** System calls of a relay that fail for some time, and steps of the wall clock. */
 public class SystemCallFaultTest {
-    private static final long BEFORE = 500; // ms of traffic before the fault
-    private static final long FAULT = 1_000; // ms
-    private static final long LONGEST = 2_500; // ms of time that messages have
-    private static final int HOUR = 3_600; // s
-    private static final int MOST_ACCEPTS = 200; // calls in a second of failures: no busy loop
+    private static final long TRAFFIC_MILLIS = 500; // traffic before the fault
+    private static final long FAULT_MILLIS = 1_000;
+    private static final long MAX_BUDGET_MILLIS = 2_500;
+    private static final int HOUR_SECONDS = 3_600;
+    private static final int MAX_ACCEPT_CALLS = 200; // during the fault; a busy loop would exceed this
 
     @Test
-    public void anAcceptThatKeepsFailingIsNotTriedWithoutAPause() throws Exception {
-        try (FaultWorld world = new FaultWorld(11, LONGEST)) {
-            world.send();
-            Thread.sleep(BEFORE);
-            int before = world.relay.faults().get(FaultShim.Word.ACCEPT_CALLS);
-            world.relay.faults().set(FaultShim.Word.ACCEPT_ERRNO, FaultShim.EMFILE);
-            try (TrafficClient waiting = new TrafficClient(world.relay.address(), world.ledger)) {
-                assertEquals(waiting.handIn(0, 0, LONGEST, TrafficClient.newId()), TrafficClient.Answer.NONE);
-                Thread.sleep(FAULT);
-                int calls = world.relay.faults().get(FaultShim.Word.ACCEPT_CALLS) - before;
-                assertTrue(calls > 0 && calls < MOST_ACCEPTS, calls + " calls of accept");
-                world.relay.faults().heal();
-                Thread.sleep(BEFORE);
-                assertEquals(waiting.handIn(0, 0, LONGEST, TrafficClient.newId()), TrafficClient.Answer.TAKEN);
+    public void failingAcceptIsRetriedOnlyAfterPause() throws Exception {
+        try (FaultTestbed testbed = new FaultTestbed(11, MAX_BUDGET_MILLIS)) {
+            testbed.startClients();
+            Thread.sleep(TRAFFIC_MILLIS);
+            int before = testbed.relay.faults().get(FaultShim.Word.ACCEPT_CALLS);
+            testbed.relay.faults().set(FaultShim.Word.ACCEPT_ERRNO, FaultShim.EMFILE);
+            try (TrafficClient waiting = new TrafficClient(testbed.relay.address(), testbed.ledger)) {
+                assertEquals(
+                        waiting.submit(0, 0, MAX_BUDGET_MILLIS, TrafficClient.newId()), TrafficClient.Result.TIMED_OUT);
+                Thread.sleep(FAULT_MILLIS);
+                int calls = testbed.relay.faults().get(FaultShim.Word.ACCEPT_CALLS) - before;
+                assertTrue(calls > 0 && calls < MAX_ACCEPT_CALLS, calls + " calls of accept");
+                testbed.relay.faults().clearFaults();
+                Thread.sleep(TRAFFIC_MILLIS);
+                assertEquals(
+                        waiting.submit(0, 0, MAX_BUDGET_MILLIS, TrafficClient.newId()), TrafficClient.Result.ACCEPTED);
             }
-            assertEquals(String.join("\n", world.settle()), "");
+            assertEquals(String.join("\n", testbed.settleAndCheck()), "");
         }
     }
 
     @Test
-    public void aWallClockThatStepsBackMovesNoDeadlineOverARestart() throws Exception {
-        stepped(12, -HOUR);
+    public void wallClockStepBackKeepsDeadlinesOverRestart() throws Exception {
+        assertDeadlinesKept(12, -HOUR_SECONDS);
     }
 
     @Test
-    public void aWallClockThatStepsForwardMovesNoDeadlineOverARestart() throws Exception {
-        stepped(13, HOUR);
+    public void wallClockStepForwardKeepsDeadlinesOverRestart() throws Exception {
+        assertDeadlinesKept(13, HOUR_SECONDS);
     }
 
-    private static void stepped(long seed, int seconds) throws Exception {
-        try (FaultWorld world = new FaultWorld(seed, LONGEST)) {
-            world.send();
-            Thread.sleep(BEFORE);
-            world.endpoints.forEach(
-                    endpoint -> endpoint.behave(ids -> new EndpointStandIn.Treatment(EndpointStandIn.Kind.HANG, 0)));
-            world.relay.faults().set(FaultShim.Word.WALL_CLOCK_SECONDS, seconds);
-            Thread.sleep(FAULT);
-            world.restart();
-            world.endpoints.forEach(endpoint -> endpoint.behave(ids -> world.usual()));
-            long delivered = world.ledger.delivered();
-            Thread.sleep(FAULT);
-            assertTrue(world.ledger.delivered() > delivered, "nothing is delivered after the step");
-            assertEquals(String.join("\n", world.settle()), "");
+    private static void assertDeadlinesKept(long seed, int seconds) throws Exception {
+        try (FaultTestbed testbed = new FaultTestbed(seed, MAX_BUDGET_MILLIS)) {
+            testbed.startClients();
+            Thread.sleep(TRAFFIC_MILLIS);
+            testbed.endpoints.forEach(endpoint ->
+                    endpoint.setBehaviour(ids -> new EndpointStandIn.Treatment(EndpointStandIn.TreatmentKind.HANG, 0)));
+            testbed.relay.faults().set(FaultShim.Word.WALL_CLOCK_SECONDS, seconds);
+            Thread.sleep(FAULT_MILLIS);
+            testbed.killAndRestart();
+            testbed.endpoints.forEach(endpoint -> endpoint.setBehaviour(ids -> testbed.usualTreatment()));
+            long delivered = testbed.ledger.delivered();
+            Thread.sleep(FAULT_MILLIS);
+            assertTrue(testbed.ledger.delivered() > delivered, "no message was delivered after the clock step");
+            assertEquals(String.join("\n", testbed.settleAndCheck()), "");
         }
     }
 }
--- a/src/test/java/juniperusher/faults/TcpConnections.java
+++ b/src/test/java/juniperusher/faults/TcpConnections.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * What the kernel knows of the connections on loopback. A close by one process is there at once, before that
- * process does anything else, however late the thread runs that reads the other end.
+ * The state of connections on loopback according to the kernel. A close by one process is visible here before that
+ * process does anything else, no matter when the thread runs that reads the other end.
  */
 final class TcpConnections {
     private static final List<Path> TABLES = List.of(Path.of("/proc/net/tcp"), Path.of("/proc/net/tcp6"));
@@ -16,14 +16,14 @@
 
     private TcpConnections() {}
 
-    /** One connection, by the ports of its two ends. */
-    record Ends(int localPort, int remotePort) {
-        /** Whether neither side has closed it. */
-        boolean open() {
-            return TABLES.stream().anyMatch(this::openIn);
+    /** A connection, identified by the ports of its two ends. */
+    record EndPorts(int localPort, int remotePort) {
+        /** Whether neither side has closed the connection. */
+        boolean isOpen() {
+            return TABLES.stream().anyMatch(this::isOpenIn);
         }
 
-        private boolean openIn(Path table) {
+        private boolean isOpenIn(Path table) {
             try {
                 return Files.readAllLines(table).stream().anyMatch(this::isOpenRow);
             } catch (IOException e) {
--- a/src/test/java/juniperusher/faults/TrafficClient.java
+++ b/src/test/java/juniperusher/faults/TrafficClient.java
@@ -9,37 +9,37 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
 
-/** A client that hands messages in, one request at a time on a connection that it keeps. */
+/** A client that submits messages, one request at a time on a connection that it keeps open. Not thread-safe. */
 final class TrafficClient implements AutoCloseable {
-    private static final int WAITS = 400; // ms for an answer
-    private static final long MILLIS = 1_000_000; // ns
-    /** Time within which a close by the relay may cross a request that it has not read. */
-    private static final long CROSSES = 60 * MILLIS;
-    /** Time around a signal in which the process may be gone with what it had read. */
-    private static final long AROUND = 100 * MILLIS;
+    private static final int ANSWER_TIMEOUT_MILLIS = 400;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    /** Time in which a close by the relay and a request that the relay has not read may cross. */
+    private static final long CLOSE_RACE_NANOS = 60 * NANOS_PER_MILLI;
+    /** Time around a signal in which the process may end without answering a request that it has read. */
+    private static final long SIGNAL_SLACK_NANOS = 100 * NANOS_PER_MILLI;
 
-    private static final AtomicLong LAST = new AtomicLong();
+    private static final AtomicLong LAST_ID = new AtomicLong();
 
     private final InetSocketAddress relay;
     private final MessageLedger ledger;
     private final BooleanSupplier mayConnect;
     private Socket socket;
 
-    /** How a request ended. */
-    enum Answer {
-        TAKEN,
+    /** The result of a request. */
+    enum Result {
+        ACCEPTED,
         REFUSED,
-        OTHER,
-        NONE,
-        ENDED,
-        UNREACHED
+        OTHER_STATUS,
+        TIMED_OUT,
+        CONNECTION_ENDED,
+        NOT_CONNECTED
     }
 
     TrafficClient(InetSocketAddress relay, MessageLedger ledger) {
         this(relay, ledger, () -> true);
     }
 
-    /** One that opens connections only while {@code mayConnect} says so. */
+    /** Creates a client that opens connections only while {@code mayConnect} returns true. */
     TrafficClient(InetSocketAddress relay, MessageLedger ledger, BooleanSupplier mayConnect) {
         this.relay = relay;
         this.ledger = ledger;
@@ -47,51 +47,55 @@
     }
 
     static String newId() {
-        return String.format("%016x", LAST.incrementAndGet());
+        return String.format("%016x", LAST_ID.incrementAndGet());
     }
 
-    /** Hands a message in, twice where its connection ended under it, and notes the answer in the ledger. */
-    Answer handIn(int place, int destination, long budgetMillis, String id) {
-        ledger.handedIn(id, place == 1, System.nanoTime() + budgetMillis * MILLIS);
-        boolean kept = socket != null;
-        long written = System.nanoTime();
-        Answer answer = exchange(place, destination, budgetMillis, id);
-        if (answer == Answer.ENDED && kept && System.nanoTime() - written < CROSSES) {
-            written = System.nanoTime();
-            answer = exchange(place, destination, budgetMillis, id); // the close has crossed it
+    /**
+     * Submits a message and records the answer in the ledger. Submits it a second time if a reused connection was
+     * closed at the time of the request.
+     */
+    Result submit(int classIndex, int destination, long budgetMillis, String id) {
+        ledger.submitted(id, classIndex == 1, System.nanoTime() + budgetMillis * NANOS_PER_MILLI);
+        boolean reused = socket != null;
+        long writtenNanos = System.nanoTime();
+        Result answer = exchange(classIndex, destination, budgetMillis, id);
+        if (answer == Result.CONNECTION_ENDED && reused && System.nanoTime() - writtenNanos < CLOSE_RACE_NANOS) {
+            writtenNanos = System.nanoTime();
+            answer = exchange(classIndex, destination, budgetMillis, id); // the close and the request crossed
         }
         switch (answer) {
-            case TAKEN -> ledger.taken(id);
+            case ACCEPTED -> ledger.accepted(id);
             case REFUSED -> ledger.refused(id);
-            case ENDED -> endedWithoutAnswer(id, written);
+            case CONNECTION_ENDED -> endedWithoutAnswer(id, writtenNanos);
             default -> {}
         }
         return answer;
     }
 
-    private void endedWithoutAnswer(String id, long written) {
-        if (!ledger.outageAt(System.nanoTime(), AROUND) && !ledger.outageAt(written, AROUND)) {
-            ledger.broken("lost: its connection ended with no answer " + id);
+    private void endedWithoutAnswer(String id, long writtenNanos) {
+        if (!ledger.isOutageAt(System.nanoTime(), SIGNAL_SLACK_NANOS)
+                && !ledger.isOutageAt(writtenNanos, SIGNAL_SLACK_NANOS)) {
+            ledger.addViolation("lost: the connection ended without an answer " + id);
         }
     }
 
-    private Answer exchange(int place, int destination, long budgetMillis, String id) {
+    private Result exchange(int classIndex, int destination, long budgetMillis, String id) {
         if (socket == null && !mayConnect.getAsBoolean()) {
-            return Answer.UNREACHED;
+            return Result.NOT_CONNECTED;
         }
         try {
             if (socket == null) {
                 socket = new Socket();
                 socket.setTcpNoDelay(true);
-                socket.connect(relay, WAITS);
-                socket.setSoTimeout(WAITS);
+                socket.connect(relay, ANSWER_TIMEOUT_MILLIS);
+                socket.setSoTimeout(ANSWER_TIMEOUT_MILLIS);
             }
         } catch (IOException e) {
             close();
-            return Answer.UNREACHED;
+            return Result.NOT_CONNECTED;
         }
         try {
-            String name = RelayUnderTest.CLASSES.get(place);
+            String name = RelayUnderTest.CLASSES.get(classIndex);
             String request = "POST /" + name + " HTTP/1.1\r\nHost: relay\r\nX-Call-Id: " + id + "\r\nX-Call-Class: "
                     + name + "\r\nX-Budget: " + budgetMillis + "m\r\nX-Envelope: dest=" + destination
                     + "\r\nContent-Length: 2\r\n\r\nab";
@@ -99,19 +103,19 @@
             return read(socket.getInputStream());
         } catch (SocketTimeoutException e) {
             close();
-            return Answer.NONE;
+            return Result.TIMED_OUT;
         } catch (IOException e) {
             close();
-            return Answer.ENDED;
+            return Result.CONNECTION_ENDED;
         }
     }
 
-    private Answer read(InputStream in) throws IOException {
+    private Result read(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
             int b = in.read();
             if (b < 0) {
-                throw new IOException("ended");
+                throw new IOException("the connection ended before the whole head of the answer");
             }
             head.append((char) b);
         }
@@ -120,9 +124,9 @@
         }
         String status = head.substring(9, 12);
         return switch (status) {
-            case "200", "202" -> Answer.TAKEN;
-            case "429", "503" -> Answer.REFUSED;
-            default -> Answer.OTHER;
+            case "200", "202" -> Result.ACCEPTED;
+            case "429", "503" -> Result.REFUSED;
+            default -> Result.OTHER_STATUS;
         };
     }
 
