--- a/src/main/java/juniperusher/net/HttpClientConnection.java
+++ b/src/main/java/juniperusher/net/HttpClientConnection.java
@@ -51,7 +51,7 @@
     private boolean responseComplete;
     private boolean responseInvalid;
     private boolean keepAlive = true;
-    private volatile HttpPool.Exchange exchange;
+    private volatile HttpPool.Exchange currentExchange;
     private volatile boolean closed;
     private volatile boolean lingering; // the output is shut down, further input is discarded
     private int discardedBytes;
@@ -94,9 +94,9 @@
      * that bytes remain. Returns the connection to the pool if the exchange has ended meanwhile.
      */
     void send(HttpPool.Exchange next, ByteBuffer request) {
-        exchange = next;
+        currentExchange = next;
         if (!next.claimConnection(this)) {
-            exchange = null;
+            currentExchange = null;
             pool.release(next, this);
             return;
         }
@@ -209,7 +209,7 @@
     private void read(boolean fromSelector) {
         Runnable completion;
         synchronized (this) {
-            completion = fromSelector || exchange != null ? processInput(fromSelector) : null;
+            completion = fromSelector || currentExchange != null ? processInput(fromSelector) : null;
         }
         if (completion != null) {
             completion.run(); // outside of the lock, since listeners may use other connections
@@ -239,7 +239,7 @@
                         return null;
                     }
                 }
-                if (exchange == null) {
+                if (currentExchange == null) {
                     closed = true; // input without a request in flight
                     lingering = true;
                     return () -> {
@@ -271,12 +271,12 @@
     }
 
     private void scheduleResponseTimeout() {
-        HttpPool.Exchange current = exchange;
+        HttpPool.Exchange current = currentExchange;
         if (current != null && responseTimeout == null && !parser.isStart() && !current.hasUnboundedResponse()) {
             responseTimeout = network.scheduler()
                     .schedule(
                             () -> {
-                                if (exchange == current) {
+                                if (currentExchange == current) {
                                     fail(CallEnd.SPOILT);
                                 }
                             },
@@ -293,13 +293,13 @@
     }
 
     private Runnable completeExchange(boolean fromSelector) {
-        HttpPool.Exchange completed = exchange;
+        HttpPool.Exchange completed = currentExchange;
         HttpMessage response = new HttpMessage(Integer.toString(status), fields.asImmutable(), body.toByteArray());
         if (responseTimeout != null) {
             responseTimeout.cancel();
             responseTimeout = null;
         }
-        exchange = null;
+        currentExchange = null;
         interimResponses = 0;
         resetParser();
         boolean reuse = keepAlive && hasNoInput();
@@ -326,8 +326,8 @@
         closed = true;
         close();
         pool.remove(this);
-        HttpPool.Exchange interrupted = exchange;
-        exchange = null;
+        HttpPool.Exchange interrupted = currentExchange;
+        currentExchange = null;
         if (interrupted != null) {
             interrupted.ended(end);
         }
@@ -346,7 +346,7 @@
     public void startResponse(HttpVersion version, int code, String reason) {
         status = code;
         keepAlive = version == HttpVersion.HTTP_1_1;
-        HttpPool.Exchange current = exchange;
+        HttpPool.Exchange current = currentExchange;
         if (current != null && code >= 200) {
             current.statusLineReceived(code);
         }
@@ -360,7 +360,7 @@
 
     @Override
     public boolean headerComplete() {
-        HttpPool.Exchange current = exchange;
+        HttpPool.Exchange current = currentExchange;
         responseInvalid |= current != null && parser.getContentLength() > current.maxResponseBytes();
         return responseInvalid;
     }
@@ -369,7 +369,7 @@
     public boolean content(ByteBuffer content) {
         byte[] bytes = new byte[content.remaining()];
         content.get(bytes);
-        HttpPool.Exchange current = exchange;
+        HttpPool.Exchange current = currentExchange;
         if (current != null && !current.streamed(status, bytes)) {
             body.writeBytes(bytes);
             responseInvalid |= body.size() > current.maxResponseBytes();
--- a/src/main/java/juniperusher/net/HttpPool.java
+++ b/src/main/java/juniperusher/net/HttpPool.java
@@ -190,7 +190,7 @@
         private final BooleanSupplier mayStart;
         private final Listener listener;
         private HttpClientConnection connection;
-        private boolean requestMayBeComplete;
+        private boolean requestMayBeComplete; // the last byte of the request may have been sent
         private boolean finished;
         private volatile int statusLineCode;
 
@@ -230,6 +230,7 @@
             return requestMayBeComplete;
         }
 
+        /** Records that the request was not written completely, so that the call cannot have run. */
         synchronized void requestNotFullyWritten() {
             requestMayBeComplete = false;
         }
--- a/src/main/java/juniperusher/net/Inbound.java
+++ b/src/main/java/juniperusher/net/Inbound.java
@@ -13,7 +13,7 @@
     private static final long MUTE_AFTER_NANOS = 250_000_000L; // then a connection without data is shed first
     private static final long STALLED_AFTER_NANOS = 1_000_000_000L; // then an incomplete request counts as stalled
     private static final double CROWDED_SHARE = 0.45; // of the bound; well below the share that clients may use
-    private static final int SERVED_RANK = 5;
+    private static final int SERVED_RANK = 5; // the highest rank; connections of this rank are not shed for others
     private static final int SHED_DIVISOR = 8; // 1/8 of the bound may be shed but not closed yet
 
     private final int maxConnections;
--- a/src/test/java/juniperusher/faults/FaultTestbed.java
+++ b/src/test/java/juniperusher/faults/FaultTestbed.java
@@ -66,12 +66,12 @@
     private void runClient(Random clientRandom) {
         try (TrafficClient client = new TrafficClient(relay.address(), ledger, () -> connectingEnabled)) {
             while (sendingEnabled) {
-                int place = clientRandom.nextDouble() < ORDER_SHARE ? 1 : 0;
-                long budget = 400 + (long) (clientRandom.nextDouble() * (maxBudgetMillis - 400));
-                TrafficClient.Result answer =
-                        client.submit(place, clientRandom.nextInt(DESTINATION_COUNT), budget, TrafficClient.newId());
+                int classIndex = clientRandom.nextDouble() < ORDER_SHARE ? 1 : 0;
+                long budgetMillis = 400 + (long) (clientRandom.nextDouble() * (maxBudgetMillis - 400));
+                TrafficClient.Result result = client.submit(
+                        classIndex, clientRandom.nextInt(DESTINATION_COUNT), budgetMillis, TrafficClient.newId());
                 TimeUnit.MILLISECONDS.sleep(
-                        answer == TrafficClient.Result.NOT_CONNECTED
+                        result == TrafficClient.Result.NOT_CONNECTED
                                 ? MEAN_PAUSE_MILLIS
                                 : (long) (-Math.log(1 - clientRandom.nextDouble()) * MEAN_PAUSE_MILLIS));
             }
@@ -99,33 +99,33 @@
 
     /** Sends SIGKILL, then starts a new process on the same folder. */
     void killAndRestart() throws IOException, InterruptedException {
-        long from = System.nanoTime();
-        ledger.outageStarted(from, Long.MAX_VALUE / 2);
+        long fromNanos = System.nanoTime();
+        ledger.outageStarted(fromNanos, Long.MAX_VALUE / 2);
         relay.kill();
-        startAgain(from);
+        startAfterOutage(fromNanos);
     }
 
     /** Sends SIGTERM {@code signals} times, SIGKILL at the earliest allowed time, then starts on the same folder. */
     void terminateAndRestart(int signals) throws IOException, InterruptedException {
-        long from = System.nanoTime();
-        ledger.shutdownStarted(from);
+        long fromNanos = System.nanoTime();
+        ledger.shutdownStarted(fromNanos);
         for (int i = 0; i < signals; i++) {
             relay.signal("TERM");
         }
         Thread.sleep(CONNECT_AFTER_SIGTERM_MILLIS);
         connectingEnabled = false;
         Thread.sleep(KILL_DELAY_MILLIS - CONNECT_AFTER_SIGTERM_MILLIS);
-        long killed = System.nanoTime();
-        ledger.outageStarted(killed, Long.MAX_VALUE / 2);
+        long killedNanos = System.nanoTime();
+        ledger.outageStarted(killedNanos, Long.MAX_VALUE / 2);
         relay.kill();
-        startAgain(killed);
+        startAfterOutage(killedNanos);
         connectingEnabled = true;
     }
 
-    private void startAgain(long from) throws IOException, InterruptedException {
+    private void startAfterOutage(long outageFromNanos) throws IOException, InterruptedException {
         Thread.sleep(RESTART_DELAY_MILLIS);
         relay.start();
-        ledger.outageEnded(from);
+        ledger.outageEnded(outageFromNanos);
     }
 
     @Override
--- a/src/test/java/juniperusher/faults/MessageLedger.java
+++ b/src/test/java/juniperusher/faults/MessageLedger.java
@@ -197,10 +197,12 @@
                 .count();
     }
 
+    /** The number of accepted messages. */
     long accepted() {
         return entries.values().stream().filter(entry -> entry.accepted).count();
     }
 
+    /** The number of delivered messages. */
     long delivered() {
         return entries.values().stream().filter(entry -> entry.delivered).count();
     }
--- a/src/test/java/juniperusher/faults/SharedCallDeadlineTest.java
+++ b/src/test/java/juniperusher/faults/SharedCallDeadlineTest.java
@@ -77,9 +77,9 @@
             boolean shortBudget = i % 4 == 0;
             String id = TrafficClient.newId() + (shortBudget ? "5" : "0");
             Thread client = new Thread(() -> {
-                try (TrafficClient one = new TrafficClient(relay.address(), ledger)) {
+                try (TrafficClient submitter = new TrafficClient(relay.address(), ledger)) {
                     start.await();
-                    one.submit(0, 0, shortBudget ? SHORT_BUDGET_MILLIS : LONG_BUDGET_MILLIS, id);
+                    submitter.submit(0, 0, shortBudget ? SHORT_BUDGET_MILLIS : LONG_BUDGET_MILLIS, id);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
--- a/src/test/java/juniperusher/faults/TrafficClient.java
+++ b/src/test/java/juniperusher/faults/TrafficClient.java
@@ -46,6 +46,7 @@
         this.mayConnect = mayConnect;
     }
 
+    /** Returns a message id that is unique in this test process. */
     static String newId() {
         return String.format("%016x", LAST_ID.incrementAndGet());
     }
@@ -58,18 +59,18 @@
         ledger.submitted(id, classIndex == 1, System.nanoTime() + budgetMillis * NANOS_PER_MILLI);
         boolean reused = socket != null;
         long writtenNanos = System.nanoTime();
-        Result answer = exchange(classIndex, destination, budgetMillis, id);
-        if (answer == Result.CONNECTION_ENDED && reused && System.nanoTime() - writtenNanos < CLOSE_RACE_NANOS) {
+        Result result = exchange(classIndex, destination, budgetMillis, id);
+        if (result == Result.CONNECTION_ENDED && reused && System.nanoTime() - writtenNanos < CLOSE_RACE_NANOS) {
             writtenNanos = System.nanoTime();
-            answer = exchange(classIndex, destination, budgetMillis, id); // the close and the request crossed
+            result = exchange(classIndex, destination, budgetMillis, id); // the close and the request crossed
         }
-        switch (answer) {
+        switch (result) {
             case ACCEPTED -> ledger.accepted(id);
             case REFUSED -> ledger.refused(id);
             case CONNECTION_ENDED -> endedWithoutAnswer(id, writtenNanos);
             default -> {}
         }
-        return answer;
+        return result;
     }
 
     private void endedWithoutAnswer(String id, long writtenNanos) {
--- a/src/test/java/juniperusher/mgmt/ManagementTest.java
+++ b/src/test/java/juniperusher/mgmt/ManagementTest.java
@@ -33,7 +33,7 @@
     private volatile boolean serving;
 
     @BeforeMethod
-    public void listen() throws Exception {
+    public void startListener() throws Exception {
         serving = false;
         underMaintenance.clear();
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/src/test/java/juniperusher/net/HttpServerConnectionTest.java
+++ b/src/test/java/juniperusher/net/HttpServerConnectionTest.java
@@ -36,7 +36,7 @@
     private int port;
 
     @BeforeMethod
-    public void listen() throws Exception {
+    public void startListener() throws Exception {
         handledPaths.clear();
         handlerBlocked = new CountDownLatch(1);
         releaseHandler = new CountDownLatch(1);
--- a/src/test/java/juniperusher/net/RestartTest.java
+++ b/src/test/java/juniperusher/net/RestartTest.java
@@ -26,19 +26,19 @@
     private Path folder;
     private Player player;
     private Process program;
-    private int listen;
+    private int port;
 
     @BeforeMethod
     public void configure() throws Exception {
         folder = Files.createTempDirectory("restart");
         player = new Player();
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            listen = free.getLocalPort();
+            port = free.getLocalPort();
         }
-        player.client("client", listen);
+        player.client("client", port);
         JsonObject json = Json.parse(Files.readString(Path.of("src/main/resources/selftest.json")))
                 .asObject();
-        json.set("listen", "127.0.0.1:" + listen).set("discovery", "127.0.0.1:" + player.server("platform"));
+        json.set("listen", "127.0.0.1:" + port).set("discovery", "127.0.0.1:" + player.server("platform"));
         json.get("known")
                 .asObject()
                 .set(
@@ -90,7 +90,7 @@
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start();
         for (int i = 0; ; i++) {
-            try (Socket probe = new Socket("127.0.0.1", listen)) {
+            try (Socket probe = new Socket("127.0.0.1", port)) {
                 return;
             } catch (IOException e) {
                 assertTrue(i < 200 && program.isAlive(), "the program does not listen");
@@ -202,7 +202,7 @@
                 "moved",
                 Json.parse(Files.readString(folder.resolve("relay.json"))).asObject());
         play("platform!\n" + watchRequests("moved", ENDPOINT_LIST.replace("\"up\"", "\"draining\""), 1));
-        assertTrue(program.waitFor(5, TimeUnit.SECONDS), "it does not end");
+        assertTrue(program.waitFor(5, TimeUnit.SECONDS), "the program does not exit");
         assertEquals(program.exitValue(), 143);
     }
 
@@ -235,14 +235,14 @@
         start();
         play(WATCH_REQUESTS + submit("client1", "m1", "aviso-push") + receiveCall("endpoint1", "m1")
                 + "endpoint1> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
-        long from = System.currentTimeMillis();
+        long startMillis = System.currentTimeMillis();
         program.destroy();
         play("~ 300\n" + submit("client1", "m2", "aviso-push") + receiveCall("endpoint1", "m2")
                 + "endpoint1> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n~ 1600\n"
                 + submit("client2", "order", "ordem-build"));
-        assertTrue(program.waitFor(5, TimeUnit.SECONDS), "it does not end");
-        long took = System.currentTimeMillis() - from;
-        assertTrue(took < 4_000, "it ended after " + took + " ms");
+        assertTrue(program.waitFor(5, TimeUnit.SECONDS), "the program does not exit");
+        long tookMillis = System.currentTimeMillis() - startMillis;
+        assertTrue(tookMillis < 4_000, "the program exited after " + tookMillis + " ms");
         assertEquals(program.exitValue(), 143);
         start();
         // The order was accepted too late to be sent; the next process sends it from the journal.
@@ -262,7 +262,7 @@
         play("~ 3000\n" + submit("client1", "m1", "aviso-push") + receiveCall("endpoint1", "m1")
                 + "~ 270\n" + submit("client1", "m2", "aviso-push")
                 + "endpoint1> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
-        assertTrue(program.waitFor(5, TimeUnit.SECONDS), "it does not end");
+        assertTrue(program.waitFor(5, TimeUnit.SECONDS), "the program does not exit");
         start();
         play(receiveCall("endpoint2", "m2") + "endpoint2> HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n\n");
     }
