--- a/src/main/java/juniperusher/mgmt/Management.java
+++ b/src/main/java/juniperusher/mgmt/Management.java
@@ -17,62 +17,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The operators' listener. Calls, each on a connection of its own that ends with the answer:
+ * The HTTP listener for operators. Each connection carries one call and closes after the response. Calls:
  *
  * <ul>
- * <li>{@code GET /status}: 200 once this process takes clients, 503 before and after;</li>
- * <li>{@code POST /maintenance/enter} with {@code {"target":"ID"}}: 200 once nothing new goes to endpoint ID,
- * 404 for an id that discovery never named, 503 while the relay starts;</li>
- * <li>{@code POST /maintenance/exit}, the same: 200 once it may serve again.</li>
+ * <li>{@code GET /status}: 200 while this process serves clients, otherwise 503;</li>
+ * <li>{@code POST /maintenance/enter} with {@code {"target":"ID"}}: 200 once no new calls go to endpoint ID,
+ * 404 for an id that discovery has never listed, 503 while the relay starts;</li>
+ * <li>{@code POST /maintenance/exit}, with the same body and errors: 200 once the endpoint may receive calls
+ * again.</li>
  * </ul>
- * A body that cannot be read gets 400, another method 405, another path 404. A call that is not whole within
- * 2.5 s, or that says nothing for 2 s, is closed; those who hold connections so delay nobody else.
+ * An invalid body gets 400, another method 405, another path 404. A connection is closed if its call has not arrived
+ * within 2.5 s or if no data arrives for 2 s, so that callers which hold connections open do not delay others.
  */
 public final class Management implements HttpServerConnection.Handler, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Management.class);
-    private static final int MOST_BODY = 4 * 1024; // bytes; a target's id is short
-    private static final int MOST_CONNECTIONS = 64; // the mute and idle go first beyond that
+    private static final int MAX_BODY_BYTES = 4 * 1024; // ids of endpoints are short
+    private static final int MAX_CONNECTIONS = 64; // beyond that, the longest waiting ones are shed
 
-    private final AtomicReference<Operated> operated = new AtomicReference<>(Operated.STARTING);
-    private final AtomicLong shed = new AtomicLong();
-    private Closeable listening;
+    private final AtomicReference<Operated> currentRelay = new AtomicReference<>(Operated.STARTING);
+    private final AtomicLong shedCount = new AtomicLong();
+    private Closeable listener;
 
     private Management() {}
 
     /**
-     * Listens on {@code address}; calls act on {@link Operated#STARTING} until {@link #operate} says more.
+     * Listens on {@code address}. Calls act on {@link Operated#STARTING} until {@link #operate} is called.
      *
-     * @throws IOException where the address cannot be bound
+     * @throws IOException if the address cannot be bound
      */
     public static Management listen(Network network, InetSocketAddress address) throws IOException {
         Management management = new Management();
-        Inbound apart = Inbound.apart(MOST_CONNECTIONS, management.shed::incrementAndGet);
-        management.listening = network.listen(
-                address, endPoint -> new HttpServerConnection(endPoint, network, apart, MOST_BODY, management), false);
-        LOG.atInfo().addKeyValue("address", address).log("operators' calls are taken");
+        Inbound ownBound = Inbound.oldestFirst(MAX_CONNECTIONS, management.shedCount::incrementAndGet);
+        management.listener = network.listen(
+                address,
+                endPoint -> new HttpServerConnection(endPoint, network, ownBound, MAX_BODY_BYTES, management),
+                false);
+        LOG.atInfo().addKeyValue("address", address).log("listening for operator calls");
         return management;
     }
 
     @Override
     public void close() throws IOException {
-        if (listening != null) {
-            listening.close();
+        if (listener != null) {
+            listener.close();
         }
     }
 
-    /** From now on calls act on {@code relay}. */
+    /** Makes calls act on {@code relay} from now on. */
     public void operate(Operated relay) {
-        operated.set(relay);
+        currentRelay.set(relay);
     }
 
-    /** How many connections were closed for want of room. */
+    /** The number of connections shed because of the bound, since the start. */
     public long shed() {
-        return shed.get();
+        return shedCount.get();
     }
 
     @Override
     public boolean closing() {
-        return true; // one call a connection
+        return true; // one call per connection
     }
 
     @Override
@@ -80,12 +83,12 @@
         responder.respond(answer(request));
     }
 
-    /** The answer to one call. */
+    /** Executes one call and returns the response. */
     HttpMessage answer(HttpMessage request) {
         String path = request.path();
         int query = path.indexOf('?');
         path = query < 0 ? path : path.substring(0, query);
-        Operated relay = operated.get();
+        Operated relay = currentRelay.get();
         switch (path) {
             case "/status":
                 if (!request.method().equals("GET")) {
@@ -101,18 +104,18 @@
                 }
                 String id;
                 try {
-                    id = target(request.body());
+                    id = parseTarget(request.body());
                 } catch (IllegalArgumentException e) {
                     return HttpMessage.response(400, e.getMessage() + '\n');
                 }
                 boolean enter = path.endsWith("enter");
-                Operated.Answer done = enter ? relay.enter(id) : relay.exit(id);
+                Operated.Answer result = enter ? relay.enter(id) : relay.exit(id);
                 LOG.atInfo()
                         .addKeyValue("target", id)
                         .addKeyValue("call", enter ? "enter" : "exit")
-                        .addKeyValue("answer", done)
+                        .addKeyValue("answer", result)
                         .log("maintenance");
-                return switch (done) {
+                return switch (result) {
                     case DONE -> HttpMessage.response(200, (enter ? "held out: " : "back: ") + id + '\n');
                     case UNKNOWN -> HttpMessage.response(404, "no endpoint has the id " + id + '\n');
                     case NOT_NOW -> HttpMessage.response(503, "the relay is not serving yet\n");
@@ -122,8 +125,12 @@
         }
     }
 
-    /** The id in a body {@code {"target":"ID"}}; an {@link IllegalArgumentException} says what is wrong. */
-    static String target(byte[] body) {
+    /**
+     * Returns the id in a body {@code {"target":"ID"}}.
+     *
+     * @throws IllegalArgumentException if the body is invalid; the message is sent to the caller
+     */
+    static String parseTarget(byte[] body) {
         JsonValue json;
         try {
             json = Json.parse(new String(body, StandardCharsets.UTF_8));
--- a/src/main/java/juniperusher/net/HttpClientConnection.java
+++ b/src/main/java/juniperusher/net/HttpClientConnection.java
@@ -20,49 +20,54 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The client's side of an HTTP/1.1 connection: one exchange at a time. Guards against answers that cannot be
- * read, do not end or are too long: such an answer is spoilt, and its connection is closed at once. What
- * comes behind a good answer spoils the connection alone and is never read as the next call's answer.
+ * The client side of an HTTP/1.1 connection, with one exchange at a time. A response that cannot be parsed, does
+ * not end or is too long ends its exchange as {@link CallEnd#SPOILT}, and the connection is closed at once. Bytes
+ * that follow a valid response do not affect that response; the connection is then closed, so that they are never
+ * parsed as the response to the next call.
+ *
+ * <p>Input is processed under the connection's lock. Exchanges are completed outside of it, since their listeners
+ * may use other connections.
  */
 final class HttpClientConnection extends AbstractConnection implements HttpParser.ResponseHandler {
-    private static final int BUFFER = 4 * 1024;
-    private static final int MOST_HEAD = 16 * 1024; // bytes
-    private static final int MOST_INTERIM = 16; // 1xx answers in front of the final one
-    private static final long ANSWER = 500; // ms from an answer's first byte to its last
-    private static final long LINGER = 1_000; // ms without a byte for which one that has ended is read on
-    private static final int DROPPED = 1 << 20; // bytes of it that are read and dropped at most
-    // Where they go: shared, since nobody reads them.
-    private static final ByteBuffer DROP = ByteBuffer.allocateDirect(16 * 1024);
+    private static final int INPUT_BUFFER_BYTES = 4 * 1024;
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
+    private static final int MAX_INTERIM_RESPONSES = 16; // 1xx responses before the final one
+    private static final long RESPONSE_TIMEOUT_MILLIS = 500; // from the first byte of a response to its last
+    // Idle time after which a connection whose output is shut down is closed.
+    private static final long LINGER_IDLE_TIMEOUT_MILLIS = 1_000;
+    private static final int MAX_DISCARDED_BYTES = 1 << 20; // read and discarded after the output is shut down
+    // Shared by all connections, because its content is never read.
+    private static final ByteBuffer DISCARD_BUFFER = ByteBuffer.allocateDirect(16 * 1024);
 
     private final Network network;
     private final HttpPool pool;
-    private final HttpParser parser = new HttpParser(this, MOST_HEAD);
-    private final ByteBuffer in = BufferUtil.allocate(BUFFER);
-    private final Consumer<HttpClientConnection> opened;
+    private final HttpParser parser = new HttpParser(this, MAX_HEAD_BYTES);
+    private final ByteBuffer input = BufferUtil.allocate(INPUT_BUFFER_BYTES);
+    private final Consumer<HttpClientConnection> onOpened;
     private HttpFields.Mutable fields = HttpFields.build();
     private ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
-    private int interim;
-    private boolean complete;
-    private boolean spoilt;
-    private boolean keep = true;
-    private volatile HttpPool.Exchange exchange;
+    private int interimResponses;
+    private boolean responseComplete;
+    private boolean responseInvalid;
+    private boolean keepAlive = true;
+    private volatile HttpPool.Exchange currentExchange;
     private volatile boolean closed;
-    private volatile boolean lingering; // its output has ended, what still comes is dropped
-    private int dropped;
-    private volatile long idleSince;
-    private Scheduler.Task overdue;
-    private boolean writing; // the request's write has not said how it ended
-    private HttpPool.Exchange answeredEarly; // whose answer came before that
-
-    HttpClientConnection(EndPoint endPoint, Network network, HttpPool pool, Consumer<HttpClientConnection> opened) {
+    private volatile boolean lingering; // the output is shut down, further input is discarded
+    private int discardedBytes;
+    private volatile long idleSinceNanos;
+    private Scheduler.Task responseTimeout;
+    private boolean requestWriteInProgress; // neither callback of the request's write has run yet
+    private HttpPool.Exchange answeredBeforeWriteEnd; // exchange whose response came while the write was in progress
+
+    HttpClientConnection(EndPoint endPoint, Network network, HttpPool pool, Consumer<HttpClientConnection> onOpened) {
         super(endPoint, network.threads());
         this.network = network;
         this.pool = pool;
-        this.opened = opened;
+        this.onOpened = onOpened;
     }
 
-    /** Nothing here waits, so the selector's thread itself reads: no hand-over for each answer. */
+    /** Reading never blocks, so the selector thread reads each response without a hand-over to another thread. */
     @Override
     public InvocationType getInvocationType() {
         return InvocationType.NON_BLOCKING;
@@ -72,85 +77,84 @@
     public void onOpen() {
         super.onOpen();
         fillInterested();
-        opened.accept(this);
+        onOpened.accept(this);
     }
 
-    /** Whether nothing has come since the last answer; asked before the connection is used again. */
-    synchronized boolean quiet() {
+    /** Whether the connection is usable and no input has arrived since the last response. Checked before reuse. */
+    synchronized boolean hasNoInput() {
         try {
-            return usable() && !in.hasRemaining() && getEndPoint().fill(in) == 0;
+            return isUsable() && !input.hasRemaining() && getEndPoint().fill(input) == 0;
         } catch (IOException e) {
             return false;
         }
     }
 
     /**
-     * Writes the exchange's request. From here on its last byte may be gone, unless the write says otherwise.
+     * Writes the exchange's request. From here on its last byte may have been sent, unless the failed write reports
+     * that bytes remain. Returns the connection to the pool if the exchange has ended meanwhile.
      */
-    void start(HttpPool.Exchange next, ByteBuffer request) {
-        exchange = next;
-        if (!next.leaving(this)) {
-            exchange = null;
-            pool.unused(next, this);
+    void send(HttpPool.Exchange next, ByteBuffer request) {
+        currentExchange = next;
+        if (!next.claimConnection(this)) {
+            currentExchange = null;
+            pool.release(next, this);
             return;
         }
         synchronized (this) {
-            writing = true;
+            requestWriteInProgress = true;
         }
         try {
             getEndPoint()
                     .write(
-                            Callback.from(this::written, failure -> {
+                            Callback.from(this::requestWritten, failure -> {
                                 if (request.hasRemaining()) {
-                                    next.neverWhole();
+                                    next.requestNotFullyWritten();
                                 }
-                                lost(CallEnd.BROKEN);
+                                fail(CallEnd.BROKEN);
                             }),
                             request);
         } catch (WritePendingException e) {
-            next.neverWhole(); // not one byte was taken
-            lost(CallEnd.BROKEN);
+            next.requestNotFullyWritten(); // no byte was written
+            fail(CallEnd.BROKEN);
         }
     }
 
     /**
-     * The request is written. Guards the next request: an answer can come, and its connection be taken for
-     * the
-     * next call, before the thread that wrote the request has got this far; a write then would be refused
-     * with
-     * an exception that nobody waits for. So a connection is kept only once both have ended.
+     * Called when the request is written. A response can arrive, and its connection be reused for the next call,
+     * before the writing thread gets here; the next write would then fail with a {@link WritePendingException}.
+     * Therefore a connection returns to the pool only after both the response and this callback.
      */
-    private void written() {
-        HttpPool.Exchange done;
+    private void requestWritten() {
+        HttpPool.Exchange completed;
         synchronized (this) {
-            writing = false;
-            done = answeredEarly;
-            answeredEarly = null;
+            requestWriteInProgress = false;
+            completed = answeredBeforeWriteEnd;
+            answeredBeforeWriteEnd = null;
         }
-        if (done != null) {
-            pool.unused(done, this);
+        if (completed != null) {
+            pool.release(completed, this);
         }
     }
 
-    void idleFrom(long time) {
-        idleSince = time;
+    void setIdleSinceNanos(long nanoTime) {
+        idleSinceNanos = nanoTime;
     }
 
-    long idleSince() {
-        return idleSince;
+    long idleSinceNanos() {
+        return idleSinceNanos;
     }
 
-    boolean usable() {
+    boolean isUsable() {
         return !closed && getEndPoint().isOpen();
     }
 
     /**
-     * Ends it with nothing out on it: the output first, then, once the other side has ended too or after a
-     * bound, the connection. Guards the answer before: a close over bytes that nobody has read, half a line
-     * that comes in this very instant, resets the connection, and the other side cannot know what of its
-     * answer was read.
+     * Closes an idle connection: shuts down the output, and closes the connection once the peer has closed its side
+     * or a limit of time or bytes is reached. Closing a socket with unread input, such as half a line that arrives
+     * at this moment, would reset the connection, and the peer could not tell how much of its last response was
+     * read.
      */
-    void retire() {
+    void closeGracefully() {
         synchronized (this) {
             if (closed) {
                 return;
@@ -158,32 +162,32 @@
             closed = true;
             lingering = true;
         }
-        pool.gone(this);
-        linger();
+        pool.remove(this);
+        startLingering();
     }
 
-    private void linger() {
-        getEndPoint().setIdleTimeout(LINGER);
+    private void startLingering() {
+        getEndPoint().setIdleTimeout(LINGER_IDLE_TIMEOUT_MILLIS);
         getEndPoint().shutdownOutput();
     }
 
     @Override
     public void onFillable() {
         if (lingering) {
-            drop();
+            discardInput();
         } else {
             read(true);
         }
     }
 
-    private void drop() {
+    private void discardInput() {
         try {
             while (true) {
-                ByteBuffer into = DROP.duplicate();
-                BufferUtil.clear(into);
-                int n = getEndPoint().fill(into);
-                dropped += Math.max(0, n);
-                if (n < 0 || dropped > DROPPED) {
+                ByteBuffer buffer = DISCARD_BUFFER.duplicate();
+                BufferUtil.clear(buffer);
+                int n = getEndPoint().fill(buffer);
+                discardedBytes += Math.max(0, n);
+                if (n < 0 || discardedBytes > MAX_DISCARDED_BYTES) {
                     close();
                     return;
                 }
@@ -197,128 +201,135 @@
         }
     }
 
-    /** Reads what has come though the selector has not got to it; its interest stays as it is. */
+    /** Reads input that the selector has not processed yet. The registered read interest does not change. */
     void poll() {
         read(false);
     }
 
-    private void read(boolean called) {
-        Runnable told;
+    private void read(boolean fromSelector) {
+        Runnable completion;
         synchronized (this) {
-            told = called || exchange != null ? next(called) : null;
+            completion = fromSelector || currentExchange != null ? processInput(fromSelector) : null;
         }
-        if (told != null) {
-            told.run(); // not under the lock: what hears of it may use other connections
+        if (completion != null) {
+            completion.run(); // outside of the lock, since listeners may use other connections
         }
     }
 
-    /** Reads what is there; the rest of the matter, if an answer has come or can come no more. */
-    private Runnable next(boolean called) {
+    /**
+     * Reads and parses the available input. Returns the action that completes the exchange or closes the connection,
+     * to be run outside of the lock, or null if there is none.
+     */
+    private Runnable processInput(boolean fromSelector) {
         try {
             while (!closed) {
-                if (!in.hasRemaining()) {
-                    int n = getEndPoint().fill(in);
+                if (!input.hasRemaining()) {
+                    int n = getEndPoint().fill(input);
                     if (n < 0) {
                         parser.atEOF();
                         parser.parseNext(BufferUtil.EMPTY_BUFFER);
-                        keep = false;
-                        return complete ? finished(called) : () -> lost(CallEnd.BROKEN);
+                        keepAlive = false;
+                        return responseComplete ? completeExchange(fromSelector) : () -> fail(CallEnd.BROKEN);
                     }
                     if (n == 0) {
-                        limitTime();
-                        if (called) {
+                        scheduleResponseTimeout();
+                        if (fromSelector) {
                             fillInterested();
                         }
                         return null;
                     }
                 }
-                if (exchange == null) {
-                    closed = true; // bytes that answer nothing
+                if (currentExchange == null) {
+                    closed = true; // input without a request in flight
                     lingering = true;
                     return () -> {
-                        pool.gone(this);
-                        linger();
-                        if (called) {
-                            drop(); // else its interest in the next byte still stands
+                        pool.remove(this);
+                        startLingering();
+                        if (fromSelector) {
+                            discardInput(); // after a poll the read interest is still registered
                         }
                     };
                 }
-                int before = in.remaining();
-                boolean stopped = parser.parseNext(in) || in.remaining() == before;
-                if (complete && !spoilt && status < 200 && status != 101 && ++interim <= MOST_INTERIM) {
-                    reset(); // the final answer is still to come
-                } else if (complete && !spoilt && status >= 200) {
-                    return finished(called);
-                } else if (spoilt || stopped) {
-                    return () -> lost(CallEnd.SPOILT);
+                int before = input.remaining();
+                boolean parserStopped = parser.parseNext(input) || input.remaining() == before;
+                if (responseComplete
+                        && !responseInvalid
+                        && status < 200
+                        && status != 101
+                        && ++interimResponses <= MAX_INTERIM_RESPONSES) {
+                    resetParser(); // an interim response; the final one follows
+                } else if (responseComplete && !responseInvalid && status >= 200) {
+                    return completeExchange(fromSelector);
+                } else if (responseInvalid || parserStopped) {
+                    return () -> fail(CallEnd.SPOILT);
                 }
             }
-            return lingering && called ? this::drop : null;
+            return lingering && fromSelector ? this::discardInput : null;
         } catch (IOException | RuntimeException e) {
-            return () -> lost(CallEnd.BROKEN);
+            return () -> fail(CallEnd.BROKEN);
         }
     }
 
-    private void limitTime() {
-        HttpPool.Exchange current = exchange;
-        if (current != null && overdue == null && !parser.isStart() && !current.endless()) {
-            overdue = network.scheduler()
+    private void scheduleResponseTimeout() {
+        HttpPool.Exchange current = currentExchange;
+        if (current != null && responseTimeout == null && !parser.isStart() && !current.hasUnboundedResponse()) {
+            responseTimeout = network.scheduler()
                     .schedule(
                             () -> {
-                                if (exchange == current) {
-                                    lost(CallEnd.SPOILT);
+                                if (currentExchange == current) {
+                                    fail(CallEnd.SPOILT);
                                 }
                             },
-                            ANSWER,
+                            RESPONSE_TIMEOUT_MILLIS,
                             TimeUnit.MILLISECONDS);
         }
     }
 
-    private void reset() {
-        complete = false;
+    private void resetParser() {
+        responseComplete = false;
         fields = HttpFields.build();
         body = new ByteArrayOutputStream();
         parser.reset();
     }
 
-    private Runnable finished(boolean called) {
-        HttpPool.Exchange done = exchange;
+    private Runnable completeExchange(boolean fromSelector) {
+        HttpPool.Exchange completed = currentExchange;
         HttpMessage response = new HttpMessage(Integer.toString(status), fields.asImmutable(), body.toByteArray());
-        if (overdue != null) {
-            overdue.cancel();
-            overdue = null;
+        if (responseTimeout != null) {
+            responseTimeout.cancel();
+            responseTimeout = null;
         }
-        exchange = null;
-        interim = 0;
-        reset();
-        boolean reuse = keep && quiet();
-        if (reuse && called) {
+        currentExchange = null;
+        interimResponses = 0;
+        resetParser();
+        boolean reuse = keepAlive && hasNoInput();
+        if (reuse && fromSelector) {
             fillInterested();
         }
         if (!reuse) {
             closed = true;
             lingering = true;
-            linger();
-            if (called) {
+            startLingering();
+            if (fromSelector) {
                 fillInterested();
             }
         }
-        boolean later = reuse && writing;
-        if (later) {
-            answeredEarly = done;
+        boolean releaseAfterWrite = reuse && requestWriteInProgress;
+        if (releaseAfterWrite) {
+            answeredBeforeWriteEnd = completed;
         }
-        return done == null ? null : () -> done.answered(response, reuse && !later ? this : null);
+        return completed == null ? null : () -> completed.answered(response, reuse && !releaseAfterWrite ? this : null);
     }
 
-    /** The connection is of no more use; an exchange on it ends so. */
-    void lost(CallEnd why) {
+    /** Closes the connection and ends the exchange on it, if there is one, with {@code end}. */
+    void fail(CallEnd end) {
         closed = true;
         close();
-        pool.gone(this);
-        HttpPool.Exchange cut = exchange;
-        exchange = null;
-        if (cut != null) {
-            cut.ended(why);
+        pool.remove(this);
+        HttpPool.Exchange interrupted = currentExchange;
+        currentExchange = null;
+        if (interrupted != null) {
+            interrupted.ended(end);
         }
     }
 
@@ -326,44 +337,44 @@
     public void onClose(Throwable cause) {
         super.onClose(cause);
         closed = true;
-        pool.gone(this);
+        pool.remove(this);
     }
 
-    // ---- the parser's calls ----
+    // ---- callbacks of the parser ----
 
     @Override
     public void startResponse(HttpVersion version, int code, String reason) {
         status = code;
-        keep = version == HttpVersion.HTTP_1_1;
-        HttpPool.Exchange current = exchange;
+        keepAlive = version == HttpVersion.HTTP_1_1;
+        HttpPool.Exchange current = currentExchange;
         if (current != null && code >= 200) {
-            current.firstLine(code);
+            current.statusLineReceived(code);
         }
     }
 
     @Override
     public void parsedHeader(HttpField field) {
         fields.add(field);
-        keep &= field.getHeader() != HttpHeader.CONNECTION || !field.contains("close");
+        keepAlive &= field.getHeader() != HttpHeader.CONNECTION || !field.contains("close");
     }
 
     @Override
     public boolean headerComplete() {
-        HttpPool.Exchange current = exchange;
-        spoilt |= current != null && parser.getContentLength() > current.most();
-        return spoilt;
+        HttpPool.Exchange current = currentExchange;
+        responseInvalid |= current != null && parser.getContentLength() > current.maxResponseBytes();
+        return responseInvalid;
     }
 
     @Override
     public boolean content(ByteBuffer content) {
         byte[] bytes = new byte[content.remaining()];
         content.get(bytes);
-        HttpPool.Exchange current = exchange;
+        HttpPool.Exchange current = currentExchange;
         if (current != null && !current.streamed(status, bytes)) {
             body.writeBytes(bytes);
-            spoilt |= body.size() > current.most();
+            responseInvalid |= body.size() > current.maxResponseBytes();
         }
-        return spoilt;
+        return responseInvalid;
     }
 
     @Override
@@ -373,17 +384,17 @@
 
     @Override
     public boolean messageComplete() {
-        complete = true;
+        responseComplete = true;
         return true;
     }
 
     @Override
     public void earlyEOF() {
-        keep = false; // the end of the input says the same
+        keepAlive = false; // processInput() handles the end of the input itself
     }
 
     @Override
     public void badMessage(HttpException failure) {
-        spoilt = true;
+        responseInvalid = true;
     }
 }
--- a/src/main/java/juniperusher/net/HttpPool.java
+++ b/src/main/java/juniperusher/net/HttpPool.java
@@ -13,75 +13,86 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * HTTP/1.1 exchanges on connections that are kept and used again, the last used first. A connection is
- * closed before the other side's idle time is over, since a request written from then on would end as a
- * reset. Nothing is ever sent again here.
+ * Client for HTTP/1.1 exchanges with a pool of idle connections; the most recently used one is reused first. The
+ * idle timeout has to be shorter than the server's, since a request written to a connection that the server is
+ * closing ends with a reset. The pool never repeats a request. All methods are thread-safe.
  */
 public final class HttpPool {
-    private static final long MOST_ANSWER = 256 * 1024; // bytes; bodies hold 64 KiB at most, this allows more
+    // Bodies of messages have at most 64 KiB; this allows longer responses.
+    private static final long MAX_RESPONSE_BYTES = 256 * 1024;
 
     private final Network network;
-    private final long idleNanos;
-    private final int mostIdle;
-    private final Map<Peer, Deque<HttpClientConnection>> idle = new HashMap<>();
+    private final long idleTimeoutNanos;
+    private final int maxIdle;
+    private final Map<ConnectionKey, Deque<HttpClientConnection>> idleByKey = new HashMap<>();
     private int idleCount;
 
-    /** Who a connection leads to: an address alone may pass from one endpoint to the next. */
-    private record Peer(InetSocketAddress address, int owner) {}
+    /** The peer of a connection. The owner is part of it, because another endpoint may take over an address. */
+    private record ConnectionKey(InetSocketAddress address, int owner) {}
 
-    /** Keeps idle connections for {@code idleSeconds}, and {@code mostIdle} of them, at most. */
-    public HttpPool(Network network, double idleSeconds, int mostIdle) {
+    /** Creates a pool that keeps at most {@code maxIdle} idle connections, each for {@code idleTimeoutSeconds}. */
+    public HttpPool(Network network, double idleTimeoutSeconds, int maxIdle) {
         this.network = network;
-        this.mostIdle = mostIdle;
-        idleNanos = (long) (idleSeconds * 1e9);
-        sweep();
+        this.maxIdle = maxIdle;
+        idleTimeoutNanos = (long) (idleTimeoutSeconds * 1e9);
+        closeExpired();
     }
 
-    /** Hears how an exchange goes; exactly one of {@code answered} and {@code ended} comes. */
+    /**
+     * Receives the result of an exchange: exactly one call of {@link #answered} or {@link #ended}. Calls may come on
+     * any thread, including the one that starts the exchange, and must not block.
+     */
     public interface Listener {
-        /** The whole answer is there. */
+        /** The whole response has been received. */
         void answered(HttpMessage response);
 
         /**
-         * The exchange ended without one; {@code firstLine} is the status that its first line still said, or
-         * 0 if none came.
+         * The exchange ended without a whole response. {@code firstLine} is the status code of the response's first
+         * line, or 0 if that line did not arrive.
          */
         void ended(CallEnd why, int firstLine);
 
-        /** The answer has begun; its first line has this status. */
+        /** The first line of the response has arrived with this status code. */
         default void begun(int status) {}
 
-        /** Bytes that an answer's content may have; a longer one is spoilt. */
+        /**
+         * The maximum size of a response's content in bytes; a longer response ends as {@link CallEnd#SPOILT}. With
+         * {@link Long#MAX_VALUE} the response may also take any time.
+         */
         default long most() {
-            return MOST_ANSWER;
+            return MAX_RESPONSE_BYTES;
         }
 
-        /** Content of an answer that is taken piece by piece; true if so. */
+        /**
+         * Offers a piece of the response's content on arrival. If this returns true, the listener has consumed the
+         * piece and it is not part of the response passed to {@link #answered}.
+         */
         default boolean streamed(int status, byte[] piece) {
             return false;
         }
     }
 
-    /** The same as below, where the address says who is there. */
+    /** Starts an exchange with a server that its address alone identifies. */
     public Exchange exchange(
             InetSocketAddress address, HttpMessage request, BooleanSupplier mayStart, Listener listener) {
         return exchange(address, 0, request, mayStart, listener);
     }
 
     /**
-     * Starts an exchange; {@code mayStart} is asked just before the first byte leaves. Only connections made
-     * for the same {@code owner} of the address are used again.
+     * Starts an exchange. {@code mayStart} is called right before a connection is opened and again right before the
+     * request is written; if it returns false, the exchange ends as {@link CallEnd#HELD_BACK}. Only connections
+     * opened for the same {@code owner} of the address are reused.
      */
     public Exchange exchange(
             InetSocketAddress address, int owner, HttpMessage request, BooleanSupplier mayStart, Listener listener) {
-        Exchange exchange = new Exchange(new Peer(address, owner), request.bytes(), mayStart, listener);
-        HttpClientConnection kept = take(exchange.peer);
-        while (kept != null && !kept.quiet()) {
-            kept.retire();
-            kept = take(exchange.peer);
+        Exchange exchange = new Exchange(new ConnectionKey(address, owner), request.bytes(), mayStart, listener);
+        HttpClientConnection idleConnection = takeIdle(exchange.key);
+        while (idleConnection != null && !idleConnection.hasNoInput()) {
+            idleConnection.closeGracefully();
+            idleConnection = takeIdle(exchange.key);
         }
-        if (kept != null) {
-            exchange.connected(kept);
+        if (idleConnection != null) {
+            exchange.connected(idleConnection);
         } else if (!mayStart.getAsBoolean()) {
             exchange.ended(CallEnd.HELD_BACK);
         } else {
@@ -90,98 +101,101 @@
         return exchange;
     }
 
-    private HttpClientConnection take(Peer peer) {
-        synchronized (idle) {
-            Deque<HttpClientConnection> kept = idle.get(peer);
-            while (kept != null && !kept.isEmpty()) {
-                HttpClientConnection connection = kept.pollFirst();
+    private HttpClientConnection takeIdle(ConnectionKey key) {
+        synchronized (idleByKey) {
+            Deque<HttpClientConnection> idleForKey = idleByKey.get(key);
+            while (idleForKey != null && !idleForKey.isEmpty()) {
+                HttpClientConnection connection = idleForKey.pollFirst();
                 idleCount--;
-                if (connection.usable() && System.nanoTime() - connection.idleSince() < idleNanos) {
+                if (connection.isUsable() && System.nanoTime() - connection.idleSinceNanos() < idleTimeoutNanos) {
                     return connection;
                 }
-                connection.retire();
+                connection.closeGracefully();
             }
             return null;
         }
     }
 
-    private void keep(Peer peer, HttpClientConnection connection) {
-        connection.idleFrom(System.nanoTime());
-        HttpClientConnection out = null;
-        synchronized (idle) {
-            if (connection.usable()) {
-                idle.computeIfAbsent(peer, key -> new ArrayDeque<>()).addFirst(connection);
-                out = ++idleCount > mostIdle ? oldest() : null;
+    private void addIdle(ConnectionKey key, HttpClientConnection connection) {
+        connection.setIdleSinceNanos(System.nanoTime());
+        HttpClientConnection evicted = null;
+        synchronized (idleByKey) {
+            if (connection.isUsable()) {
+                idleByKey.computeIfAbsent(key, absent -> new ArrayDeque<>()).addFirst(connection);
+                evicted = ++idleCount > maxIdle ? removeLongestIdle() : null;
             }
         }
-        if (out != null) {
-            out.retire();
+        if (evicted != null) {
+            evicted.closeGracefully();
         }
     }
 
-    /** Guards descriptors: takes out the connection that has been idle longest. */
-    private HttpClientConnection oldest() {
-        Deque<HttpClientConnection> in = null;
-        for (Deque<HttpClientConnection> kept : idle.values()) {
-            if (!kept.isEmpty()
-                    && (in == null
-                            || kept.peekLast().idleSince() - in.peekLast().idleSince() < 0)) {
-                in = kept;
+    /** Removes the connection that has been idle longest, so that the pool does not use up file descriptors. */
+    private HttpClientConnection removeLongestIdle() {
+        Deque<HttpClientConnection> oldest = null;
+        for (Deque<HttpClientConnection> candidates : idleByKey.values()) {
+            if (!candidates.isEmpty()
+                    && (oldest == null
+                            || candidates.peekLast().idleSinceNanos()
+                                            - oldest.peekLast().idleSinceNanos()
+                                    < 0)) {
+                oldest = candidates;
             }
         }
         idleCount--;
-        return in.pollLast();
+        return oldest.pollLast();
     }
 
-    void unused(Exchange exchange, HttpClientConnection connection) {
-        keep(exchange.peer, connection);
+    void release(Exchange exchange, HttpClientConnection connection) {
+        addIdle(exchange.key, connection);
     }
 
-    void gone(HttpClientConnection connection) {
-        synchronized (idle) {
-            idle.values().forEach(kept -> idleCount -= kept.remove(connection) ? 1 : 0);
+    void remove(HttpClientConnection connection) {
+        synchronized (idleByKey) {
+            idleByKey.values().forEach(connections -> idleCount -= connections.remove(connection) ? 1 : 0);
         }
     }
 
-    /** Closes the idle connections to the owner of an address. */
+    /** Closes the idle connections opened for this owner of the address. */
     public void closeIdle(InetSocketAddress address, int owner) {
-        Deque<HttpClientConnection> kept;
-        synchronized (idle) {
-            kept = idle.remove(new Peer(address, owner));
-            idleCount -= kept == null ? 0 : kept.size();
+        Deque<HttpClientConnection> removed;
+        synchronized (idleByKey) {
+            removed = idleByKey.remove(new ConnectionKey(address, owner));
+            idleCount -= removed == null ? 0 : removed.size();
         }
-        if (kept != null) {
-            kept.forEach(HttpClientConnection::retire);
+        if (removed != null) {
+            removed.forEach(HttpClientConnection::closeGracefully);
         }
     }
 
-    private void sweep() {
-        Deque<HttpClientConnection> old = new ArrayDeque<>();
-        synchronized (idle) {
+    private void closeExpired() {
+        Deque<HttpClientConnection> expired = new ArrayDeque<>();
+        synchronized (idleByKey) {
             long now = System.nanoTime();
-            idle.values()
-                    .forEach(kept -> kept.removeIf(
-                            connection -> now - connection.idleSince() >= idleNanos && old.add(connection)));
-            idleCount -= old.size();
-            idle.values().removeIf(Deque::isEmpty);
+            idleByKey
+                    .values()
+                    .forEach(connections -> connections.removeIf(connection ->
+                            now - connection.idleSinceNanos() >= idleTimeoutNanos && expired.add(connection)));
+            idleCount -= expired.size();
+            idleByKey.values().removeIf(Deque::isEmpty);
         }
-        old.forEach(HttpClientConnection::retire);
-        network.scheduler().schedule(this::sweep, 200, TimeUnit.MILLISECONDS);
+        expired.forEach(HttpClientConnection::closeGracefully);
+        network.scheduler().schedule(this::closeExpired, 200, TimeUnit.MILLISECONDS);
     }
 
-    /** One exchange. */
+    /** One request and its response; ends exactly once. */
     public final class Exchange implements Network.Dial {
-        private final Peer peer;
+        private final ConnectionKey key;
         private final ByteBuffer request;
         private final BooleanSupplier mayStart;
         private final Listener listener;
         private HttpClientConnection connection;
-        private boolean mayBeWhole;
-        private boolean over;
-        private volatile int firstLine;
+        private boolean requestMayBeComplete; // the last byte of the request may have been sent
+        private boolean finished;
+        private volatile int statusLineCode;
 
-        private Exchange(Peer peer, ByteBuffer request, BooleanSupplier mayStart, Listener listener) {
-            this.peer = peer;
+        private Exchange(ConnectionKey key, ByteBuffer request, BooleanSupplier mayStart, Listener listener) {
+            this.key = key;
             this.request = request;
             this.mayStart = mayStart;
             this.listener = listener;
@@ -192,12 +206,12 @@
             return new HttpClientConnection(endPoint, network, HttpPool.this, this::connected);
         }
 
-        private void connected(HttpClientConnection to) {
+        private void connected(HttpClientConnection established) {
             if (!mayStart.getAsBoolean()) {
-                keep(peer, to);
+                addIdle(key, established);
                 ended(CallEnd.HELD_BACK);
             } else {
-                to.start(this, request);
+                established.send(this, request);
             }
         }
 
@@ -206,38 +220,42 @@
             ended(CallEnd.NOT_CONNECTED);
         }
 
-        /** Guards against a call that leaves after it was reported as never sent: both are settled here. */
-        synchronized boolean leaving(HttpClientConnection on) {
-            connection = on;
-            mayBeWhole = !over;
-            return mayBeWhole;
+        /**
+         * Assigns the connection to this exchange. Returns false if the exchange has already ended; the request must
+         * then not be written, as it may have been reported as never sent.
+         */
+        synchronized boolean claimConnection(HttpClientConnection claimed) {
+            connection = claimed;
+            requestMayBeComplete = !finished;
+            return requestMayBeComplete;
         }
 
-        synchronized void neverWhole() {
-            mayBeWhole = false;
+        /** Records that the request was not written completely, so that the call cannot have run. */
+        synchronized void requestNotFullyWritten() {
+            requestMayBeComplete = false;
         }
 
-        void firstLine(int status) {
-            firstLine = status;
+        void statusLineReceived(int status) {
+            statusLineCode = status;
             listener.begun(status);
         }
 
-        /** Reads an answer that has come, should the selector not have got to it yet. */
+        /** Reads a response that has arrived but that the selector has not processed yet. */
         public void poll() {
-            HttpClientConnection out;
+            HttpClientConnection current;
             synchronized (this) {
-                out = over ? null : connection;
+                current = finished ? null : connection;
             }
-            if (out != null) {
-                out.poll();
+            if (current != null) {
+                current.poll();
             }
         }
 
-        long most() {
+        long maxResponseBytes() {
             return listener.most();
         }
 
-        boolean endless() {
+        boolean hasUnboundedResponse() {
             return listener.most() == Long.MAX_VALUE;
         }
 
@@ -247,48 +265,49 @@
 
         void answered(HttpMessage response, HttpClientConnection reusable) {
             synchronized (this) {
-                if (over) {
-                    return; // given up in this very moment, and its connection closed with it
+                if (finished) {
+                    return; // abandoned meanwhile, which also closed the connection
                 }
-                over = true;
+                finished = true;
             }
             if (reusable != null) {
-                keep(peer, reusable);
+                addIdle(key, reusable);
             }
             listener.answered(response);
         }
 
         void ended(CallEnd why) {
-            boolean written;
+            boolean mayBeComplete;
             synchronized (this) {
-                if (over) {
+                if (finished) {
                     return;
                 }
-                over = true;
-                written = mayBeWhole;
+                finished = true;
+                mayBeComplete = requestMayBeComplete;
             }
-            listener.ended(why.given(written), firstLine);
+            listener.ended(why.given(mayBeComplete), statusLineCode);
         }
 
         /**
-         * Stops waiting: closes the connection if the request is on it, then reports the end. Guards against
-         * a request that leaves on a connection that comes up in this very instant, and stays out there.
+         * Stops waiting for the response: closes the connection that the request uses, if any, then reports the end.
+         * A connection that is established at the same time does not send the request afterwards. Has no effect on
+         * an exchange that has ended.
          */
         public void abandon(CallEnd why) {
-            HttpClientConnection out;
-            boolean written;
+            HttpClientConnection current;
+            boolean mayBeComplete;
             synchronized (this) {
-                if (over) {
+                if (finished) {
                     return;
                 }
-                over = true;
-                written = mayBeWhole;
-                out = connection;
+                finished = true;
+                mayBeComplete = requestMayBeComplete;
+                current = connection;
             }
-            if (out != null) {
-                out.close();
+            if (current != null) {
+                current.close();
             }
-            listener.ended(why.given(written), firstLine);
+            listener.ended(why.given(mayBeComplete), statusLineCode);
         }
     }
 }
--- a/src/main/java/juniperusher/net/Network.java
+++ b/src/main/java/juniperusher/net/Network.java
@@ -26,67 +26,77 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Jetty's selector, its threads and its timers, for the connections of every front. */
+/**
+ * Jetty's selector, thread pool and timers, shared by all fronts and by outbound connections. Connections are read on
+ * the selector thread, so their code must not block. All methods are thread-safe.
+ */
 public class Network implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Network.class);
-    private static final int MOST_THREADS = 8; // reading is the selector's own work: few hand-overs are left
-    // Of the descriptors, for connections that come in: clients hold a third at most, the rest is for
-    // bad ones to be turned away on; what remains is for calls, the watch, the journal and the JVM.
-    private static final double INBOUND_SHARE = 0.45;
-    private static final double COMING_SHARE = 0.1; // the same for those that are not yet looked at
-    private static final long ACCEPT_PAUSE = 50; // ms for which nothing is accepted after that has failed
-    private static final int LEAST_INBOUND = 16; // connections, whatever the limit says
-
-    // All are started at once: one that cannot be started later would leave a connection without its turn.
-    private final QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, MOST_THREADS);
+    private static final int THREAD_COUNT = 8; // few are needed, since the selector thread does the reading
+    // Share of the file descriptors for inbound connections. Clients use a third of all descriptors at most; the
+    // difference lets invalid connections be refused. The rest is for calls, the watch, the journal and the JVM.
+    private static final double INBOUND_DESCRIPTOR_SHARE = 0.45;
+    private static final double OPENING_DESCRIPTOR_SHARE = 0.1; // for connections accepted but not opened yet
+    private static final long ACCEPT_RETRY_MILLIS = 50; // pause after a failed accept
+    private static final int MIN_CONNECTION_BOUND = 16; // however few descriptors the process may have
+
+    // All threads start at once. If a thread could not be started later, a connection would never be processed.
+    private final QueuedThreadPool threads = new QueuedThreadPool(THREAD_COUNT, THREAD_COUNT);
     private final Scheduler scheduler = new ScheduledExecutorScheduler("timers", true);
     private final Selector selector = new Selector();
     private final Inbound inbound;
-    private final AtomicLong shed = new AtomicLong();
-    private final AtomicLong unopened = new AtomicLong();
-    private final AtomicInteger coming = new AtomicInteger();
-    private final AtomicLong acceptFailures = new AtomicLong();
-    private final int mostIn;
+    private final AtomicLong shedCount = new AtomicLong();
+    private final AtomicLong closedUnopenedCount = new AtomicLong();
+    private final AtomicInteger openingCount = new AtomicInteger();
+    private final AtomicLong acceptFailureCount = new AtomicLong();
+    private final int maxOpenAndOpening;
 
-    /** Someone who wants a connection: makes its object once it is up, or hears why it is not. */
+    /** Receives the result of a connection attempt. Methods run on the selector thread or the caller's. */
     public interface Dial {
-        /** The connection is up. */
+        /** The socket is connected; returns the connection object to use on it. */
         Connection connected(EndPoint endPoint);
 
-        /** It was refused or did not come up in time. */
+        /** The connection was refused, timed out or could not be opened. */
         void failed(Throwable why);
     }
 
-    /** A network within the descriptors that a machine has by default, see the other constructor. */
-    public Network(double connectTimeout) throws Exception {
-        this(connectTimeout, 1024);
+    /** Creates a network for a process with 1024 file descriptors, a common default. */
+    public Network(double connectTimeoutSeconds) throws Exception {
+        this(connectTimeoutSeconds, 1024);
     }
 
     /**
-     * A network whose connections count as failed if they are not up within {@code connectTimeout} seconds,
-     * for a process that may hold so many descriptors.
+     * Creates and starts a network.
+     *
+     * @param connectTimeoutSeconds time after which an outbound connection attempt fails
+     * @param descriptors           number of file descriptors that the process may have
      */
-    public Network(double connectTimeout, int descriptors) throws Exception {
-        int most = Math.max(LEAST_INBOUND, (int) (descriptors * INBOUND_SHARE));
-        inbound = new Inbound(most, shed::incrementAndGet);
-        mostIn = most + Math.max(LEAST_INBOUND, (int) (descriptors * COMING_SHARE));
+    public Network(double connectTimeoutSeconds, int descriptors) throws Exception {
+        int maxConnections = Math.max(MIN_CONNECTION_BOUND, (int) (descriptors * INBOUND_DESCRIPTOR_SHARE));
+        inbound = new Inbound(maxConnections, shedCount::incrementAndGet);
+        maxOpenAndOpening =
+                maxConnections + Math.max(MIN_CONNECTION_BOUND, (int) (descriptors * OPENING_DESCRIPTOR_SHARE));
         threads.setName("net");
         threads.setDaemon(true);
         threads.setReservedThreads(1);
-        selector.setConnectTimeout((long) (connectTimeout * 1000));
+        selector.setConnectTimeout((long) (connectTimeoutSeconds * 1000));
         threads.start();
         scheduler.start();
         selector.start();
     }
 
-    /** Listens on the address; each connection that comes in is served by what the factory makes. */
+    /**
+     * Listens on the address. The factory creates the connection object for each inbound connection. Closing the
+     * returned handle stops listening and leaves accepted connections open.
+     */
     public Closeable listen(InetSocketAddress address, Function<EndPoint, Connection> factory) throws IOException {
         return listen(address, factory, true);
     }
 
     /**
-     * The same; where {@code bounded} is false, what comes in on it is not held to the clients' bound on
-     * connections that are not yet looked at, and is bounded by its factory instead.
+     * Listens on the address like {@link #listen(InetSocketAddress, Function)}. If {@code bounded} is false, the
+     * clients' bound on connections that are open or being opened does not apply, and the factory has to limit their
+     * number.
      */
     public Closeable listen(InetSocketAddress address, Function<EndPoint, Connection> factory, boolean bounded)
             throws IOException {
@@ -102,8 +112,8 @@
     }
 
     /**
-     * Serves a listening socket that this process did not bind, such as the one that it inherited as
-     * descriptor 0; closing the returned handle stops the accepting and closes this process's descriptor.
+     * Listens on a socket that this process did not bind, such as one inherited as descriptor 0. Closing the returned
+     * handle stops accepting and closes this process's descriptor.
      */
     public Closeable listen(ServerSocketChannel channel, Function<EndPoint, Connection> factory) throws IOException {
         channel.configureBlocking(false);
@@ -115,9 +125,11 @@
     }
 
     /**
-     * The listening socket that the platform hands on as descriptor {@code fd}, as {@code RELAY_ACCEPT_FD}
-     * names it; an {@link IllegalArgumentException} says in one line why it cannot be had. Only descriptor 0
-     * can be taken, through {@link System#inheritedChannel()}.
+     * Returns the listening socket inherited from the platform as descriptor {@code fd}, the value of
+     * {@code RELAY_ACCEPT_FD}. Only descriptor 0 is possible, through {@link System#inheritedChannel()}.
+     *
+     * @throws IllegalArgumentException if the value is not 0 or the descriptor is no listening TCP socket; its message
+     *     is one line
      */
     public static ServerSocketChannel inherited(String fd) throws IOException {
         if (!fd.strip().equals("0")) {
@@ -131,7 +143,7 @@
                 "RELAY_ACCEPT_FD names descriptor 0, which holds no listening " + "TCP socket");
     }
 
-    /** Opens a connection. */
+    /** Opens a connection and reports the result to {@code dial}. Does not block. */
     public void connect(InetSocketAddress address, Dial dial) {
         SocketChannel channel = null;
         try {
@@ -155,49 +167,49 @@
         }
     }
 
-    /** The connections that came in. */
+    /** The inbound connections within the clients' bound. */
     public Inbound inbound() {
         return inbound;
     }
 
-    /** How many were closed before they were looked at, since too many came at once. */
+    /** The number of inbound connections that were closed unopened because of the bound, since the start. */
     public long unopened() {
-        return unopened.get();
+        return closedUnopenedCount.get();
     }
 
-    /** How often a connection could not be accepted. */
+    /** The number of failed accepts since the start. */
     public long acceptFailures() {
-        return acceptFailures.get();
+        return acceptFailureCount.get();
     }
 
-    /** How many have come and are not yet looked at. */
+    /** The number of inbound connections that are accepted but not opened yet. */
     public int coming() {
-        return coming.get();
+        return openingCount.get();
     }
 
-    /** How many of them were closed for want of room. */
+    /** The number of inbound connections that were shed because of the bound, since the start. */
     public long shed() {
-        return shed.get();
+        return shedCount.get();
     }
 
-    /** Timers. */
+    /** The scheduler for timers. */
     public Scheduler scheduler() {
         return scheduler;
     }
 
-    /** Threads for what a connection has to do. */
+    /** The thread pool that runs the selector and the tasks of connections. */
     public QueuedThreadPool threads() {
         return threads;
     }
 
-    /** What a listener serves its connections with, and whether they count towards the clients' bound. */
-    private static final class Listening {
+    /** A listening socket: the factory of its connections, and whether they count towards the clients' bound. */
+    private static final class ListeningSocket {
         final Function<EndPoint, Connection> factory;
         final boolean bounded;
-        final AtomicBoolean paused = new AtomicBoolean(); // nothing is accepted for a moment
+        final AtomicBoolean acceptPaused = new AtomicBoolean(); // after a failed accept
         volatile Closeable acceptor;
 
-        Listening(Function<EndPoint, Connection> factory, boolean bounded) {
+        ListeningSocket(Function<EndPoint, Connection> factory, boolean bounded) {
             this.factory = factory;
             this.bounded = bounded;
         }
@@ -210,46 +222,47 @@
         LifeCycle.stop(threads);
     }
 
+    /** Creates the end points of accepted and outbound sockets. Has one selector thread. */
     private final class Selector extends SelectorManager {
-        private final java.util.Map<SelectableChannel, Listening> listeners =
+        private final java.util.Map<SelectableChannel, ListeningSocket> listeners =
                 new java.util.concurrent.ConcurrentHashMap<>();
-        private volatile boolean acceptFails; // the last accept has failed
+        private volatile boolean lastAcceptFailed;
 
         Selector() {
             super(threads, scheduler, 1);
         }
 
         Closeable listen(ServerSocketChannel channel, Function<EndPoint, Connection> factory, boolean bounded) {
-            Listening listening = new Listening(factory, bounded);
-            listeners.put(channel, listening);
-            listening.acceptor = acceptor(channel);
+            ListeningSocket listener = new ListeningSocket(factory, bounded);
+            listeners.put(channel, listener);
+            listener.acceptor = acceptor(channel);
             return () -> {
                 listeners.remove(channel);
-                listening.acceptor.close();
+                listener.acceptor.close();
             };
         }
 
         /**
-         * Accepts a connection. Guards the processor against an accept that keeps failing (no descriptor is left, say)
-         * while connections wait: the selector would come back to it at once.
+         * Accepts a connection. Pauses accepting after a failure: if accept keeps failing while connections wait, for
+         * example because no descriptor is left, the selector would retry at once and use up the processor.
          */
         @Override
         protected SelectableChannel doAccept(SelectableChannel server) throws IOException {
-            Listening listening = listeners.get(server);
-            if (listening != null && listening.paused.get()) {
-                return null; // its acceptor is still to be closed
+            ListeningSocket listener = listeners.get(server);
+            if (listener != null && listener.acceptPaused.get()) {
+                return null; // the acceptor is being closed
             }
             try {
                 SelectableChannel accepted = super.doAccept(server);
-                acceptFails &= accepted == null;
+                lastAcceptFailed &= accepted == null;
                 return accepted;
             } catch (ClosedChannelException e) {
                 throw e;
             } catch (IOException e) {
-                acceptFailures.incrementAndGet();
-                if (!acceptFails) {
-                    acceptFails = true;
-                    LOG.atWarn().log("connections cannot be accepted for now: {}", e.toString());
+                acceptFailureCount.incrementAndGet();
+                if (!lastAcceptFailed) {
+                    lastAcceptFailed = true;
+                    LOG.atWarn().log("cannot accept connections; retrying: {}", e.toString());
                 }
                 pauseAccepting(server);
                 return null;
@@ -257,54 +270,55 @@
         }
 
         private void pauseAccepting(SelectableChannel server) throws IOException {
-            Listening listening = listeners.get(server);
-            if (listening != null && listening.paused.compareAndSet(false, true)) {
-                listening.acceptor.close();
-                scheduler.schedule(() -> acceptAgain(server), ACCEPT_PAUSE, TimeUnit.MILLISECONDS);
+            ListeningSocket listener = listeners.get(server);
+            if (listener != null && listener.acceptPaused.compareAndSet(false, true)) {
+                listener.acceptor.close();
+                scheduler.schedule(() -> resumeAccepting(server), ACCEPT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
             }
         }
 
-        private void acceptAgain(SelectableChannel server) {
-            Listening listening = listeners.get(server);
-            if (listening == null) {
+        private void resumeAccepting(SelectableChannel server) {
+            ListeningSocket listener = listeners.get(server);
+            if (listener == null) {
                 return;
             }
-            if (server.isRegistered()) { // the selector has not let it go yet
-                scheduler.schedule(() -> acceptAgain(server), ACCEPT_PAUSE, TimeUnit.MILLISECONDS);
+            if (server.isRegistered()) { // the selector has not deregistered the socket yet
+                scheduler.schedule(() -> resumeAccepting(server), ACCEPT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
             } else {
-                listening.acceptor = acceptor(server);
-                listening.paused.set(false); // from here on a failure closes this acceptor, not the one before
+                listener.acceptor = acceptor(server);
+                listener.acceptPaused.set(false); // only now, so that a failure closes the new acceptor
             }
         }
 
         @Override
         protected void accepted(SelectableChannel channel) throws IOException {
             SocketChannel socket = (SocketChannel) channel;
-            InetSocketAddress local = (InetSocketAddress) socket.getLocalAddress();
-            Listening found = null;
+            InetSocketAddress localAddress = (InetSocketAddress) socket.getLocalAddress();
+            ListeningSocket match = null;
             for (var listener : listeners.entrySet()) {
-                InetSocketAddress at = (InetSocketAddress) ((ServerSocketChannel) listener.getKey()).getLocalAddress();
-                // The port alone does not tell: the operators' address may share it with the clients'.
-                if (at != null
-                        && local != null
-                        && at.getPort() == local.getPort()
-                        && (at.getAddress().isAnyLocalAddress()
-                                || at.getAddress().equals(local.getAddress()))) {
-                    found = listener.getValue();
+                InetSocketAddress listenAddress =
+                        (InetSocketAddress) ((ServerSocketChannel) listener.getKey()).getLocalAddress();
+                // The operators' and the clients' listener may use one port on different addresses.
+                if (listenAddress != null
+                        && localAddress != null
+                        && listenAddress.getPort() == localAddress.getPort()
+                        && (listenAddress.getAddress().isAnyLocalAddress()
+                                || listenAddress.getAddress().equals(localAddress.getAddress()))) {
+                    match = listener.getValue();
                     break;
                 }
             }
-            coming.incrementAndGet();
-            // Guards against running out of descriptors: those that come at once all wait here to be opened.
-            if (found == null || found.bounded && inbound.size() + coming.get() > mostIn) {
-                coming.decrementAndGet();
-                unopened.incrementAndGet();
+            openingCount.incrementAndGet();
+            // Many connections may be accepted before the first is opened, so they count as well.
+            if (match == null || match.bounded && inbound.size() + openingCount.get() > maxOpenAndOpening) {
+                openingCount.decrementAndGet();
+                closedUnopenedCount.incrementAndGet();
                 socket.close();
                 return;
             }
             socket.configureBlocking(false);
             socket.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            accept(socket, found.factory);
+            accept(socket, match.factory);
         }
 
         @Override
@@ -318,7 +332,7 @@
             if (attachment instanceof Dial dial) {
                 return dial.connected(endPoint);
             }
-            coming.decrementAndGet();
+            openingCount.decrementAndGet();
             return ((Function<EndPoint, Connection>) attachment).apply(endPoint);
         }
 
--- a/src/test/java/juniperusher/mgmt/ManagementTest.java
+++ b/src/test/java/juniperusher/mgmt/ManagementTest.java
@@ -24,18 +24,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The operators' calls on a socket: answers, refusals, and callers that hold connections without a call. */
+/** Operators' calls over a socket: responses, errors, and callers that hold connections without a complete call. */
 public class ManagementTest {
     private Network network;
     private Management management;
     private int port;
-    private final Set<String> held = ConcurrentHashMap.newKeySet();
+    private final Set<String> underMaintenance = ConcurrentHashMap.newKeySet();
     private volatile boolean serving;
 
     @BeforeMethod
-    public void listen() throws Exception {
+    public void startListener() throws Exception {
         serving = false;
-        held.clear();
+        underMaintenance.clear();
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
@@ -49,7 +49,7 @@
         network.close();
     }
 
-    private void operate() {
+    private void attachRelay() {
         management.operate(new Operated() {
             @Override
             public boolean serving() {
@@ -58,17 +58,17 @@
 
             @Override
             public Answer enter(String id) {
-                return id.startsWith("s-") && (held.add(id) || true) ? Answer.DONE : Answer.UNKNOWN;
+                return id.startsWith("s-") && (underMaintenance.add(id) || true) ? Answer.DONE : Answer.UNKNOWN;
             }
 
             @Override
             public Answer exit(String id) {
-                return id.startsWith("s-") && (held.remove(id) || true) ? Answer.DONE : Answer.UNKNOWN;
+                return id.startsWith("s-") && (underMaintenance.remove(id) || true) ? Answer.DONE : Answer.UNKNOWN;
             }
         });
     }
 
-    /** Sends one call and reads to the end of the connection; the status line's code. */
+    /** Sends one call, reads to the end of the connection and returns the status code. */
     private int call(String request) throws IOException {
         return call(InetAddress.getLoopbackAddress(), request);
     }
@@ -86,81 +86,83 @@
                 read.write(buffer, 0, n);
             }
             String text = read.toString(StandardCharsets.ISO_8859_1);
-            assertTrue(text.startsWith("HTTP/1.1 "), "no status line in: " + text);
-            assertTrue(text.toLowerCase().contains("connection: close"), "a second call was offered: " + text);
+            assertTrue(text.startsWith("HTTP/1.1 "), "no status line in the response: " + text);
+            assertTrue(
+                    text.toLowerCase().contains("connection: close"),
+                    "the response allows a second call on the connection: " + text);
             return Integer.parseInt(text.substring(9, 12));
         }
     }
 
-    private static String post(String path, String body) {
+    private static String postRequest(String path, String body) {
         return "POST " + path + " HTTP/1.1\r\nHost: relay\r\nContent-Length: "
                 + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body;
     }
 
     @Test
-    public void statusIsNoWhileTheRelayStartsAndYesOnceItServes() throws IOException {
+    public void statusIs503UntilTheRelayServes() throws IOException {
         assertEquals(call("GET /status HTTP/1.1\r\nHost: relay\r\n\r\n"), 503);
-        assertEquals(call(post("/maintenance/enter", "{\"target\":\"s-1\"}")), 503);
-        operate();
+        assertEquals(call(postRequest("/maintenance/enter", "{\"target\":\"s-1\"}")), 503);
+        attachRelay();
         assertEquals(call("GET /status HTTP/1.1\r\nHost: relay\r\n\r\n"), 503);
         serving = true;
         assertEquals(call("GET /status HTTP/1.1\r\nHost: relay\r\n\r\n"), 200);
     }
 
     @Test
-    public void maintenanceIsEnteredTwiceAndLeftOnceAndUnknownIdsGetNo() throws IOException {
-        operate();
-        assertEquals(call(post("/maintenance/enter", "{\"target\":\"s-1\"}")), 200);
-        assertEquals(call(post("/maintenance/enter", "{\"target\":\"s-1\"}")), 200);
-        assertEquals(held, Set.of("s-1"));
-        assertEquals(call(post("/maintenance/exit", "{\"target\":\"s-1\"}")), 200);
-        assertEquals(held, Set.of());
-        assertEquals(call(post("/maintenance/enter", "{\"target\":\"nobody\"}")), 404);
+    public void enterIsIdempotentAndUnknownIdsGet404() throws IOException {
+        attachRelay();
+        assertEquals(call(postRequest("/maintenance/enter", "{\"target\":\"s-1\"}")), 200);
+        assertEquals(call(postRequest("/maintenance/enter", "{\"target\":\"s-1\"}")), 200);
+        assertEquals(underMaintenance, Set.of("s-1"));
+        assertEquals(call(postRequest("/maintenance/exit", "{\"target\":\"s-1\"}")), 200);
+        assertEquals(underMaintenance, Set.of());
+        assertEquals(call(postRequest("/maintenance/enter", "{\"target\":\"nobody\"}")), 404);
     }
 
     @Test
-    public void badCallsGetFourHundredsAndNothingChanges() throws IOException {
-        operate();
-        assertEquals(call(post("/maintenance/enter", "{\"target\":")), 400);
-        assertEquals(call(post("/maintenance/enter", "[\"s-1\"]")), 400);
-        assertEquals(call(post("/maintenance/enter", "{\"target\":7}")), 400);
-        assertEquals(call(post("/maintenance/enter", "")), 400);
+    public void invalidCallsGet4xxAndChangeNothing() throws IOException {
+        attachRelay();
+        assertEquals(call(postRequest("/maintenance/enter", "{\"target\":")), 400);
+        assertEquals(call(postRequest("/maintenance/enter", "[\"s-1\"]")), 400);
+        assertEquals(call(postRequest("/maintenance/enter", "{\"target\":7}")), 400);
+        assertEquals(call(postRequest("/maintenance/enter", "")), 400);
         assertEquals(call("GET /maintenance/enter HTTP/1.1\r\nHost: relay\r\n\r\n"), 405);
-        assertEquals(call(post("/status", "")), 405);
+        assertEquals(call(postRequest("/status", "")), 405);
         assertEquals(call("GET /elsewhere HTTP/1.1\r\nHost: relay\r\n\r\n"), 404);
         assertEquals(call("NONSENSE\r\n\r\n"), 400);
-        assertEquals(held, Set.of());
+        assertEquals(underMaintenance, Set.of());
     }
 
     @Test
-    public void callersThatHoldConnectionsDelayNobody() throws IOException {
-        operate();
+    public void callersHoldingConnectionsDoNotDelayOthers() throws IOException {
+        attachRelay();
         serving = true;
-        List<Socket> holding = new ArrayList<>();
+        List<Socket> sockets = new ArrayList<>();
         try {
-            // Twice as many as the listener keeps: some hold half a call, some say nothing at all.
+            // Twice the listener's bound; half of the connections send part of a call, the others send nothing.
             for (int i = 0; i < 128; i++) {
                 Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
                 if (i % 2 == 0) {
                     socket.getOutputStream().write("GET /sta".getBytes(StandardCharsets.ISO_8859_1));
                 }
-                holding.add(socket);
+                sockets.add(socket);
             }
             long from = System.nanoTime();
             for (int i = 0; i < 20; i++) {
                 assertEquals(call("GET /status HTTP/1.1\r\nHost: relay\r\n\r\n"), 200);
             }
-            assertTrue(System.nanoTime() - from < 20 * 1_000_000_000L / 2, "answers came slowly");
+            assertTrue(System.nanoTime() - from < 20 * 1_000_000_000L / 2, "responses took more than 0.5 s on average");
         } finally {
-            for (Socket socket : holding) {
+            for (Socket socket : sockets) {
                 socket.close();
             }
         }
     }
 
     @Test
-    public void anotherListenerOnTheSamePortKeepsItsOwnCalls() throws Exception {
-        operate();
+    public void listenersOnOnePortWithDifferentAddressesAreSeparate() throws Exception {
+        attachRelay();
         serving = true;
         try (Closeable clients = network.listen(
                 new InetSocketAddress("127.0.0.2", port),
