--- a/src/main/java/juniperusher/cli/FleetCommands.java
+++ b/src/main/java/juniperusher/cli/FleetCommands.java
@@ -14,31 +14,35 @@
 import juniperusher.fleet.FleetSettings;
 import juniperusher.settings.OperatorSettings;
 
-/** The fleet's commands, and a relay's part in it. Nothing of the fleet is loaded where none of them runs. */
+/**
+ * The command {@code control}, and the subscription of a relay to the fleet's shard map. {@code serve} loads
+ * the classes of the fleet only if its settings enable the table [fleet].
+ */
 final class FleetCommands {
     private FleetCommands() {}
 
-    /** The relay subscribes to the shard map from now on. */
-    static AutoCloseable join(JsonObject table, String name, Path state, Counters counters) throws IOException {
-        return FleetMembership.start(FleetSettings.of(table), name, state, counters);
+    /** Subscribes the relay to the shard map until the result is closed. */
+    static AutoCloseable subscribeToShardMap(JsonObject table, String relayName, Path stateFolder, Counters counters)
+            throws IOException {
+        return FleetMembership.start(FleetSettings.of(table), relayName, stateFolder, counters);
     }
 
-    @Parameters(commandDescription = "Runs a control process of the fleet, as [control] in the settings says")
+    @Parameters(commandDescription = "Runs a control process of the fleet, as configured by [control] in the settings")
     static final class RunControl implements Main.Command {
-        @Parameter(names = "--settings", required = true, description = "The operator's own TOML file")
-        private String settings;
+        @Parameter(names = "--settings", required = true, description = "The operator's TOML file")
+        private String settingsFile;
 
         @Override
         public int run() throws Exception {
-            OperatorSettings operator = SettingsFile.read(settings);
+            OperatorSettings operator = SettingsFile.read(settingsFile);
             if (operator.control() == null) {
-                throw new ParameterException(settings + ": expected a table [control] that is on");
+                throw new ParameterException(settingsFile + ": expected a table [control] that is on");
             }
             ControlService service;
             try {
                 service = ControlService.start(ControlSettings.of(operator.control()));
             } catch (IllegalArgumentException e) {
-                throw new ParameterException(settings + ": " + e.getMessage());
+                throw new ParameterException(settingsFile + ": " + e.getMessage());
             }
             System.out.println("control process on " + service.listening()
                     + (service.operator() == null ? "" : ", operator on " + service.operator()));
--- a/src/main/java/juniperusher/cli/LabCommands.java
+++ b/src/main/java/juniperusher/cli/LabCommands.java
@@ -8,24 +8,31 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The sub-commands of {@code lab}. Only what is asked for is loaded. */
+/** The sub-commands of {@code lab}. The classes of the laboratory are loaded only if one of these commands runs. */
 @Parameters(
-        commandDescription = "The laboratory: lab run, compare, scale, hollow, load, bench; lab help; see docs/lab.md")
+        commandDescription =
+                "The laboratory: lab run, compare, scale, hollow, load, bench; 'lab help' lists them; see docs/lab.md")
 final class LabCommands implements Main.Command {
     @Parameter(description = "the laboratory's command and its arguments")
-    private List<String> words = new ArrayList<>();
+    private List<String> arguments = new ArrayList<>();
 
+    /**
+     * Returns the sub-command that the arguments name.
+     *
+     * @param args all arguments of the program, beginning with {@code lab}
+     * @throws ParameterException if there is no such sub-command or its arguments are invalid
+     */
     static Main.Command command(String[] args) {
         JCommander commands = JCommander.newBuilder()
                 .programName("juniperusher lab")
-                .addCommand("run", new Lab.Play())
-                .addCommand("compare", new Lab.Compare())
-                .addCommand("hollow", new LabHollow.Play())
-                .addCommand("hollow-host", new LabHollow.Host())
-                .addCommand("hollow-control", new LabHollow.Control())
+                .addCommand("run", new LabExperiments.RunExperiment())
+                .addCommand("compare", new LabExperiments.CompareResults())
+                .addCommand("hollow", new LabHollowFleet.RunHollowFleet())
+                .addCommand("hollow-host", new LabHollowFleet.RelayHostProcess())
+                .addCommand("hollow-control", new LabHollowFleet.ControlProcess())
                 .addCommand("scale", new LabScale())
-                .addCommand("load", new LabSockets.Hand())
-                .addCommand("bench", new LabSockets.Measure())
+                .addCommand("load", new LabSockets.SendLoad())
+                .addCommand("bench", new LabSockets.RunBench())
                 .build();
         if (args.length == 1) {
             throw new ParameterException("lab: expected one of "
@@ -46,6 +53,7 @@
 
     @Override
     public int run() {
-        throw new IllegalStateException("lab has its own commands: " + words);
+        // Registered only for the help text: Main calls command() for any arguments that begin with lab.
+        throw new IllegalStateException("lab was not dispatched to its sub-commands: " + arguments);
     }
 }
--- a/src/main/java/juniperusher/cli/LabHollow.java
+++ b/src/main/java/juniperusher/cli/LabHollowFleet.java
@@ -18,62 +18,69 @@
 import juniperusher.lab.hollow.HollowResults;
 import juniperusher.settings.CheckedToml;
 
-/** The laboratory's commands for the hollow fleet. */
-final class LabHollow {
-    private static final int UNMET = 3;
-    private static final long MEGABYTE = 1 << 20;
+/**
+ * The command {@code lab hollow}, which runs a fleet of many relays that subscribe to the shard map but carry no
+ * messages, and the hidden commands that its child processes run.
+ */
+final class LabHollowFleet {
+    private static final int EXIT_BUDGET_EXCEEDED = 3;
+    private static final long BYTES_PER_MEBIBYTE = 1 << 20;
 
-    private LabHollow() {}
+    private LabHollowFleet() {}
 
-    @Parameters(commandDescription = "Plays a hollow fleet on loopback; 0 if all budgets of its file hold, 3 if not")
-    static final class Play implements Main.Command {
+    @Parameters(
+            commandDescription =
+                    "Runs a hollow fleet on loopback; exit code 0 if all budgets in its file hold, 3 if not")
+    static final class RunHollowFleet implements Main.Command {
         @Parameter(description = "the experiment's TOML file", required = true)
         private List<String> files = new ArrayList<>();
 
         @Parameter(
                 names = "--set",
-                splitter = Lab.Whole.class,
-                description = "KEY=VALUE, before what the file says; may be repeated")
-        private List<String> sets = new ArrayList<>();
+                splitter = LabExperiments.NoSplitting.class,
+                description = "KEY=VALUE, replaces a value of the file; may be repeated")
+        private List<String> overrides = new ArrayList<>();
 
-        @Parameter(names = "--keep", description = "folder for the processes' files and logs, which stay")
-        private String keep;
+        @Parameter(
+                names = "--keep",
+                description = "folder that keeps the processes' files and logs; without it they are deleted")
+        private String keptFolder;
 
         @Override
         public int run() throws Exception {
             if (files.size() != 1) {
                 throw new ParameterException("lab hollow: expected one file");
             }
-            HollowExperiment experiment = experiment(Path.of(files.get(0)));
-            Path folder = keep == null
+            HollowExperiment experiment = readExperiment(Path.of(files.get(0)));
+            Path folder = keptFolder == null
                     ? Files.createTempDirectory("juniperusher-hollow")
-                    : Files.createDirectories(Path.of(keep));
+                    : Files.createDirectories(Path.of(keptFolder));
             try {
                 HollowResults results = HollowFleet.play(
                         experiment,
                         Main.class.getName(),
                         folder,
-                        halfOfTheMemory(),
-                        what -> System.err.println("lab hollow: " + what));
+                        halfOfMemoryMebibytes(),
+                        progress -> System.err.println("lab hollow: " + progress));
                 System.out.print(results.table());
-                return results.held() ? 0 : UNMET;
+                return results.held() ? 0 : EXIT_BUDGET_EXCEEDED;
             } catch (IllegalArgumentException e) {
                 throw new ParameterException(files.get(0) + ": " + e.getMessage());
             } finally {
-                if (keep == null) {
+                if (keptFolder == null) {
                     delete(folder);
                 }
             }
         }
 
-        private HollowExperiment experiment(Path file) throws IOException {
+        private HollowExperiment readExperiment(Path file) throws IOException {
             if (!Files.isRegularFile(file)) {
                 throw new ParameterException(file + ": there is no such file");
             }
             try {
                 return HollowExperiment.of(CheckedToml.by(HollowExperiment.class, HollowExperiment.SCHEMA)
-                        .read(file, sets));
-            } catch (CheckedToml.Mistake e) {
+                        .read(file, overrides));
+            } catch (CheckedToml.InvalidTomlException e) {
                 throw new ParameterException(e.getMessage());
             } catch (IllegalArgumentException e) {
                 throw new ParameterException(file + ": " + e.getMessage());
@@ -81,10 +88,11 @@
         }
     }
 
-    private static long halfOfTheMemory() {
+    /** Returns the bound on the memory of all child processes together. */
+    private static long halfOfMemoryMebibytes() {
         return ((com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean())
                         .getTotalMemorySize()
-                / MEGABYTE
+                / BYTES_PER_MEBIBYTE
                 / 2;
     }
 
@@ -96,16 +104,16 @@
         }
     }
 
-    @Parameters(commandDescription = "A process with hollow relays, for lab hollow", hidden = true)
-    static final class Host implements Main.Command {
+    @Parameters(commandDescription = "Runs hollow relays for lab hollow", hidden = true)
+    static final class RelayHostProcess implements Main.Command {
         @Override
         public int run() throws IOException {
             return HollowHost.run(System.in, System.out);
         }
     }
 
-    @Parameters(commandDescription = "A control process, for lab hollow", hidden = true)
-    static final class Control implements Main.Command {
+    @Parameters(commandDescription = "Runs a control process for lab hollow", hidden = true)
+    static final class ControlProcess implements Main.Command {
         @Override
         public int run() throws IOException {
             return HollowControl.run(System.in, System.out);
--- a/src/main/java/juniperusher/cli/LabScale.java
+++ b/src/main/java/juniperusher/cli/LabScale.java
@@ -13,53 +13,55 @@
 import juniperusher.lab.scale.ScaleResults;
 import juniperusher.settings.CheckedToml;
 
-/** Measures the slopes that an experiment file names. */
-@Parameters(commandDescription = "Measures how costs grow with size; 0 if every slope fits its line, 3 if not")
+/** The command {@code lab scale}, which measures the slopes of cost against size that an experiment file names. */
+@Parameters(
+        commandDescription = "Measures how costs grow with size; exit code 0 if every slope fits its line, 3 if not")
 final class LabScale implements Main.Command {
-    private static final int UNMET = 3;
+    private static final int EXIT_SLOPE_MISMATCH = 3;
 
     @Parameter(description = "the experiment's TOML file", required = true)
     private List<String> files = new ArrayList<>();
 
     @Parameter(
             names = "--set",
-            splitter = Lab.Whole.class,
-            description = "KEY=VALUE, before what the file says; may be repeated")
-    private List<String> sets = new ArrayList<>();
+            splitter = LabExperiments.NoSplitting.class,
+            description = "KEY=VALUE, replaces a value of the file; may be repeated")
+    private List<String> overrides = new ArrayList<>();
 
-    @Parameter(names = "--out", description = "folder that gets result.json and report.html")
-    private String out;
+    @Parameter(names = "--out", description = "folder for result.json and report.html")
+    private String outputFolder;
 
     @Override
     public int run() throws IOException {
         if (files.size() != 1) {
             throw new ParameterException("lab scale: expected one file");
         }
-        ScaleResults results = experiment(Path.of(files.get(0))).run(LabScale::progress);
+        ScaleResults results = readExperiment(Path.of(files.get(0))).run(LabScale::printProgress);
         System.out.print(results.table());
-        if (out != null) {
-            results.write(Path.of(out));
-            ScaleReport.write(results, Path.of(out));
-            System.out.println("written: " + Path.of(out).resolve("report.html"));
+        if (outputFolder != null) {
+            results.write(Path.of(outputFolder));
+            ScaleReport.write(results, Path.of(outputFolder));
+            System.out.println("written: " + Path.of(outputFolder).resolve("report.html"));
         }
-        return results.held() ? 0 : UNMET;
+        return results.held() ? 0 : EXIT_SLOPE_MISMATCH;
     }
 
-    private ScaleExperiment experiment(Path file) throws IOException {
+    private ScaleExperiment readExperiment(Path file) throws IOException {
         if (!Files.isRegularFile(file)) {
             throw new ParameterException(file + ": there is no such file");
         }
         try {
             return new ScaleExperiment(CheckedToml.by(ScaleExperiment.class, ScaleExperiment.SCHEMA)
-                    .read(file, sets));
-        } catch (CheckedToml.Mistake e) {
+                    .read(file, overrides));
+        } catch (CheckedToml.InvalidTomlException e) {
             throw new ParameterException(e.getMessage());
         } catch (IllegalArgumentException e) {
             throw new ParameterException(file + ": " + e.getMessage());
         }
     }
 
-    private static void progress(String slope) {
+    /** Prints the slope that is being measured, on one line of standard error, if the program has a terminal. */
+    private static void printProgress(String slope) {
         if (System.console() != null) {
             System.err.printf("\r%-50s", slope);
         }
--- a/src/main/java/juniperusher/cli/LabSockets.java
+++ b/src/main/java/juniperusher/cli/LabSockets.java
@@ -14,74 +14,77 @@
 import juniperusher.lab.sockets.Load;
 import juniperusher.lab.sockets.SocketEngine;
 
-/** The laboratory's commands on sockets. */
+/** The commands {@code lab load} and {@code lab bench}, and experiments on the engine that uses sockets. */
 final class LabSockets {
     private LabSockets() {}
 
-    @Parameters(commandDescription = "Hands messages in to a relay that runs, in an open loop")
-    static final class Hand implements Main.Command {
-        private static final double MOST_RATE = 100_000;
-        private static final double MOST_SECONDS = 600;
+    @Parameters(commandDescription = "Sends messages to a running relay at a constant rate, in an open loop")
+    static final class SendLoad implements Main.Command {
+        private static final double MAX_RATE_PER_SECOND = 100_000;
+        private static final double MAX_DURATION_SECONDS = 600;
 
         @Parameter(description = "HOST:PORT of the relay", required = true)
-        private List<String> relay = new ArrayList<>();
+        private List<String> relayAddresses = new ArrayList<>();
 
-        @Parameter(names = "--rate", description = "messages a second")
-        private double rate = 100;
+        @Parameter(names = "--rate", description = "messages per second")
+        private double ratePerSecond = 100;
 
-        @Parameter(names = "--seconds", description = "for so long, 600 at most")
-        private double seconds = 10;
+        @Parameter(names = "--seconds", description = "duration in s, at most 600")
+        private double durationSeconds = 10;
 
-        @Parameter(names = "--class", description = "their class", required = true)
+        @Parameter(names = "--class", description = "class of the messages", required = true)
         private String messageClass;
 
-        @Parameter(names = "--dest", description = "their destination's number")
+        @Parameter(names = "--dest", description = "number of their destination")
         private int destination;
 
-        @Parameter(names = "--budget", description = "s in which each may be delivered")
-        private double budget = 6;
+        @Parameter(names = "--budget", description = "time in s within which each message may be delivered")
+        private double budgetSeconds = 6;
 
-        @Parameter(names = "--bytes", description = "of each body")
-        private int bytes = 200;
+        @Parameter(names = "--bytes", description = "size of each body in bytes")
+        private int bodyBytes = 200;
 
         @Override
         public int run() throws Exception {
-            check(relay.size() == 1, "lab load", "one HOST:PORT");
-            check(rate > 0 && rate <= MOST_RATE, "--rate", "above 0, at most 100000");
-            check(seconds > 0 && seconds <= MOST_SECONDS, "--seconds", "above 0, at most 600");
-            check(bytes >= 0 && bytes <= 65_536, "--bytes", "0 to 65536");
-            check(budget > 0, "--budget", "above 0");
+            require(relayAddresses.size() == 1, "lab load", "one HOST:PORT");
+            require(ratePerSecond > 0 && ratePerSecond <= MAX_RATE_PER_SECOND, "--rate", "above 0, at most 100000");
+            require(
+                    durationSeconds > 0 && durationSeconds <= MAX_DURATION_SECONDS,
+                    "--seconds",
+                    "above 0, at most 600");
+            require(bodyBytes >= 0 && bodyBytes <= 65_536, "--bytes", "0 to 65536");
+            require(budgetSeconds > 0, "--budget", "above 0");
             InetSocketAddress address;
             try {
-                address = Config.address(relay.get(0));
+                address = Config.address(relayAddresses.get(0));
             } catch (IllegalArgumentException e) {
                 throw new ParameterException(e.getMessage());
             }
             Load.Result result = Load.run(
                     address,
-                    rate,
-                    seconds,
+                    ratePerSecond,
+                    durationSeconds,
                     messageClass,
                     destination,
-                    budget,
-                    bytes,
+                    budgetSeconds,
+                    bodyBytes,
                     Long.toHexString(System.nanoTime()) + '-');
-            System.out.print(result.table(seconds));
+            System.out.print(result.table(durationSeconds));
             return result.failed() == result.sent() ? 1 : 0;
         }
     }
 
-    @Parameters(commandDescription = "Measures a relay against a bare forwarder of the same parts")
-    static final class Measure implements Main.Command {
-        @Parameter(names = "--seconds", description = "of each rate that is tried, 60 at most")
-        private double seconds = 3;
+    @Parameters(commandDescription = "Compares a relay with a bare forwarder made of the same parts")
+    static final class RunBench implements Main.Command {
+        @Parameter(names = "--seconds", description = "duration in s of the measurement at each rate, at most 60")
+        private double secondsPerRate = 3;
 
         @Override
         public int run() throws Exception {
-            check(seconds > 0 && seconds <= 60, "--seconds", "above 0, at most 60");
-            System.out.print(Bench.run(Main.class.getName(), seconds, what -> {
+            require(secondsPerRate > 0 && secondsPerRate <= 60, "--seconds", "above 0, at most 60");
+            System.out.print(Bench.run(Main.class.getName(), secondsPerRate, progress -> {
                         if (System.console() != null) {
-                            System.err.printf("\r%-50s", what);
+                            System.err.printf("\r%-50s", progress);
                         }
                     })
                     .table());
@@ -89,26 +92,28 @@
         }
     }
 
-    private static void check(boolean holds, String what, String expected) {
-        if (!holds) {
-            throw new ParameterException(what + ": expected " + expected);
+    private static void require(boolean valid, String argument, String expected) {
+        if (!valid) {
+            throw new ParameterException(argument + ": expected " + expected);
         }
     }
 
-    /** Plays plans one after the other: each has the machine to itself. */
-    static List<Run> play(Map<String, List<Plan>> plans) throws Exception {
-        int all = plans.values().stream().mapToInt(List::size).sum();
-        List<Run> out = new ArrayList<>();
+    /** Runs the plans one after the other, so that each has the machine to itself. */
+    static List<Run> runOnSockets(Map<String, List<Plan>> plans) throws Exception {
+        int totalRuns = plans.values().stream().mapToInt(List::size).sum();
+        List<Run> completedRuns = new ArrayList<>();
         for (Map.Entry<String, List<Plan>> variant : plans.entrySet()) {
             for (Plan plan : variant.getValue()) {
-                out.add(SocketEngine.play(variant.getKey(), plan, Main.class.getName(), at -> {
+                completedRuns.add(SocketEngine.play(variant.getKey(), plan, Main.class.getName(), elapsedSeconds -> {
                     if (System.console() != null) {
-                        System.err.printf("\r%d of %d runs, %.0f s of %.0f s ", out.size(), all, at, plan.seconds());
+                        System.err.printf(
+                                "\r%d of %d runs, %.0f s of %.0f s ",
+                                completedRuns.size(), totalRuns, elapsedSeconds, plan.seconds());
                     }
                 }));
-                Lab.progress(out.size(), all);
+                LabExperiments.printProgress(completedRuns.size(), totalRuns);
             }
         }
-        return out;
+        return completedRuns;
     }
 }
--- a/src/main/java/juniperusher/cli/Main.java
+++ b/src/main/java/juniperusher/cli/Main.java
@@ -27,38 +27,43 @@
 import juniperusher.sim.WireException;
 import org.slf4j.LoggerFactory;
 
-/** The command line. */
+/**
+ * The command line. Exit codes: 0 for success, 1 for a failure, 2 for invalid arguments or settings, and 3 if an
+ * experiment of the laboratory does not meet its expectations.
+ */
 public final class Main {
-    private static final long WARM_UP = 2_000; // ms before the first start, at most
+    private static final long MAX_WARM_UP_MILLIS = 2_000; // only before the first start
 
     private Main() {}
 
     /** A sub-command. */
     interface Command {
-        /** Runs it; the exit code. */
+        /** Runs the command and returns the exit code. */
         int run() throws Exception;
     }
 
-    /** Runs the sub-command named by the arguments; exits 2 on bad arguments and 1 on a failure. */
+    /** Runs the sub-command that the arguments name, and exits with its code if that is not 0. */
     public static void main(String[] args) throws Exception {
-        // Read before the first logger is made; standard output is the simulator's wire.
+        // The logger reads these properties when the first one is created. It writes to standard error, because
+        // standard
+        // output carries the simulator's protocol.
         System.setProperty("org.slf4j.simpleLogger.showDateTime", "true");
         System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "HH:mm:ss.SSS");
-        int code;
+        int exitCode;
         try {
-            code = command(args).run();
+            exitCode = command(args).run();
         } catch (ParameterException e) {
             System.err.println("juniperusher: " + e.getMessage());
-            code = 2;
+            exitCode = 2;
         } catch (NoSuchFileException e) {
-            System.err.println("juniperusher: there is no " + e.getMessage());
-            code = 1;
+            System.err.println("juniperusher: file not found: " + e.getMessage());
+            exitCode = 1;
         } catch (IllegalArgumentException | IOException | WireException | UncheckedIOException e) {
             System.err.println("juniperusher: " + e.getMessage());
-            code = 1;
+            exitCode = 1;
         }
-        if (code != 0) {
-            System.exit(code);
+        if (exitCode != 0) {
+            System.exit(exitCode);
         }
     }
 
@@ -69,7 +74,7 @@
         JCommander commands = JCommander.newBuilder()
                 .programName("juniperusher")
                 .addCommand("serve", new Serve())
-                .addCommand("simhost", new HostSimulator())
+                .addCommand("simhost", new RunSimHost())
                 .addCommand("counters", new ShowCounters())
                 .addCommand("state", new ShowState())
                 .addCommand("selftest", new RunSelfTest())
@@ -81,7 +86,7 @@
                 .build();
         commands.parse(args);
         if (commands.getParsedCommand() == null) {
-            throw new ParameterException("name a command: "
+            throw new ParameterException("expected one of the commands "
                     + String.join(", ", commands.getCommands().keySet()));
         }
         if (commands.getParsedCommand().equals("help")) {
@@ -96,72 +101,86 @@
                 .get(0);
     }
 
-    @Parameters(commandDescription = "Hosts instances of the module on the simulator's wire")
-    private static final class HostSimulator implements Command {
+    @Parameters(
+            commandDescription =
+                    "Runs instances of the decision module for the simulator, over standard input and output")
+    private static final class RunSimHost implements Command {
         @Override
         public int run() throws IOException {
             return SimHost.run(System.in, System.out);
         }
     }
 
-    @Parameters(commandDescription = "Runs one relay, as RELAY_CONFIG and RELAY_STATE say")
+    @Parameters(
+            commandDescription = "Runs one relay; RELAY_CONFIG names its configuration file and RELAY_STATE its folder")
     private static final class Serve implements Command {
         @Parameter(
                 names = "--amqp",
-                description = "JSON file of the AMQP 0-9-1 front, the older form of "
-                        + "[amqp] in the file that --settings names")
-        private String amqp;
+                description =
+                        "JSON file of the AMQP 0-9-1 front; deprecated, " + "use [amqp] in the file of --settings")
+        private String amqpFile;
 
         @Parameter(
                 names = "--settings",
-                description = "The operator's own TOML file; without it all that it may " + "switch on is off")
-        private String settings;
+                description = "The operator's TOML file; without it all features that it can enable are off")
+        private String settingsFile;
 
         @Parameter(
                 names = "--remote-write",
-                description = "Address that takes the counters by Prometheus remote "
+                description = "Receiver of the counters by Prometheus remote "
                         + "write, as http://host:port/path; without it none are sent")
-        private String remoteWrite;
+        private String remoteWriteUrl;
 
-        @Parameter(names = "--remote-write-every", description = "Seconds between two such writes")
-        private int every = 15;
+        @Parameter(names = "--remote-write-every", description = "Seconds between two writes to it")
+        private int remoteWriteIntervalSeconds = 15;
 
         @Override
         public int run() throws Exception {
-            Path file = Path.of(variable("RELAY_CONFIG"));
-            ReloadSignal reloads = new ReloadSignal(file);
-            Config config = Config.read(file);
-            Path state = Path.of(variable("RELAY_STATE"));
+            Path configFile = Path.of(requireVariable("RELAY_CONFIG"));
+            ReloadSignal reloadSignal = new ReloadSignal(configFile);
+            Config config = Config.read(configFile);
+            Path stateFolder = Path.of(requireVariable("RELAY_STATE"));
             String acceptFd = System.getenv("RELAY_ACCEPT_FD");
-            ServerSocketChannel inherited;
+            ServerSocketChannel inheritedSocket;
             try {
-                inherited = acceptFd == null || acceptFd.isEmpty() ? null : Network.inherited(acceptFd);
+                inheritedSocket = acceptFd == null || acceptFd.isEmpty() ? null : Network.inherited(acceptFd);
             } catch (IllegalArgumentException e) {
                 throw new ParameterException(e.getMessage());
             }
-            OperatorSettings operator = settings == null ? null : SettingsFile.read(settings);
-            AmqpConfig broker = amqp(amqp, operator);
+            OperatorSettings operator = settingsFile == null ? null : SettingsFile.read(settingsFile);
+            AmqpConfig amqpConfig = readAmqpConfig(amqpFile, operator);
             Counters counters = new Counters();
             Network network =
                     new Network(config.settings().settings().allowed().connectTimeout(), config.descriptors());
-            // Listens first, so that the operators hear 'not yet' while the relay warms up.
+            // Listens before the warm-up, so that the operators' requests are answered 'not yet' in the meantime.
             Management management = config.mgmt() == null ? null : Management.listen(network, config.mgmt());
-            WarmUp.run(config, state, WARM_UP);
-            Extension extension = broker == null
+            WarmUp.run(config, stateFolder, MAX_WARM_UP_MILLIS);
+            Extension extension = amqpConfig == null
                     ? null
                     : new AmqpExtension(
-                            broker, config.classes(), config.settings().settings(), network);
+                            amqpConfig, config.classes(), config.settings().settings(), network);
             Platform platform = new Platform(
-                    config, state, counters, network, extension, operator == null ? null : operator.storm(), inherited);
+                    config,
+                    stateFolder,
+                    counters,
+                    network,
+                    extension,
+                    operator == null ? null : operator.storm(),
+                    inheritedSocket);
             if (management != null) {
                 management.operate(platform);
             }
-            AutoCloseable fleet = operator == null || operator.fleet() == null
+            AutoCloseable fleetMembership = operator == null || operator.fleet() == null
                     ? () -> {}
-                    : FleetCommands.join(operator.fleet(), config.name(), state, counters);
+                    : FleetCommands.subscribeToShardMap(operator.fleet(), config.name(), stateFolder, counters);
             LoggerFactory.getLogger(Main.class).info("serving on {}", config.listen());
-            if (remoteWrite != null) {
-                new RemoteWrite(remoteWrite, config.name(), Math.max(1, every) * 1000L, counters::text, network)
+            if (remoteWriteUrl != null) {
+                new RemoteWrite(
+                                remoteWriteUrl,
+                                config.name(),
+                                Math.max(1, remoteWriteIntervalSeconds) * 1000L,
+                                counters::text,
+                                network)
                         .start();
             }
             Runtime.getRuntime()
@@ -171,36 +190,36 @@
                                     platform.drain();
                                     System.err.print(counters.text());
                                     platform.close();
-                                    fleet.close();
+                                    fleetMembership.close();
                                 } catch (Exception e) {
-                                    System.err.println("juniperusher: at the end: " + e);
+                                    System.err.println("juniperusher: shutdown failed: " + e);
                                 }
                             },
                             "drain"));
             while (true) {
-                reloads.await();
-                platform.reload(file);
+                reloadSignal.awaitReload();
+                platform.reload(configFile);
             }
         }
     }
 
-    /** The AMQP front's configuration, or null where it is off. */
-    private static AmqpConfig amqp(String file, OperatorSettings operator) throws IOException {
-        if (file == null) {
+    /** Returns the configuration of the AMQP front, or null if the front is disabled. */
+    private static AmqpConfig readAmqpConfig(String jsonFile, OperatorSettings operator) throws IOException {
+        if (jsonFile == null) {
             return operator == null || operator.amqp() == null ? null : AmqpConfig.of(operator.amqp());
         }
         if (operator != null && operator.amqp() != null) {
-            throw new ParameterException("--amqp and [amqp] in the file of --settings: expected one of them");
+            throw new ParameterException("--amqp and [amqp] in the file of --settings exclude each other");
         }
         LoggerFactory.getLogger(Main.class)
                 .atWarn()
-                .addKeyValue("file", file)
-                .log("--amqp is the older form: move it to [amqp] in the file that --settings names, see "
+                .addKeyValue("file", jsonFile)
+                .log("--amqp is deprecated: move its content to [amqp] in the file of --settings, see "
                         + "deploy/relay.toml");
-        return AmqpConfig.read(Path.of(file));
+        return AmqpConfig.read(Path.of(jsonFile));
     }
 
-    @Parameters(commandDescription = "Prints the counters of relays that run, in Prometheus' text format")
+    @Parameters(commandDescription = "Prints the counters of running relays in the Prometheus text format")
     private static final class ShowCounters implements Command {
         @Parameter(description = "address of a relay, as host:port; more may follow", required = true)
         private List<String> addresses = new ArrayList<>();
@@ -208,27 +227,27 @@
         @Override
         public int run() throws IOException {
             for (String address : addresses) {
-                System.out.print(Scrape.counters(Config.address(address)));
+                System.out.print(MetricsClient.fetchCounters(Config.address(address)));
             }
             return 0;
         }
     }
 
-    @Parameters(commandDescription = "Prints what the journal in a folder holds; it changes nothing")
+    @Parameters(commandDescription = "Prints the messages in the journal of a folder, without changing it")
     private static final class ShowState implements Command {
         @Parameter(description = "the folder that RELAY_STATE names", required = true)
         private String folder;
 
         @Override
         public int run() throws IOException {
-            for (Journal.Owed owed : Journal.read(Path.of(folder))) {
-                System.out.println(owed.number() + " " + owed.request().key() + " dest="
-                        + owed.request().destination() + " class="
-                        + owed.request().messageClass()
-                        + " attempts=" + owed.attempts() + " may_have_run=" + owed.mayHaveRun() + " end="
-                        + (owed.end() == null
+            for (Journal.Owed message : Journal.read(Path.of(folder))) {
+                System.out.println(message.number() + " " + message.request().key() + " dest="
+                        + message.request().destination() + " class="
+                        + message.request().messageClass()
+                        + " attempts=" + message.attempts() + " may_have_run=" + message.mayHaveRun() + " end="
+                        + (message.end() == null
                                 ? "owed"
-                                : owed.end().kind().name().toLowerCase(Locale.ROOT)));
+                                : message.end().kind().name().toLowerCase(Locale.ROOT)));
             }
             return 0;
         }
@@ -236,26 +255,26 @@
 
     @Parameters(
             commandDescription = "The operator's file: 'show' prints every key with its default, "
-                    + "'show FILE' what is in force with the file, 'check FILE...' checks files")
+                    + "'show FILE' the effective settings of the file, 'check FILE...' checks files")
     private static final class ShowSettings implements Command {
         @Parameter(description = "show [FILE] or check FILE...", required = true)
-        private List<String> words = new ArrayList<>();
+        private List<String> arguments = new ArrayList<>();
 
         @Override
         public int run() throws IOException {
-            List<String> files = words.subList(1, words.size());
-            if (words.get(0).equals("show") && files.size() <= 1) {
+            List<String> files = arguments.subList(1, arguments.size());
+            if (arguments.get(0).equals("show") && files.size() <= 1) {
                 System.out.print(
                         files.isEmpty()
-                                ? OperatorSettings.shown()
-                                : SettingsFile.read(files.get(0)).toml());
-            } else if (words.get(0).equals("check") && !files.isEmpty()) {
+                                ? OperatorSettings.describeKeys()
+                                : SettingsFile.read(files.get(0)).toToml());
+            } else if (arguments.get(0).equals("check") && !files.isEmpty()) {
                 for (String file : files) {
-                    OperatorSettings read = SettingsFile.read(file);
-                    System.out.println(file + ": right; storm is " + (read.storm() == null ? "off" : "on")
-                            + ", amqp is " + (read.amqp() == null ? "off" : "on") + ", fleet is "
-                            + (read.fleet() == null ? "off" : "on") + ", control is "
-                            + (read.control() == null ? "off" : "on"));
+                    OperatorSettings checked = SettingsFile.read(file);
+                    System.out.println(file + ": right; storm is " + (checked.storm() == null ? "off" : "on")
+                            + ", amqp is " + (checked.amqp() == null ? "off" : "on") + ", fleet is "
+                            + (checked.fleet() == null ? "off" : "on") + ", control is "
+                            + (checked.control() == null ? "off" : "on"));
                 }
             } else {
                 throw new ParameterException("settings: expected 'show', 'show FILE' or 'check FILE...'");
@@ -264,7 +283,7 @@
         }
     }
 
-    @Parameters(commandDescription = "Starts a relay on loopback for a moment and hands it one RPC")
+    @Parameters(commandDescription = "Starts a relay on loopback, sends it one RPC and stops it")
     private static final class RunSelfTest implements Command {
         @Override
         public int run() throws Exception {
@@ -290,10 +309,10 @@
         }
     }
 
-    static String variable(String name) {
+    static String requireVariable(String name) {
         String value = System.getenv(name);
         if (value == null || value.isEmpty()) {
-            throw new ParameterException("the variable " + name + " is not set");
+            throw new ParameterException("the environment variable " + name + " is not set");
         }
         return value;
     }
--- a/src/main/java/juniperusher/cli/Scrape.java
+++ b/src/main/java/juniperusher/cli/MetricsClient.java
@@ -11,16 +11,21 @@
 import juniperusher.net.HttpPool;
 import juniperusher.net.Network;
 
-/** Asks a relay that runs for its counters. */
-final class Scrape {
-    private static final double PATIENCE = 3.0; // s
+/** Reads the counters of a running relay over HTTP. */
+final class MetricsClient {
+    private static final double TIMEOUT_SECONDS = 3.0;
 
-    private Scrape() {}
+    private MetricsClient() {}
 
-    static String counters(InetSocketAddress address) throws IOException {
+    /**
+     * Returns the counters in the Prometheus text format.
+     *
+     * @throws IOException if the relay cannot be reached, does not answer in time or answers with an error
+     */
+    static String fetchCounters(InetSocketAddress address) throws IOException {
         CompletableFuture<HttpMessage> answer = new CompletableFuture<>();
-        try (Network network = new Network(PATIENCE)) {
-            new HttpPool(network, PATIENCE, 1)
+        try (Network network = new Network(TIMEOUT_SECONDS)) {
+            new HttpPool(network, TIMEOUT_SECONDS, 1)
                     .exchange(
                             address,
                             HttpMessage.request("GET", "/metrics", new byte[0], "Host", "relay"),
@@ -37,7 +42,7 @@
                                             + why.name().toLowerCase(java.util.Locale.ROOT)));
                                 }
                             });
-            HttpMessage response = answer.get((long) (PATIENCE * 1000), TimeUnit.MILLISECONDS);
+            HttpMessage response = answer.get((long) (TIMEOUT_SECONDS * 1000), TimeUnit.MILLISECONDS);
             if (response.status() != 200) {
                 throw new IOException(address + " answers " + response.status());
             }
@@ -45,7 +50,7 @@
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e);
         } catch (TimeoutException e) {
-            throw new IOException("no answer from " + address + " in " + PATIENCE + " s", e);
+            throw new IOException("no answer from " + address + " within " + TIMEOUT_SECONDS + " s", e);
         } catch (IOException e) {
             throw e;
         } catch (Exception e) {
--- a/src/main/java/juniperusher/cli/ReloadSignal.java
+++ b/src/main/java/juniperusher/cli/ReloadSignal.java
@@ -12,77 +12,95 @@
 import sun.misc.SignalHandler;
 
 /**
- * Says when the configuration file is to be read anew: on SIGHUP. A process that was started with SIGHUP
- * ignored, as {@code nohup} does and as every child of such a process inherits, never gets that signal, and a
- * JVM leaves it ignored whatever handler is set. There the file itself is looked at instead.
+ * Waits for requests to reload the configuration file, which are made with SIGHUP. A process that was started with
+ * SIGHUP ignored, under {@code nohup} or as a child of such a process, never receives the signal, because a JVM
+ * keeps it ignored even if a handler is set. In that case the file is polled, and a change of it causes a reload.
  */
 final class ReloadSignal {
     private static final Logger LOG = LoggerFactory.getLogger(ReloadSignal.class);
-    private static final long LOOK = 200; // ms between two looks at the file
+    private static final long POLL_INTERVAL_MILLIS = 200;
 
-    private final Semaphore hangUps = new Semaphore(0);
+    private final Semaphore pendingSignals = new Semaphore(0);
     private final Path file;
-    private final boolean ignored;
-    private final FileTurn turn;
+    private final boolean signalIgnored;
+    private final FileChangeDetector changeDetector;
 
-    /** What tells one state of a file from the next. */
-    record Stamp(long modified, long size, String inode) {
-        static Stamp of(Path file) {
+    /**
+     * Attributes that tell one version of a file from the next.
+     *
+     * @param modifiedNanos time of the last modification, in ns since the epoch
+     * @param fileKey device and inode number, so that a file that replaces another differs even if it has the same
+     *     size and time
+     */
+    record FileVersion(long modifiedNanos, long sizeBytes, String fileKey) {
+        /** Returns the current version of a file, or null if it cannot be read. */
+        static FileVersion of(Path file) {
             try {
-                BasicFileAttributes at = Files.readAttributes(file, BasicFileAttributes.class);
-                return new Stamp(
-                        at.lastModifiedTime().to(TimeUnit.NANOSECONDS), at.size(), String.valueOf(at.fileKey()));
+                BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+                return new FileVersion(
+                        attributes.lastModifiedTime().to(TimeUnit.NANOSECONDS),
+                        attributes.size(),
+                        String.valueOf(attributes.fileKey()));
             } catch (IOException e) {
-                return null; // between the removal and the new file
+                return null; // for example, removed and not yet replaced
             }
         }
     }
 
-    /** Whether a file has changed and come to rest: one that is still being written is left alone. */
-    static final class FileTurn {
-        private Stamp taken;
-        private Stamp last;
+    /**
+     * Detects a change of a file once two polls in a row give the same version. A file that is still being written is
+     * not reported. Not thread-safe.
+     */
+    static final class FileChangeDetector {
+        private FileVersion lastReported;
+        private FileVersion lastSeen;
 
-        /** The file as it was read first. */
-        FileTurn(Stamp first) {
-            taken = first;
-            last = first;
+        /** Starts with the version that has been read already; null if there was no file. */
+        FileChangeDetector(FileVersion first) {
+            lastReported = first;
+            lastSeen = first;
         }
 
-        /** The file looks so now; whether to read it. */
-        boolean look(Stamp now) {
-            boolean rests = now != null && now.equals(last);
-            last = now;
-            if (!rests || now.equals(taken)) {
+        /**
+         * Takes the version that a poll found, or null if there was no file, and returns whether the file is to be
+         * read again.
+         */
+        boolean detectsChange(FileVersion current) {
+            boolean unchangedSinceLastPoll = current != null && current.equals(lastSeen);
+            lastSeen = current;
+            if (!unchangedSinceLastPoll || current.equals(lastReported)) {
                 return false;
             }
-            taken = now;
+            lastReported = current;
             return true;
         }
     }
 
-    /** Hears from now on; to be made before the file is read first, so that no change falls between. */
+    /**
+     * Installs the signal handler. This has to happen before the file is read for the first time; otherwise a change
+     * between the two would be missed.
+     */
     ReloadSignal(Path file) {
         this.file = file;
-        turn = new FileTurn(Stamp.of(file));
-        // Guards against ending on SIGHUP, as a JVM does by itself; one that comes early waits here.
-        ignored = Signal.handle(new Signal("HUP"), signal -> hangUps.release()) == SignalHandler.SIG_IGN;
-        if (ignored) {
+        changeDetector = new FileChangeDetector(FileVersion.of(file));
+        // Without a handler the JVM exits on SIGHUP. A signal that arrives before awaitReload is kept as a permit.
+        signalIgnored = Signal.handle(new Signal("HUP"), signal -> pendingSignals.release()) == SignalHandler.SIG_IGN;
+        if (signalIgnored) {
             LOG.atWarn()
                     .addKeyValue("file", file)
-                    .log("SIGHUP is ignored, as under nohup: " + "a change of the file is taken for it");
+                    .log("SIGHUP is ignored, as under nohup: a change of the file is taken for it");
         }
     }
 
-    /** Waits until the file is to be read. */
-    void await() throws InterruptedException {
-        if (!ignored) {
-            hangUps.acquire();
-            hangUps.drainPermits();
+    /** Blocks until the file is to be read again. Signals that arrived since the last call count as one. */
+    void awaitReload() throws InterruptedException {
+        if (!signalIgnored) {
+            pendingSignals.acquire();
+            pendingSignals.drainPermits();
             return;
         }
-        while (!turn.look(Stamp.of(file))) {
-            Thread.sleep(LOOK);
+        while (!changeDetector.detectsChange(FileVersion.of(file))) {
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
     }
 }
--- a/src/main/java/juniperusher/cli/SelfTest.java
+++ b/src/main/java/juniperusher/cli/SelfTest.java
@@ -26,42 +26,49 @@
 import juniperusher.net.Network;
 
 /**
- * Starts a relay on loopback for a moment and hands it one RPC. It shows that the program works on a
- * machine, and the build records with it which classes a start needs.
+ * Starts a relay on loopback, sends it one RPC and stops it. This checks that the program works on the machine, and
+ * the build uses it to record which classes a start needs.
  */
 final class SelfTest {
     private SelfTest() {}
 
+    /** Runs the test and returns the exit code; throws if a check fails. */
     static int run() throws Exception {
-        String temporary = System.getenv("TMPDIR"); // the only place that may be written on the platform
-        Path folder = temporary == null
+        String temporaryRoot = System.getenv("TMPDIR"); // the only folder that is writable on the platform
+        Path folder = temporaryRoot == null
                 ? Files.createTempDirectory("juniperusher")
-                : Files.createTempDirectory(Path.of(temporary), "juniperusher");
+                : Files.createTempDirectory(Path.of(temporaryRoot), "juniperusher");
         try {
-            JsonObject json;
+            JsonObject configuration;
             try (InputStream in = SelfTest.class.getResourceAsStream("/selftest.json")) {
-                json = Json.parse(new InputStreamReader(in, StandardCharsets.UTF_8))
+                configuration = Json.parse(new InputStreamReader(in, StandardCharsets.UTF_8))
                         .asObject();
             }
-            InetSocketAddress listen = unused();
-            json.set("listen", "127.0.0.1:" + listen.getPort()).set("discovery", "127.0.0.1:" + unused().getPort());
-            json.get("known")
+            InetSocketAddress listen = unusedAddress();
+            configuration
+                    .set("listen", "127.0.0.1:" + listen.getPort())
+                    .set("discovery", "127.0.0.1:" + unusedAddress().getPort());
+            configuration
+                    .get("known")
                     .asObject()
                     .set(
                             "servers",
                             new JsonArray()
                                     .add(new JsonObject()
                                             .add("id", "s-1")
-                                            .add("addr", "127.0.0.1:" + unused().getPort())
+                                            .add(
+                                                    "addr",
+                                                    "127.0.0.1:"
+                                                            + unusedAddress().getPort())
                                             .add("cell", 7)
                                             .add("state", "up")));
-            Files.writeString(folder.resolve("relay.json"), json.toString());
+            Files.writeString(folder.resolve("relay.json"), configuration.toString());
             Config config = Config.read(folder.resolve("relay.json"));
             Network network = new Network(1);
             try (Platform platform = new Platform(config, folder.resolve("state"), new Counters(), network, null)) {
                 HttpPool pool = new HttpPool(network, 1, 8);
-                check(pool, listen, HttpMessage.request("GET", "/up", new byte[0], "Host", "relay"), 200);
-                check(
+                requireStatus(pool, listen, HttpMessage.request("GET", "/up", new byte[0], "Host", "relay"), 200);
+                requireStatus(
                         pool,
                         listen,
                         HttpMessage.request(
@@ -80,13 +87,13 @@
                                 "dest=7"),
                         202);
                 if (platform.counters().get("taken_total", "front", "http", "class", "0") != 1) {
-                    throw new IOException("the relay did not count what it took on");
+                    throw new IOException("the relay did not count the RPC that it accepted");
                 }
                 if (!WarmUp.readsChanges()) {
-                    throw new IOException("a change of the list of endpoints is not read");
+                    throw new IOException("the relay cannot read a change of the list of endpoints");
                 }
             }
-            System.out.println("juniperusher: a relay started, answered and took an RPC on");
+            System.out.println("juniperusher: a relay started, answered and accepted an RPC");
             return 0;
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
@@ -97,13 +104,13 @@
         }
     }
 
-    private static InetSocketAddress unused() throws IOException {
+    private static InetSocketAddress unusedAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return new InetSocketAddress("127.0.0.1", socket.getLocalPort());
         }
     }
 
-    private static void check(HttpPool pool, InetSocketAddress address, HttpMessage request, int wanted)
+    private static void requireStatus(HttpPool pool, InetSocketAddress address, HttpMessage request, int expectedStatus)
             throws Exception {
         CompletableFuture<Integer> status = new CompletableFuture<>();
         pool.exchange(address, request, () -> true, new HttpPool.Listener() {
@@ -117,9 +124,10 @@
                 status.completeExceptionally(new IOException("no answer: " + why));
             }
         });
-        int got = status.get(5, TimeUnit.SECONDS);
-        if (got != wanted) {
-            throw new IOException("answered " + got + " in place of " + wanted + " to " + request.start());
+        int actualStatus = status.get(5, TimeUnit.SECONDS);
+        if (actualStatus != expectedStatus) {
+            throw new IOException(
+                    "answered " + actualStatus + " instead of " + expectedStatus + " to " + request.start());
         }
     }
 }
--- a/src/main/java/juniperusher/cli/SettingsFile.java
+++ b/src/main/java/juniperusher/cli/SettingsFile.java
@@ -7,7 +7,8 @@
 import juniperusher.settings.OperatorSettings;
 
 /**
- * Reads the operator's file for a command: a mistake in it is bad input. Loaded only where a file is given.
+ * Reads the operator's settings for a command and reports an invalid file as an invalid argument. This class, and with
+ * it the TOML parser and the schema validator, is loaded only if a file is given.
  */
 final class SettingsFile {
     private SettingsFile() {}
@@ -15,7 +16,7 @@
     static OperatorSettings read(String file) throws IOException {
         try {
             return OperatorSettings.read(Path.of(file));
-        } catch (CheckedToml.Mistake e) {
+        } catch (CheckedToml.InvalidTomlException e) {
             throw new ParameterException(e.getMessage());
         }
     }
--- a/src/main/java/juniperusher/settings/CheckedToml.java
+++ b/src/main/java/juniperusher/settings/CheckedToml.java
@@ -26,196 +26,206 @@
 import org.tomlj.TomlTable;
 
 /**
- * TOML files checked against a JSON Schema (draft 2020-12) that also holds the defaults. What comes out has
- * every
- * key that has a default.
+ * Reads TOML files and validates them against a JSON Schema (draft 2020-12). The schema also holds the
+ * defaults; a result contains every key that has one.
  */
 public final class CheckedToml {
     private final JsonObject schema;
     private final com.networknt.schema.Schema validator;
 
-    /** A file that cannot be taken: one line with where the fault is and what was expected. */
-    public static final class Mistake extends IllegalArgumentException {
+    /**
+     * Thrown for an invalid file or an invalid override. The message is one line that names the place of the
+     * error and the expected value.
+     */
+    public static final class InvalidTomlException extends IllegalArgumentException {
         private static final long serialVersionUID = 1;
 
-        Mistake(Path file, int line, String what) {
+        InvalidTomlException(Path file, int line, String message) {
             super(file + (line > 0 ? ":" + line : "") + ": "
-                    + what.lines().findFirst().orElse(""));
+                    + message.lines().findFirst().orElse(""));
         }
 
-        /** A mistake in something that has no lines of its own. */
-        public Mistake(String where, String what) {
-            super(where + ": " + what.lines().findFirst().orElse(""));
+        /** An error without a line number, for example in a command-line option. */
+        public InvalidTomlException(String where, String message) {
+            super(where + ": " + message.lines().findFirst().orElse(""));
         }
     }
 
-    private CheckedToml(String text) {
-        schema = Json.parse(text).asObject();
+    private CheckedToml(String schemaText) {
+        schema = Json.parse(schemaText).asObject();
         validator = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
-                .getSchema(text);
+                .getSchema(schemaText);
     }
 
-    /** By the schema of that name beside the class. */
-    public static CheckedToml by(Class<?> beside, String name) {
-        try (InputStream in = beside.getResourceAsStream(name)) {
+    /**
+     * Creates a reader for the schema in the named resource, which is in the package of the given class.
+     */
+    public static CheckedToml by(Class<?> resourceClass, String schemaName) {
+        try (InputStream in = resourceClass.getResourceAsStream(schemaName)) {
             return new CheckedToml(new String(in.readAllBytes(), StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw new IllegalStateException(name, e); // a part of the jar
+            throw new IllegalStateException(schemaName, e); // the schema is part of the jar
         }
     }
 
-    /** The schema itself. */
+    /** Returns the schema that the files are validated against. */
     public JsonObject schema() {
         return schema;
     }
 
     /**
-     * Reads a file.
+     * Reads and validates a file and adds the defaults.
      *
-     * @param sets values that go before the file's, as KEY=VALUE with dots between the parts of a key (a
-     * number
-     *     for a place in an array) and a TOML value; what is none is a string
-     * @throws Mistake if it is no TOML, has a key that is not known, or a value that cannot be
-     * @throws IOException if it cannot be read at all
+     * @param overrides entries of the form KEY=VALUE that replace values of the file. Dots separate the parts of
+     *     a key, and a number is an index into an array. A value that is not valid TOML is taken as a string.
+     * @throws InvalidTomlException if the file is not valid TOML, or if it or an override has an unknown key or
+     *     an invalid value
+     * @throws IOException if the file cannot be read
      */
-    public JsonObject read(Path file, List<String> sets) throws IOException {
+    public JsonObject read(Path file, List<String> overrides) throws IOException {
         TomlParseResult toml;
         try {
             toml = Toml.parse(Files.readString(file));
         } catch (MalformedInputException e) {
-            throw new Mistake(file, 0, "expected TOML in UTF-8");
+            throw new InvalidTomlException(file, 0, "expected TOML in UTF-8");
         }
         if (toml.hasErrors()) {
             var first = toml.errors().get(0);
-            throw new Mistake(file, first.position().line(), first.getMessage());
+            throw new InvalidTomlException(file, first.position().line(), first.getMessage());
         }
         JsonObject json = Json.parse(toml.toJson()).asObject();
-        Map<String, String> set = new HashMap<>();
-        for (String one : sets) {
-            set(json, one, set);
+        Map<String, String> overrideByKey = new HashMap<>();
+        for (String override : overrides) {
+            applyOverride(json, override, overrideByKey);
         }
         List<Error> errors = new ArrayList<>(validator.validate(json.toString(), InputFormat.JSON));
         if (!errors.isEmpty()) {
-            // The first one in the file; a key that is not known before one that is missing, often the cause.
+            // Reports the first error in the file. Unknown keys come before all other errors, because a misspelt key is
+            // often the reason why a required one is missing.
             errors.sort(
                     Comparator.comparing((Error error) -> !error.getKeyword().equals("additionalProperties"))
-                            .thenComparingInt(error -> line(toml, path(error))));
+                            .thenComparingInt(error -> findLine(toml, keyPath(error))));
             Error error = errors.get(0);
-            List<String> path = path(error);
-            String by = set.get(String.join(".", path));
-            String what = said(error, path, json);
-            throw by == null ? new Mistake(file, line(toml, path), what) : new Mistake("--set " + by, what);
-        }
-        return (JsonObject) filled(json, schema);
+            List<String> path = keyPath(error);
+            String override = overrideByKey.get(String.join(".", path));
+            String message = describeError(error, path, json);
+            throw override == null
+                    ? new InvalidTomlException(file, findLine(toml, path), message)
+                    : new InvalidTomlException("--set " + override, message);
+        }
+        return (JsonObject) withDefaults(json, schema);
     }
 
-    /** The line of a key, or 0. */
-    static int line(TomlTable table, List<String> path) {
+    /** Returns the line of a key, or of the innermost table on its path if the key is missing; 0 if there is none. */
+    static int findLine(TomlTable table, List<String> path) {
         TomlPosition position = null;
-        Object at = table;
+        Object current = table;
         for (String part : path) {
             TomlPosition next = null;
-            if (at instanceof TomlTable inner && inner.contains(List.of(part))) {
+            if (current instanceof TomlTable inner && inner.contains(List.of(part))) {
                 next = inner.inputPositionOf(List.of(part));
-                at = inner.get(List.of(part));
-            } else if (at instanceof TomlArray inner
+                current = inner.get(List.of(part));
+            } else if (current instanceof TomlArray inner
                     && part.matches("\\d{1,6}")
                     && Integer.parseInt(part) < inner.size()) {
                 next = inner.inputPositionOf(Integer.parseInt(part));
-                at = inner.get(Integer.parseInt(part));
+                current = inner.get(Integer.parseInt(part));
             } else {
-                break; // of a part that is missing the table that should have it
+                break; // the key is missing: the line of the table that should contain it
             }
             position = next == null ? position : next;
         }
         return position == null ? 0 : position.line();
     }
 
-    private static List<String> path(Error error) {
-        List<String> out = new ArrayList<>();
+    private static List<String> keyPath(Error error) {
+        List<String> path = new ArrayList<>();
         for (int i = 0; i < error.getInstanceLocation().getNameCount(); i++) {
-            out.add(String.valueOf(error.getInstanceLocation().getElement(i)));
+            path.add(String.valueOf(error.getInstanceLocation().getElement(i)));
         }
         if (error.getKeyword().equals("additionalProperties")) {
-            out.add(error.getProperty());
+            path.add(error.getProperty());
         }
-        return out;
+        return path;
     }
 
-    private String said(Error error, List<String> path, JsonObject json) {
+    private String describeError(Error error, List<String> path, JsonObject json) {
         String key = path.isEmpty() ? "the file" : "'" + String.join(".", path) + "'";
         if (error.getKeyword().equals("additionalProperties")) {
-            JsonObject at = schema;
+            JsonObject objectSchema = schema;
             for (String part : path.subList(0, path.size() - 1)) {
-                at = inner(at, part);
+                objectSchema = subschema(objectSchema, part);
             }
             return key + " is not known; expected one of "
-                    + String.join(", ", at.get("properties").asObject().names());
+                    + String.join(
+                            ", ", objectSchema.get("properties").asObject().names());
         }
-        JsonValue value = value(json, path);
+        JsonValue value = valueAt(json, path);
         String text = value.toString();
         return key + (text.length() > 60 || value.isObject() ? "" : " = " + text) + ": "
                 + error.getMessage().replaceFirst("^/\\S* ", "");
     }
 
-    private static JsonObject inner(JsonObject schema, String part) {
+    private static JsonObject subschema(JsonObject schema, String part) {
         JsonValue properties = schema.get("properties");
-        JsonValue found = properties == null ? null : properties.asObject().get(part);
+        JsonValue property = properties == null ? null : properties.asObject().get(part);
         JsonValue items = schema.get("items");
-        return found != null ? found.asObject() : items != null ? items.asObject() : schema;
+        return property != null ? property.asObject() : items != null ? items.asObject() : schema;
     }
 
-    private static JsonValue value(JsonValue json, List<String> path) {
-        JsonValue at = json;
+    private static JsonValue valueAt(JsonValue json, List<String> path) {
+        JsonValue current = json;
         for (String part : path) {
-            at = at.isArray()
-                    ? at.asArray().get(Integer.parseInt(part))
-                    : at.asObject().get(part);
+            current = current.isArray()
+                    ? current.asArray().get(Integer.parseInt(part))
+                    : current.asObject().get(part);
         }
-        return at;
+        return current;
     }
 
-    private static void set(JsonObject json, String text, Map<String, String> set) {
-        int equals = text.indexOf('=');
+    private static void applyOverride(JsonObject json, String override, Map<String, String> overrideByKey) {
+        int equals = override.indexOf('=');
         if (equals < 1) {
-            throw new Mistake("--set " + text, "expected KEY=VALUE");
+            throw new InvalidTomlException("--set " + override, "expected KEY=VALUE");
         }
-        String key = text.substring(0, equals).strip();
-        String value = text.substring(equals + 1).strip();
-        TomlParseResult read = Toml.parse("v = " + value);
-        JsonValue parsed = read.hasErrors()
+        String key = override.substring(0, equals).strip();
+        String value = override.substring(equals + 1).strip();
+        TomlParseResult toml = Toml.parse("v = " + value);
+        JsonValue parsed = toml.hasErrors()
                 ? Json.value(value)
-                : Json.parse(read.toJson()).asObject().get("v");
+                : Json.parse(toml.toJson()).asObject().get("v");
         String[] parts = key.split("\\.");
-        JsonValue at = json;
+        JsonValue parent = json;
         try {
             for (int i = 0; i < parts.length - 1; i++) {
-                JsonValue next = at.isArray()
-                        ? at.asArray().get(Integer.parseInt(parts[i]))
-                        : at.asObject().get(parts[i]);
+                JsonValue next = parent.isArray()
+                        ? parent.asArray().get(Integer.parseInt(parts[i]))
+                        : parent.asObject().get(parts[i]);
                 if (next == null) {
                     next = new JsonObject();
-                    at.asObject().set(parts[i], next);
+                    parent.asObject().set(parts[i], next);
                 }
-                at = next;
+                parent = next;
             }
-            if (at.isArray()) {
-                at.asArray().set(Integer.parseInt(parts[parts.length - 1]), parsed);
+            if (parent.isArray()) {
+                parent.asArray().set(Integer.parseInt(parts[parts.length - 1]), parsed);
             } else {
-                at.asObject().set(parts[parts.length - 1], parsed);
+                parent.asObject().set(parts[parts.length - 1], parsed);
             }
         } catch (UnsupportedOperationException | NumberFormatException | IndexOutOfBoundsException e) {
-            throw new Mistake("--set " + text, "expected a key that the file can have, not '" + key + "'");
+            throw new InvalidTomlException(
+                    "--set " + override, "expected a key of the file's schema, not '" + key + "'");
         }
-        set.put(key, text);
+        overrideByKey.put(key, override);
     }
 
-    /** The value with the defaults of what it does not say; tables that have none stay away. */
-    private static JsonValue filled(JsonValue value, JsonObject schema) {
+    /** Adds the defaults of missing keys. A missing table is added only if the table itself has a default. */
+    private static JsonValue withDefaults(JsonValue value, JsonObject schema) {
         if (value.isArray() && schema.get("items") != null) {
             JsonArray out = new JsonArray();
             value.asArray()
-                    .forEach(one -> out.add(filled(one, schema.get("items").asObject())));
+                    .forEach(element ->
+                            out.add(withDefaults(element, schema.get("items").asObject())));
             return out;
         }
         if (!value.isObject() || schema.get("properties") == null) {
@@ -223,11 +233,11 @@
         }
         JsonObject out = new JsonObject();
         for (JsonObject.Member member : schema.get("properties").asObject()) {
-            JsonObject inner = member.getValue().asObject();
-            JsonValue said = value.asObject().get(member.getName());
-            JsonValue used = said != null ? said : inner.get("default");
-            if (used != null) {
-                out.add(member.getName(), filled(used, inner));
+            JsonObject memberSchema = member.getValue().asObject();
+            JsonValue given = value.asObject().get(member.getName());
+            JsonValue effective = given != null ? given : memberSchema.get("default");
+            if (effective != null) {
+                out.add(member.getName(), withDefaults(effective, memberSchema));
             }
         }
         return out;
--- a/src/main/java/juniperusher/settings/OperatorSettings.java
+++ b/src/main/java/juniperusher/settings/OperatorSettings.java
@@ -5,64 +5,72 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
-import juniperusher.settings.CheckedToml.Mistake;
+import juniperusher.settings.CheckedToml.InvalidTomlException;
 import juniperusher.storm.StormSettings;
 
 /**
- * What an operator's file says. Its keys, bounds and defaults are in {@code operator.schema.json}.
+ * The settings of an operator's TOML file. The keys, their bounds and their defaults are defined in
+ * {@code operator.schema.json}. A table is disabled if it is missing or has {@code on = false}.
  *
- * @param storm the storm package's settings, or null where it is off
- * @param amqp  the table of the AMQP front with its defaults filled in, or null where it is off
- * @param fleet the table of the shard map's subscription with its defaults filled in, or null where it is off
- * @param control the table of a control process with its defaults filled in, or null where it is off
- * @param all   all that is in force: the file's values and the defaults of the tables that it has
+ * @param storm settings for the detection of retry storms, or null if disabled
+ * @param amqp the table of the AMQP front with its defaults, or null if disabled
+ * @param fleet the table of the subscription to the shard map with its defaults, or null if disabled
+ * @param control the table of a control process with its defaults, or null if disabled
+ * @param effective all tables of the file, with their defaults, including those with {@code on = false}
  */
 public record OperatorSettings(
-        StormSettings storm, JsonObject amqp, JsonObject fleet, JsonObject control, JsonObject all) {
+        StormSettings storm, JsonObject amqp, JsonObject fleet, JsonObject control, JsonObject effective) {
     private static final String SCHEMA = "operator.schema.json";
 
     /**
-     * Reads a file.
+     * Reads and validates a file.
      *
-     * @throws Mistake if it is no TOML, has a key that is not known, or a value that cannot be
-     * @throws IOException if it cannot be read at all
+     * @throws InvalidTomlException if the file is not valid TOML, has an unknown key or an invalid value
+     * @throws IOException if the file cannot be read
      */
     public static OperatorSettings read(Path file) throws IOException {
-        JsonObject all = CheckedToml.by(OperatorSettings.class, SCHEMA).read(file, List.of());
-        JsonObject storm = on(all, "storm");
+        JsonObject effective = CheckedToml.by(OperatorSettings.class, SCHEMA).read(file, List.of());
+        JsonObject storm = enabledTable(effective, "storm");
         try {
             return new OperatorSettings(
-                    storm == null ? null : storm(storm), on(all, "amqp"), on(all, "fleet"), on(all, "control"), all);
+                    storm == null ? null : stormSettings(storm),
+                    enabledTable(effective, "amqp"),
+                    enabledTable(effective, "fleet"),
+                    enabledTable(effective, "control"),
+                    effective);
         } catch (IllegalArgumentException e) {
-            // Of two values that do not go together none is the wrong one: no line.
-            throw new Mistake(file.toString(), "[storm] " + e.getMessage());
+            // The two values contradict each other and either may be wrong, so the message names no line.
+            throw new InvalidTomlException(file.toString(), "[storm] " + e.getMessage());
         }
     }
 
-    private static JsonObject on(JsonObject all, String table) {
-        JsonValue found = all.get(table);
-        return found != null && found.asObject().getBoolean("on", true) ? found.asObject() : null;
+    private static JsonObject enabledTable(JsonObject effective, String table) {
+        JsonValue value = effective.get(table);
+        return value != null && value.asObject().getBoolean("on", true) ? value.asObject() : null;
     }
 
-    private static StormSettings storm(JsonObject table) {
+    private static StormSettings stormSettings(JsonObject table) {
         return new StormSettings(
-                number(table, "outage_after"),
-                number(table, "again_share"),
-                number(table, "again_calm"),
-                number(table, "owed_seconds"),
-                number(table, "owed_calm"),
-                number(table, "quiet"),
-                number(table, "held_share"),
-                number(table, "margin"),
-                number(table, "note_every"));
+                doubleValue(table, "outage_after"),
+                doubleValue(table, "again_share"),
+                doubleValue(table, "again_calm"),
+                doubleValue(table, "owed_seconds"),
+                doubleValue(table, "owed_calm"),
+                doubleValue(table, "quiet"),
+                doubleValue(table, "held_share"),
+                doubleValue(table, "margin"),
+                doubleValue(table, "note_every"));
     }
 
-    private static double number(JsonObject table, String key) {
+    private static double doubleValue(JsonObject table, String key) {
         return table.get(key).asDouble();
     }
 
-    /** All keys, each with what it means and its default, as a file that could be read. */
-    public static String shown() {
+    /**
+     * Returns all keys as the text of a TOML file, each with its default or an example and a comment that
+     * describes it.
+     */
+    public static String describeKeys() {
         StringBuilder out = new StringBuilder();
         JsonObject tables = CheckedToml.by(OperatorSettings.class, SCHEMA)
                 .schema()
@@ -76,57 +84,57 @@
                     .append("\n[")
                     .append(table.getName())
                     .append("]\n");
-            keys(schema, "", out);
+            appendKeys(schema, "", out);
         }
         return out.toString();
     }
 
-    private static void keys(JsonObject schema, String before, StringBuilder out) {
+    private static void appendKeys(JsonObject schema, String linePrefix, StringBuilder out) {
         for (JsonObject.Member key : schema.get("properties").asObject()) {
-            JsonObject inner = key.getValue().asObject();
-            if (isTables(inner)) {
+            JsonObject keySchema = key.getValue().asObject();
+            if (isArrayOfTables(keySchema)) {
                 out.append("\n# [[amqp.")
                         .append(key.getName())
                         .append("]] # ")
-                        .append(inner.getString("description", ""))
+                        .append(keySchema.getString("description", ""))
                         .append('\n');
-                keys(inner.get("items").asObject(), "# ", out);
+                appendKeys(keySchema.get("items").asObject(), "# ", out);
             } else {
-                JsonValue value = inner.get("default") != null || inner.get("examples") == null
-                        ? inner.get("default")
-                        : inner.get("examples").asArray().get(0);
-                out.append(before)
+                JsonValue example = keySchema.get("default") != null || keySchema.get("examples") == null
+                        ? keySchema.get("default")
+                        : keySchema.get("examples").asArray().get(0);
+                out.append(linePrefix)
                         .append(key.getName())
                         .append(" = ")
-                        .append(value == null ? "(no default)" : value.toString())
+                        .append(example == null ? "(no default)" : example.toString())
                         .append(" # ")
-                        .append(inner.getString("description", ""))
+                        .append(keySchema.getString("description", ""))
                         .append('\n');
             }
         }
     }
 
-    private static boolean isTables(JsonObject schema) {
+    private static boolean isArrayOfTables(JsonObject schema) {
         JsonValue items = schema.get("items");
         return items != null && items.asObject().get("properties") != null;
     }
 
-    private static boolean isTables(JsonValue value) {
+    private static boolean isArrayOfTables(JsonValue value) {
         return value.isArray()
                 && !value.asArray().isEmpty()
                 && value.asArray().get(0).isObject();
     }
 
-    /** The tables in force as TOML. */
-    public String toml() {
+    /** Returns the effective settings as the text of a TOML file. */
+    public String toToml() {
         StringBuilder out = new StringBuilder();
-        for (JsonObject.Member table : all) {
+        for (JsonObject.Member table : effective) {
             out.append(out.isEmpty() ? "" : "\n")
                     .append('[')
                     .append(table.getName())
                     .append("]\n");
             table.getValue().asObject().forEach(key -> {
-                if (!isTables(key.getValue())) {
+                if (!isArrayOfTables(key.getValue())) {
                     out.append(key.getName())
                             .append(" = ")
                             .append(key.getValue())
@@ -134,7 +142,7 @@
                 }
             });
             for (JsonObject.Member key : table.getValue().asObject()) {
-                if (isTables(key.getValue())) {
+                if (isArrayOfTables(key.getValue())) {
                     key.getValue().asArray().forEach(entry -> {
                         out.append("\n[[")
                                 .append(table.getName())
--- a/src/main/java/juniperusher/settings/package-info.java
+++ b/src/main/java/juniperusher/settings/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The operator's own file: one TOML file, checked before anything starts. A mistake is one line that names
- * the file,
- * the line, the key and what was expected. The door is {@link juniperusher.settings.OperatorSettings}.
+ * The operator's settings: one TOML file that is validated before anything starts. An invalid file is reported in
+ * one line that names the file, the line, the key and what was expected. The entry point is
+ * {@link juniperusher.settings.OperatorSettings}.
  *
- * <p>Must not know: fronts, sockets, the platform's configuration. It is loaded only where a file is given.
+ * <p>This package must not depend on the fronts, on sockets or on the platform's configuration. Its classes are
+ * loaded only if a settings file is given.
  */
 package juniperusher.settings;
--- a/src/test/java/juniperusher/cli/AlertsTest.java
+++ b/src/test/java/juniperusher/cli/AlertsTest.java
@@ -13,9 +13,12 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** Alert rules and the README name only metrics that the program has. */
+/**
+ * Guards against alert rules and README entries that name a metric which the program does not have: such an alert never
+ * fires. The metrics that exist are collected from the calls of the counters in the sources.
+ */
 public class AlertsTest {
-    private static Set<String> found(Pattern pattern, String text) {
+    private static Set<String> findAll(Pattern pattern, String text) {
         Set<String> out = new TreeSet<>();
         Matcher matcher = pattern.matcher(text);
         while (matcher.find()) {
@@ -25,7 +28,7 @@
     }
 
     @Test
-    public void everyMetricThatIsNamedIsCounted() throws IOException {
+    public void alertsAndReadmeNameOnlyExistingMetrics() throws IOException {
         StringBuilder sources = new StringBuilder();
         try (Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
             for (Path file :
@@ -33,14 +36,14 @@
                 sources.append(Files.readString(file));
             }
         }
-        Set<String> counted =
-                found(Pattern.compile("counters\\s*\\.(?:add|gauge)\\(\\s*\"(\\w+)\""), sources.toString());
-        assertTrue(counted.size() >= 8, "metrics: " + counted);
-        Pattern named = Pattern.compile("juniperusher_(\\w+)");
+        Set<String> existing =
+                findAll(Pattern.compile("counters\\s*\\.(?:add|gauge)\\(\\s*\"(\\w+)\""), sources.toString());
+        assertTrue(existing.size() >= 8, "metrics: " + existing);
+        Pattern metricName = Pattern.compile("juniperusher_(\\w+)");
         for (String file : new String[] {"deploy/alerts.yml", "README.md"}) {
-            Set<String> missing = found(named, Files.readString(Path.of(file)));
+            Set<String> missing = findAll(metricName, Files.readString(Path.of(file)));
             assertTrue(missing.size() >= 3, file + " names " + missing);
-            missing.removeAll(counted);
+            missing.removeAll(existing);
             assertEquals(missing, Set.of(), file);
         }
     }
--- a/src/test/java/juniperusher/cli/FleetCommandsTest.java
+++ b/src/test/java/juniperusher/cli/FleetCommandsTest.java
@@ -24,24 +24,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as processes: what is loaded with the fleet off and on, and bad input of {@code control}. */
+/**
+ * Runs the program as separate processes. Checks which classes {@code serve} loads with the fleet disabled and enabled,
+ * and the errors that {@code control} prints for invalid settings.
+ */
 class FleetCommandsTest {
     private static final Pattern FLEET_CLASS = Pattern.compile("juniperusher\\.(fleet|shard|distribution)\\.\\S+");
-    private static final long PATIENCE = 60; // s
+    private static final long TIMEOUT_SECONDS = 60;
 
     @TempDir
     Path folder;
 
-    private final List<Process> started = new ArrayList<>();
+    private final List<Process> startedProcesses = new ArrayList<>();
 
     @AfterEach
-    void end() throws InterruptedException {
-        for (Process process : started) {
-            process.destroyForcibly().waitFor(PATIENCE, TimeUnit.SECONDS);
+    void stopProcesses() throws InterruptedException {
+        for (Process process : startedProcesses) {
+            process.destroyForcibly().waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
-    private Process program(String log, String... arguments) throws Exception {
+    private Process startProgram(String log, String... arguments) throws Exception {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
@@ -57,7 +60,7 @@
         builder.redirectErrorStream(true);
         builder.redirectOutput(folder.resolve(log).toFile());
         Process process = builder.start();
-        started.add(process);
+        startedProcesses.add(process);
         return process;
     }
 
@@ -67,7 +70,7 @@
         }
     }
 
-    private int relayConfiguration() throws Exception {
+    private int writeRelayConfiguration() throws Exception {
         JsonObject json;
         try (InputStream in = Main.class.getResourceAsStream("/selftest.json")) {
             json = Json.parse(new InputStreamReader(in, StandardCharsets.UTF_8)).asObject();
@@ -78,17 +81,17 @@
         return port;
     }
 
-    private void await(String what, Process process, String log, BooleanSupplier condition) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE);
+    private void await(String expected, Process process, String log, BooleanSupplier condition) throws Exception {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
             assertTrue(
-                    System.nanoTime() < until && process.isAlive(),
-                    () -> "in time: " + what + "; " + text(folder.resolve(log)));
+                    System.nanoTime() < deadlineNanos && process.isAlive(),
+                    () -> "in time: " + expected + "; " + readIfPresent(folder.resolve(log)));
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
 
-    private static String text(Path file) {
+    private static String readIfPresent(Path file) {
         try {
             return Files.exists(file) ? Files.readString(file) : "";
         } catch (java.io.IOException e) {
@@ -96,7 +99,7 @@
         }
     }
 
-    private List<String> fleetClasses(String log) throws Exception {
+    private List<String> loadedFleetClasses(String log) throws Exception {
         try (Stream<String> lines = Files.lines(folder.resolve(log + ".classes"))) {
             return lines.map(FLEET_CLASS::matcher)
                     .filter(java.util.regex.Matcher::find)
@@ -105,7 +108,7 @@
         }
     }
 
-    private static String metrics(int port) {
+    private static String fetchMetrics(int port) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(5_000);
             socket.getOutputStream()
@@ -118,26 +121,26 @@
     }
 
     @Test
-    void withTheFleetOffServeLoadsNothingOfIt() throws Exception {
-        int port = relayConfiguration();
+    void serveWithDisabledFleetLoadsNoFleetClasses() throws Exception {
+        int port = writeRelayConfiguration();
         Files.writeString(folder.resolve("relay.toml"), "[storm]\n[fleet]\non = false\n");
-        Process serve = program(
+        Process serve = startProgram(
                 "serve", "serve", "--settings", folder.resolve("relay.toml").toString());
-        await("the relay serves", serve, "serve", () -> metrics(port).contains("juniperusher_"));
-        assertFalse(metrics(port).contains("juniperusher_fleet"));
-        assertEquals(List.of(), fleetClasses("serve"));
+        await("the relay serves", serve, "serve", () -> fetchMetrics(port).contains("juniperusher_"));
+        assertFalse(fetchMetrics(port).contains("juniperusher_fleet"));
+        assertEquals(List.of(), loadedFleetClasses("serve"));
     }
 
     @Test
-    void withTheFleetOnServeSubscribesAndShowsIt() throws Exception {
-        int port = relayConfiguration();
+    void serveWithFleetSubscribesAndReportsTheMapInItsMetrics() throws Exception {
+        int port = writeRelayConfiguration();
         int control = unusedPort();
         Files.writeString(folder.resolve("relays"), "relay-1 north a 1\n");
         Files.writeString(
                 folder.resolve("control.toml"),
                 "[control]\nlisten = '127.0.0.1:" + control + "'\nstate = '" + folder.resolve("control-state")
                         + "'\nrelays = '" + folder.resolve("relays") + "'\n");
-        Process leader = program(
+        Process leader = startProgram(
                 "control",
                 "control",
                 "--settings",
@@ -146,15 +149,19 @@
                 "the leader listens",
                 leader,
                 "control",
-                () -> text(folder.resolve("control")).contains("control process on"));
+                () -> readIfPresent(folder.resolve("control")).contains("control process on"));
         Files.writeString(
                 folder.resolve("relay.toml"),
                 "[fleet]\ncontrol = ['127.0.0.1:" + control + "']\nregion = 'north'\nzone = 'a'\n");
-        Process serve = program(
+        Process serve = startProgram(
                 "serve", "serve", "--settings", folder.resolve("relay.toml").toString());
-        await("the map is in force", serve, "serve", () -> metrics(port).contains("juniperusher_fleet_map_epoch 1.0"));
-        assertTrue(metrics(port).contains("juniperusher_fleet_maps_refused 0.0"));
-        assertFalse(fleetClasses("serve").isEmpty(), "the check sees classes of the fleet where they are loaded");
+        await(
+                "the map is in force",
+                serve,
+                "serve",
+                () -> fetchMetrics(port).contains("juniperusher_fleet_map_epoch 1.0"));
+        assertTrue(fetchMetrics(port).contains("juniperusher_fleet_maps_refused 0.0"));
+        assertFalse(loadedFleetClasses("serve").isEmpty(), "the check sees classes of the fleet where they are loaded");
         await(
                 "the map is saved",
                 serve,
@@ -163,7 +170,7 @@
     }
 
     @Test
-    void aMistakeInTheSettingsIsOneLineAndExitCodeTwo() throws Exception {
+    void invalidControlSettingsGiveOneLineAndExitCodeTwo() throws Exception {
         Files.writeString(folder.resolve("bad.toml"), "[control]\nlisten = '127.0.0.1:70000'\nstate = 's'\n");
         assertRefused("bad", "bad.toml", "bad.toml:2: 'control.listen' = \"127.0.0.1:70000\"");
         Files.writeString(folder.resolve("none.toml"), "[storm]\n");
@@ -176,11 +183,11 @@
 
     private void assertRefused(String log, String file, String expected) throws Exception {
         Process control =
-                program(log, "control", "--settings", folder.resolve(file).toString());
-        assertTrue(control.waitFor(PATIENCE, TimeUnit.SECONDS));
-        String said = text(folder.resolve(log));
-        assertEquals(2, control.exitValue(), said);
-        assertTrue(said.contains(expected), said);
-        assertEquals(1, said.lines().count(), said);
+                startProgram(log, "control", "--settings", folder.resolve(file).toString());
+        assertTrue(control.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        String output = readIfPresent(folder.resolve(log));
+        assertEquals(2, control.exitValue(), output);
+        assertTrue(output.contains(expected), output);
+        assertEquals(1, output.lines().count(), output);
     }
 }
--- a/src/test/java/juniperusher/settings/OperatorSettingsTest.java
+++ b/src/test/java/juniperusher/settings/OperatorSettingsTest.java
@@ -14,68 +14,73 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Defaults, disabled tables, error messages and command-line overrides of the operator's settings file. */
 class OperatorSettingsTest {
     @TempDir
     Path folder;
 
-    private Path file(String text) throws Exception {
+    private Path writeSettings(String text) throws Exception {
         return Files.writeString(folder.resolve("relay.toml"), text);
     }
 
     @Test
-    void whatIsShownCanBeReadAndSaysTheDefaults() throws Exception {
+    void describedKeysCanBeReadAndHoldTheDefaults() throws Exception {
         assertEquals(
                 StormSettings.USUAL,
-                OperatorSettings.read(file(OperatorSettings.shown())).storm());
+                OperatorSettings.read(writeSettings(OperatorSettings.describeKeys()))
+                        .storm());
         assertEquals(
-                StormSettings.USUAL, OperatorSettings.read(file("[storm]\n")).storm());
+                StormSettings.USUAL,
+                OperatorSettings.read(writeSettings("[storm]\n")).storm());
     }
 
     @Test
-    void withoutItsTableOrSwitchedOffAPartIsOff() throws Exception {
-        assertNull(OperatorSettings.read(file("")).storm());
-        assertNull(
-                OperatorSettings.read(file("[storm]\non = false\nquiet = 3\n")).storm());
+    void missingOrDisabledStormTableGivesNoStormSettings() throws Exception {
+        assertNull(OperatorSettings.read(writeSettings("")).storm());
+        assertNull(OperatorSettings.read(writeSettings("[storm]\non = false\nquiet = 3\n"))
+                .storm());
     }
 
     @Test
-    void theFileOfTheDeploymentCanBeRead() throws Exception {
+    void deploymentFileCanBeRead() throws Exception {
         assertEquals(
                 StormSettings.USUAL,
                 OperatorSettings.read(Path.of("deploy/relay.toml")).storm());
     }
 
     @Test
-    void theBrokersOfTheFileHaveTheirDefaults() throws Exception {
-        var amqp = OperatorSettings.read(file("[amqp]\nclass = 'own'\nlisten = '127.0.0.1:5672'\n"
+    void brokerEntriesGetTheirDefaults() throws Exception {
+        var amqp = OperatorSettings.read(writeSettings("[amqp]\nclass = 'own'\nlisten = '127.0.0.1:5672'\n"
                         + "[[amqp.brokers]]\n"
                         + "destination = 7\naddress = 'b:5672'\nrouting_key = 'builds'\n"))
                 .amqp();
         assertEquals("own", amqp.getString("class", ""));
         assertEquals("own", juniperusher.amqp.AmqpConfig.of(amqp).messageClass());
         assertEquals(10, amqp.get("brokers").asArray().get(0).asObject().getDouble("weight", 0));
-        assertNull(OperatorSettings.read(file("[amqp]\non = false\n")).amqp());
+        assertNull(OperatorSettings.read(writeSettings("[amqp]\non = false\n")).amqp());
     }
 
     @Test
-    void theFleetsTablesHaveTheirDefaultsAndAreOffWithoutThem() throws Exception {
-        OperatorSettings off = OperatorSettings.read(file("[storm]\n[fleet]\non = false\n[control]\non = false\n"));
+    void fleetAndControlTablesGetTheirDefaultsAndCanBeDisabled() throws Exception {
+        OperatorSettings off =
+                OperatorSettings.read(writeSettings("[storm]\n[fleet]\non = false\n[control]\non = false\n"));
         assertNull(off.fleet());
         assertNull(off.control());
-        OperatorSettings on = OperatorSettings.read(file("[fleet]\ncontrol = ['h:1', '[::1]:65535']\nregion = 'r-1'\n"
-                + "zone = 'a'\n[control]\nlisten = '127.0.0.1:7400'\nstate = 's'\n"));
+        OperatorSettings on =
+                OperatorSettings.read(writeSettings("[fleet]\ncontrol = ['h:1', '[::1]:65535']\nregion = 'r-1'\n"
+                        + "zone = 'a'\n[control]\nlisten = '127.0.0.1:7400'\nstate = 's'\n"));
         assertEquals(30, on.fleet().getDouble("stale_after", 0));
         assertEquals("[::1]:65535", on.fleet().get("control").asArray().get(1).asString());
         assertEquals(0, on.control().get("upstream").asArray().size());
-        assertEquals(on, OperatorSettings.read(file(on.toml())));
+        assertEquals(on, OperatorSettings.read(writeSettings(on.toToml())));
     }
 
     @Test
-    void whatIsInForceCanBeReadAgain() throws Exception {
-        OperatorSettings first = OperatorSettings.read(file("[storm]\nquiet = 3\n[amqp]\nclass = 'own'\n"
+    void effectiveSettingsCanBeReadBack() throws Exception {
+        OperatorSettings first = OperatorSettings.read(writeSettings("[storm]\nquiet = 3\n[amqp]\nclass = 'own'\n"
                 + "[[amqp.brokers]]\n"
                 + "destination = 7\naddress = 'b:1'\nrouting_key = \"a \\\"b\\\"\"\n"));
-        assertEquals(first, OperatorSettings.read(file(first.toml())));
+        assertEquals(first, OperatorSettings.read(writeSettings(first.toToml())));
     }
 
     @ParameterizedTest
@@ -108,31 +113,32 @@
             [control];listen='h:1';state='s';operator='10.0.0.1:7401' | :4: | 'control.operator'
             [control];listen='h:1';state='s';destinations=0 | :4: | 'control.destinations' = 0
             """)
-    void aMistakeIsOneLineThatSaysWhere(String text, String line, String expected) {
-        CheckedToml.Mistake mistake = assertThrows(
-                CheckedToml.Mistake.class, () -> OperatorSettings.read(file(text.replace(';', '\n') + '\n')));
-        assertTrue(mistake.getMessage().contains("relay.toml" + line), mistake.getMessage());
-        assertTrue(mistake.getMessage().contains(expected), mistake.getMessage());
-        assertEquals(1, mistake.getMessage().lines().count());
+    void invalidFileIsRefusedWithOneLineThatNamesThePlace(String text, String line, String expected) {
+        CheckedToml.InvalidTomlException exception = assertThrows(
+                CheckedToml.InvalidTomlException.class,
+                () -> OperatorSettings.read(writeSettings(text.replace(';', '\n') + '\n')));
+        assertTrue(exception.getMessage().contains("relay.toml" + line), exception.getMessage());
+        assertTrue(exception.getMessage().contains(expected), exception.getMessage());
+        assertEquals(1, exception.getMessage().lines().count());
     }
 
-    /** The older form, a JSON file of its own. */
+    /** Covers the deprecated form of the AMQP settings: a separate JSON file. */
     @Test
-    void aFrontWithoutAClassIsRefusedInOneLine() throws Exception {
+    void amqpJsonFileWithoutAClassIsRefusedInOneLine() throws Exception {
         Path file = Files.writeString(folder.resolve("amqp.json"), "{\"listen\":\"127.0.0.1:5672\"}");
-        String said = assertThrows(IllegalArgumentException.class, () -> juniperusher.amqp.AmqpConfig.read(file))
+        String message = assertThrows(IllegalArgumentException.class, () -> juniperusher.amqp.AmqpConfig.read(file))
                 .getMessage();
-        assertTrue(said.startsWith("amqp.json cannot be read: class is missing"), said);
-        assertEquals(1, said.lines().count());
+        assertTrue(message.startsWith("amqp.json cannot be read: class is missing"), message);
+        assertEquals(1, message.lines().count());
     }
 
     @Test
-    void aValueSetOnTheCommandLineGoesBeforeTheFileAndIsCheckedAsWell() throws Exception {
-        CheckedToml checked = CheckedToml.by(OperatorSettings.class, "operator.schema.json");
-        Path file = file("[storm]\nquiet = 3\n[amqp]\nclass = 'own'\n[[amqp.brokers]]\n"
+    void commandLineOverrideReplacesTheFilesValueAndIsValidated() throws Exception {
+        CheckedToml reader = CheckedToml.by(OperatorSettings.class, "operator.schema.json");
+        Path file = writeSettings("[storm]\nquiet = 3\n[amqp]\nclass = 'own'\n[[amqp.brokers]]\n"
                 + "destination = 7\naddress = 'b:1'\n"
                 + "routing_key = ''\n");
-        var read = checked.read(file, List.of("storm.quiet=4", "amqp.brokers.0.destination=8"));
+        var read = reader.read(file, List.of("storm.quiet=4", "amqp.brokers.0.destination=8"));
         assertEquals(4, read.get("storm").asObject().getDouble("quiet", 0));
         assertEquals(
                 8,
@@ -143,13 +149,13 @@
                         .get(0)
                         .asObject()
                         .getInt("destination", 0));
-        for (String wrong :
+        for (String invalid :
                 List.of("storm.quiet=-1", "storm.quiet", "amqp.brokers.3.destination=1", "storm.quiet.x=1")) {
             assertTrue(
-                    assertThrows(CheckedToml.Mistake.class, () -> checked.read(file, List.of(wrong)))
+                    assertThrows(CheckedToml.InvalidTomlException.class, () -> reader.read(file, List.of(invalid)))
                             .getMessage()
-                            .startsWith("--set " + wrong),
-                    wrong);
+                            .startsWith("--set " + invalid),
+                    invalid);
         }
     }
 }
