--- a/src/main/java/juniperusher/cli/LabHollowFleet.java
+++ b/src/main/java/juniperusher/cli/LabHollowFleet.java
@@ -68,7 +68,7 @@
                 throw new ParameterException(files.get(0) + ": " + e.getMessage());
             } finally {
                 if (keptFolder == null) {
-                    delete(folder);
+                    deleteRecursively(folder);
                 }
             }
         }
@@ -96,7 +96,7 @@
                 / 2;
     }
 
-    private static void delete(Path folder) throws IOException {
+    private static void deleteRecursively(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path path : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(path);
--- a/src/main/java/juniperusher/cli/Main.java
+++ b/src/main/java/juniperusher/cli/Main.java
@@ -28,8 +28,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The command line. Exit codes: 0 for success, 1 for a failure, 2 for invalid arguments or settings, and 3 if an
- * experiment of the laboratory does not meet its expectations.
+ * The command line. Exit codes: 0 for success, 2 for invalid arguments or an invalid TOML file, 3 if an experiment of
+ * the laboratory does not meet its expectations, and 1 for any other failure.
  */
 public final class Main {
     private static final long MAX_WARM_UP_MILLIS = 2_000; // only before the first start
@@ -44,9 +44,8 @@
 
     /** Runs the sub-command that the arguments name, and exits with its code if that is not 0. */
     public static void main(String[] args) throws Exception {
-        // The logger reads these properties when the first one is created. It writes to standard error, because
-        // standard
-        // output carries the simulator's protocol.
+        // The properties have to be set before the first logger is created. Logs go to standard error, because
+        // standard output carries the simulator's protocol.
         System.setProperty("org.slf4j.simpleLogger.showDateTime", "true");
         System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "HH:mm:ss.SSS");
         int exitCode;
@@ -116,8 +115,7 @@
     private static final class Serve implements Command {
         @Parameter(
                 names = "--amqp",
-                description =
-                        "JSON file of the AMQP 0-9-1 front; deprecated, " + "use [amqp] in the file of --settings")
+                description = "JSON file of the AMQP 0-9-1 front; deprecated, use [amqp] in the file of --settings")
         private String amqpFile;
 
         @Parameter(
@@ -309,6 +307,7 @@
         }
     }
 
+    /** Returns the value of an environment variable that has to be set. */
     static String requireVariable(String name) {
         String value = System.getenv(name);
         if (value == null || value.isEmpty()) {
--- a/src/main/java/juniperusher/cli/SelfTest.java
+++ b/src/main/java/juniperusher/cli/SelfTest.java
@@ -27,7 +27,7 @@
 
 /**
  * Starts a relay on loopback, sends it one RPC and stops it. This checks that the program works on the machine, and
- * the build uses it to record which classes a start needs.
+ * the build runs it to record the classes that a start needs in an archive, which shortens restarts.
  */
 final class SelfTest {
     private SelfTest() {}
--- a/src/main/java/juniperusher/settings/CheckedToml.java
+++ b/src/main/java/juniperusher/settings/CheckedToml.java
@@ -33,10 +33,7 @@
     private final JsonObject schema;
     private final com.networknt.schema.Schema validator;
 
-    /**
-     * Thrown for an invalid file or an invalid override. The message is one line that names the place of the
-     * error and the expected value.
-     */
+    /** Thrown for an invalid file or override. The message is one line that says where the error is and what it is. */
     public static final class InvalidTomlException extends IllegalArgumentException {
         private static final long serialVersionUID = 1;
 
@@ -57,9 +54,7 @@
                 .getSchema(schemaText);
     }
 
-    /**
-     * Creates a reader for the schema in the named resource, which is in the package of the given class.
-     */
+    /** Creates a reader for a schema, which is a resource in the package of the given class. */
     public static CheckedToml by(Class<?> resourceClass, String schemaName) {
         try (InputStream in = resourceClass.getResourceAsStream(schemaName)) {
             return new CheckedToml(new String(in.readAllBytes(), StandardCharsets.UTF_8));
@@ -138,6 +133,7 @@
         return position == null ? 0 : position.line();
     }
 
+    /** Returns the path of the key that an error is about. For an unknown key that is the key itself, not its table. */
     private static List<String> keyPath(Error error) {
         List<String> path = new ArrayList<>();
         for (int i = 0; i < error.getInstanceLocation().getNameCount(); i++) {
@@ -149,6 +145,7 @@
         return path;
     }
 
+    /** Returns the text of a validation error without its place in the file. */
     private String describeError(Error error, List<String> path, JsonObject json) {
         String key = path.isEmpty() ? "the file" : "'" + String.join(".", path) + "'";
         if (error.getKeyword().equals("additionalProperties")) {
@@ -166,6 +163,7 @@
                 + error.getMessage().replaceFirst("^/\\S* ", "");
     }
 
+    /** Returns the schema of a property or of an array element, or the given schema if it declares neither. */
     private static JsonObject subschema(JsonObject schema, String part) {
         JsonValue properties = schema.get("properties");
         JsonValue property = properties == null ? null : properties.asObject().get(part);
@@ -183,6 +181,7 @@
         return current;
     }
 
+    /** Sets the value of a KEY=VALUE override in the file's content and records the override under its key. */
     private static void applyOverride(JsonObject json, String override, Map<String, String> overrideByKey) {
         int equals = override.indexOf('=');
         if (equals < 1) {
--- a/src/main/java/juniperusher/settings/OperatorSettings.java
+++ b/src/main/java/juniperusher/settings/OperatorSettings.java
@@ -20,7 +20,7 @@
  */
 public record OperatorSettings(
         StormSettings storm, JsonObject amqp, JsonObject fleet, JsonObject control, JsonObject effective) {
-    private static final String SCHEMA = "operator.schema.json";
+    private static final String SCHEMA_RESOURCE = "operator.schema.json";
 
     /**
      * Reads and validates a file.
@@ -29,7 +29,8 @@
      * @throws IOException if the file cannot be read
      */
     public static OperatorSettings read(Path file) throws IOException {
-        JsonObject effective = CheckedToml.by(OperatorSettings.class, SCHEMA).read(file, List.of());
+        JsonObject effective =
+                CheckedToml.by(OperatorSettings.class, SCHEMA_RESOURCE).read(file, List.of());
         JsonObject storm = enabledTable(effective, "storm");
         try {
             return new OperatorSettings(
@@ -39,11 +40,13 @@
                     enabledTable(effective, "control"),
                     effective);
         } catch (IllegalArgumentException e) {
-            // The two values contradict each other and either may be wrong, so the message names no line.
+            // StormSettings rejects pairs of values that contradict each other. Either may be the wrong one, so the
+            // message names no line.
             throw new InvalidTomlException(file.toString(), "[storm] " + e.getMessage());
         }
     }
 
+    /** Returns a table, or null if it is missing or disabled. */
     private static JsonObject enabledTable(JsonObject effective, String table) {
         JsonValue value = effective.get(table);
         return value != null && value.asObject().getBoolean("on", true) ? value.asObject() : null;
@@ -72,7 +75,7 @@
      */
     public static String describeKeys() {
         StringBuilder out = new StringBuilder();
-        JsonObject tables = CheckedToml.by(OperatorSettings.class, SCHEMA)
+        JsonObject tables = CheckedToml.by(OperatorSettings.class, SCHEMA_RESOURCE)
                 .schema()
                 .get("properties")
                 .asObject();
@@ -89,6 +92,7 @@
         return out.toString();
     }
 
+    /** Appends a line for each key of a table; tables in arrays are appended as comments. */
     private static void appendKeys(JsonObject schema, String linePrefix, StringBuilder out) {
         for (JsonObject.Member key : schema.get("properties").asObject()) {
             JsonObject keySchema = key.getValue().asObject();
@@ -114,11 +118,13 @@
         }
     }
 
+    /** Returns whether a schema describes an array of tables. */
     private static boolean isArrayOfTables(JsonObject schema) {
         JsonValue items = schema.get("items");
         return items != null && items.asObject().get("properties") != null;
     }
 
+    /** Returns whether a value is a non-empty array of tables. */
     private static boolean isArrayOfTables(JsonValue value) {
         return value.isArray()
                 && !value.asArray().isEmpty()
--- a/src/test/java/juniperusher/cli/AlertsTest.java
+++ b/src/test/java/juniperusher/cli/AlertsTest.java
@@ -15,7 +15,8 @@
 
 /**
  * Guards against alert rules and README entries that name a metric which the program does not have: such an alert never
- * fires. The metrics that exist are collected from the calls of the counters in the sources.
+ * fires. The existing metrics are found in the text of the sources, as calls of {@code add} and {@code gauge} on a
+ * variable named {@code counters}.
  */
 public class AlertsTest {
     private static Set<String> findAll(Pattern pattern, String text) {
--- a/src/test/java/juniperusher/cli/FleetCommandsTest.java
+++ b/src/test/java/juniperusher/cli/FleetCommandsTest.java
@@ -71,22 +71,25 @@
     }
 
     private int writeRelayConfiguration() throws Exception {
-        JsonObject json;
+        JsonObject configuration;
         try (InputStream in = Main.class.getResourceAsStream("/selftest.json")) {
-            json = Json.parse(new InputStreamReader(in, StandardCharsets.UTF_8)).asObject();
+            configuration = Json.parse(new InputStreamReader(in, StandardCharsets.UTF_8))
+                    .asObject();
         }
         int port = unusedPort();
-        json.set("listen", "127.0.0.1:" + port).set("discovery", "127.0.0.1:" + unusedPort());
-        Files.writeString(folder.resolve("relay.json"), json.toString());
+        configuration.set("listen", "127.0.0.1:" + port).set("discovery", "127.0.0.1:" + unusedPort());
+        Files.writeString(folder.resolve("relay.json"), configuration.toString());
         return port;
     }
 
-    private void await(String expected, Process process, String log, BooleanSupplier condition) throws Exception {
+    private void awaitCondition(String expected, Process process, String log, BooleanSupplier condition)
+            throws Exception {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
             assertTrue(
                     System.nanoTime() < deadlineNanos && process.isAlive(),
-                    () -> "in time: " + expected + "; " + readIfPresent(folder.resolve(log)));
+                    () -> "timed out, or the process ended, before: " + expected + "; "
+                            + readIfPresent(folder.resolve(log)));
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
@@ -126,7 +129,8 @@
         Files.writeString(folder.resolve("relay.toml"), "[storm]\n[fleet]\non = false\n");
         Process serve = startProgram(
                 "serve", "serve", "--settings", folder.resolve("relay.toml").toString());
-        await("the relay serves", serve, "serve", () -> fetchMetrics(port).contains("juniperusher_"));
+        awaitCondition(
+                "the relay serves", serve, "serve", () -> fetchMetrics(port).contains("juniperusher_"));
         assertFalse(fetchMetrics(port).contains("juniperusher_fleet"));
         assertEquals(List.of(), loadedFleetClasses("serve"));
     }
@@ -145,7 +149,7 @@
                 "control",
                 "--settings",
                 folder.resolve("control.toml").toString());
-        await(
+        awaitCondition(
                 "the leader listens",
                 leader,
                 "control",
@@ -155,14 +159,14 @@
                 "[fleet]\ncontrol = ['127.0.0.1:" + control + "']\nregion = 'north'\nzone = 'a'\n");
         Process serve = startProgram(
                 "serve", "serve", "--settings", folder.resolve("relay.toml").toString());
-        await(
-                "the map is in force",
+        awaitCondition(
+                "the map is active",
                 serve,
                 "serve",
                 () -> fetchMetrics(port).contains("juniperusher_fleet_map_epoch 1.0"));
         assertTrue(fetchMetrics(port).contains("juniperusher_fleet_maps_refused 0.0"));
-        assertFalse(loadedFleetClasses("serve").isEmpty(), "the check sees classes of the fleet where they are loaded");
-        await(
+        assertFalse(loadedFleetClasses("serve").isEmpty(), "the class log shows fleet classes if they are loaded");
+        awaitCondition(
                 "the map is saved",
                 serve,
                 "serve",
