--- a/src/main/java/juniperusher/distribution/Change.java
+++ b/src/main/java/juniperusher/distribution/Change.java
@@ -3,10 +3,11 @@
 import java.util.Arrays;
 
 /**
- * One step from a state to the next. An empty delta leaves the state as it is: a new leader opens its term with it.
+ * A change from one state to the next. An empty delta leaves the state unchanged: a new leader begins its term with
+ * such a change.
  *
- * @param version the state's version after it
- * @param delta what {@link StateCodec#apply} takes; not to be changed by anybody
+ * @param version version of the state after the change
+ * @param delta the change as encoded for {@link StateCodec#apply}; must not be modified
  */
 public record Change(Version version, byte[] delta) {
     @Override
--- a/src/main/java/juniperusher/distribution/ControlMessage.java
+++ b/src/main/java/juniperusher/distribution/ControlMessage.java
@@ -4,100 +4,122 @@
 import java.util.List;
 
 /**
- * What a publisher and its subscriber tell each other over one connection, which keeps the order. The term of a
- * message is the newest that its sender has seen; whoever has seen a newer one refuses the message.
+ * A message between a publisher and a subscriber over one ordered connection. Each message contains the newest term
+ * that its sender has seen. A subscriber refuses messages with an older term than its own.
  */
 public sealed interface ControlMessage {
     /** The newest term that the sender has seen. */
     long term();
 
     /**
-     * First message of a connection, from the subscriber.
+     * The first message of a connection, from the subscriber.
      *
-     * @param subscriber its name, for logs
-     * @param republishes whether it passes on what it gets: then it does not wait behind those that do not
-     * @param has what it holds, {@link Version#NONE} for nothing or to get the whole state
+     * @param subscriber name of the subscriber; a new connection with the same name replaces the previous one
+     * @param republishes whether the subscriber is a control process that republishes the state; such subscribers are
+     *     exempt from the limits on subscribers and on concurrent snapshots
+     * @param version version of the subscriber's state; {@link Version#NONE} to request a snapshot
      */
-    record Subscribe(String subscriber, boolean republishes, long term, Version has) implements ControlMessage {}
+    record Subscribe(String subscriber, boolean republishes, long term, Version version) implements ControlMessage {}
 
     /**
-     * One part of a whole state; parts come in their order.
+     * One part of a snapshot. Parts are sent in order.
      *
-     * @param checksum the CRC32C of the whole state's bytes
+     * @param version version of the snapshot's state
+     * @param partIndex index of this part, from 0
+     * @param partCount number of parts of the snapshot
+     * @param checksum CRC32C over the encoded state, that is, over the bytes of all parts
+     * @param bytes the part's bytes; must not be modified
      */
-    record SnapshotPart(long term, Version version, int part, int parts, int checksum, byte[] bytes)
+    record SnapshotPart(long term, Version version, int partIndex, int partCount, int checksum, byte[] bytes)
             implements ControlMessage {
-        /** The same part from a sender that has seen another term. */
-        SnapshotPart inTerm(long other) {
-            return new SnapshotPart(other, version, part, parts, checksum, bytes);
+        /** Returns a copy with another sender's term; the bytes are shared. */
+        SnapshotPart withTerm(long newTerm) {
+            return new SnapshotPart(newTerm, version, partIndex, partCount, checksum, bytes);
         }
 
         @Override
         public boolean equals(Object other) {
-            return other instanceof SnapshotPart one
-                    && term == one.term
-                    && version.equals(one.version)
-                    && part == one.part
-                    && parts == one.parts
-                    && checksum == one.checksum
-                    && Arrays.equals(bytes, one.bytes);
+            return other instanceof SnapshotPart that
+                    && term == that.term
+                    && version.equals(that.version)
+                    && partIndex == that.partIndex
+                    && partCount == that.partCount
+                    && checksum == that.checksum
+                    && Arrays.equals(bytes, that.bytes);
         }
 
         @Override
         public int hashCode() {
-            return 31 * version.hashCode() + part;
+            return 31 * version.hashCode() + partIndex;
         }
 
         @Override
         public String toString() {
-            return "SnapshotPart[" + version + " " + part + " of " + parts + "]";
+            return "SnapshotPart[" + version + " " + partIndex + " of " + partCount + "]";
         }
     }
 
-    /** Consecutive changes, one or more, from that version on. */
-    record Delta(long term, Version from, List<Change> changes) implements ControlMessage {
-        /** Checks that there is a change and that they follow each other. */
+    /**
+     * One or more consecutive changes.
+     *
+     * @param fromVersion version of the state to which the first change applies
+     */
+    record Delta(long term, Version fromVersion, List<Change> changes) implements ControlMessage {
+        /** Checks that there is at least one change and that the versions are consecutive. */
         public Delta {
             changes = List.copyOf(changes);
             if (changes.isEmpty()) {
-                throw new IllegalArgumentException("a delta needs a change");
+                throw new IllegalArgumentException("delta without a change");
             }
-            Version last = from;
+            Version last = fromVersion;
             for (Change change : changes) {
                 if (change.version().revision() != last.revision() + 1
                         || change.version().term() < last.term()) {
-                    throw new IllegalArgumentException("a delta leads from " + last + " to " + change.version());
+                    throw new IllegalArgumentException(
+                            "delta is not consecutive: after " + last + " comes " + change.version());
                 }
                 last = change.version();
             }
         }
 
-        /** The version that it leads to. */
-        public Version to() {
+        /** The version of the state after the last change. */
+        public Version toVersion() {
             return changes.get(changes.size() - 1).version();
         }
     }
 
     /**
-     * The publisher lives.
+     * Sent by the publisher at a regular interval, and when a subscriber has become up to date.
      *
-     * @param newest the newest version that it has
-     * @param sent the version that the subscriber has once it has all that was sent on this connection
-     * @param age seconds for which the publisher may itself be out of date; infinite if it does not know
-     * @param acknowledged the last {@link Acknowledge#received} that it has heard on this connection, 0 for none
-     * @param since seconds between its hearing that, or the subscription, and this message
+     * @param newestVersion the publisher's newest version
+     * @param sentVersion the version that the subscriber has once it has received all earlier messages
+     * @param ageSeconds for how many seconds the publisher's own state may have been out of date; infinite if not known
+     * @param acknowledgedMessages the last {@link Acknowledge#receivedMessages} that the publisher received on this
+     *     connection, 0 for none
+     * @param secondsSinceAcknowledge seconds since the publisher received that acknowledgement or, if there was none,
+     *     the {@link Subscribe}
      */
-    record Heartbeat(long term, Version newest, Version sent, double age, long acknowledged, double since)
+    record Heartbeat(
+            long term,
+            Version newestVersion,
+            Version sentVersion,
+            double ageSeconds,
+            long acknowledgedMessages,
+            double secondsSinceAcknowledge)
             implements ControlMessage {}
 
-    /** The publisher cannot serve the subscriber now; it closes the connection. Not to be asked before. */
-    record Busy(long term, double retryAfter) implements ControlMessage {}
+    /**
+     * Sent by the publisher before it closes the connection, because it cannot serve the subscriber now.
+     *
+     * @param retryAfterSeconds delay before the subscriber may connect again
+     */
+    record Busy(long term, double retryAfterSeconds) implements ControlMessage {}
 
     /**
-     * From the subscriber, for each message that it has dealt with.
+     * Sent by the subscriber after each message that it has handled.
      *
-     * @param has the version that it holds
-     * @param received messages received on this connection so far
+     * @param version version of the subscriber's state
+     * @param receivedMessages number of messages received on this connection so far
      */
-    record Acknowledge(long term, Version has, long received) implements ControlMessage {}
+    record Acknowledge(long term, Version version, long receivedMessages) implements ControlMessage {}
 }
--- a/src/main/java/juniperusher/distribution/ControlProcess.java
+++ b/src/main/java/juniperusher/distribution/ControlProcess.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * A control process: publishes to its subscribers, and follows the leader while it does not lead itself. Joins a
- * {@link Subscriber} and a {@link Publisher}: what the one takes over the other passes on, with its age, and a newer
- * term that one side sees the other knows too.
+ * State machine of a control process. It publishes a state to its subscribers, and follows the leader while it does not
+ * lead itself. It connects a {@link Subscriber} to a {@link Publisher}: the publisher republishes each state that the
+ * subscriber receives, together with its age, and both sides learn each newer term that one of them sees.
  *
- * <p>How an adapter drives it: as both are driven, see there. Each method that can cause steps returns those for
- * either side; those of the subscriber concern connections that this process opened, those of the publisher
- * connections that it accepted, and each side has its own numbers. It leads from {@link #lead} on, called when the
- * process's lease is held, until {@link #follow}, called when the lease is in doubt, lost, or given up after {@link
- * PublisherStep.Deposed}.
+ * <p>Not thread-safe. An adapter drives it like a subscriber and a publisher. Methods return the steps of both sides:
+ * those of the subscriber refer to connections that this process opened, those of the publisher to connections that it
+ * accepted. The two sides number their connections independently. The process leads from {@link #lead}, which is called
+ * once it has the lease, until {@link #follow}, which is called when the lease is in doubt or lost, or was released
+ * after {@link PublisherStep.Deposed}.
  *
  * @param <S> the state
  */
@@ -21,110 +21,115 @@
     private final Publisher<S> publisher;
 
     /**
-     * What is to be done on both sides.
+     * Steps for the adapter.
      *
      * @param <S> the state
+     * @param upstream steps for connections to sources
+     * @param downstream steps for connections of subscribers
      */
     public record Steps<S>(List<SubscriberStep<S>> upstream, List<PublisherStep> downstream) {}
 
-    /** Joins the two; the subscriber has no state and no sources yet, and the publisher no state. */
+    /** Connects a subscriber and a publisher, neither of which has a state or sources yet. */
     public ControlProcess(Subscriber<S> subscriber, Publisher<S> publisher) {
-        subscriber.republishes();
+        subscriber.setRepublishing();
         this.subscriber = subscriber;
         this.publisher = publisher;
     }
 
-    /** A state that the process has from the store or its folder, before it leads or follows. */
+    /**
+     * Sets a state that was restored from the store or from disk. To be called before {@link #lead} and {@link
+     * #follow}.
+     */
     public Steps<S> resume(Version version, S state, double knownCurrentAt, double time) {
         subscriber.resume(version, state, knownCurrentAt);
-        publisher.currentAt(knownCurrentAt);
-        return downstream(publisher.replaced(version, state, time));
+        publisher.updateKnownCurrentAt(knownCurrentAt);
+        return downstreamSteps(publisher.replaceState(version, state, time));
     }
 
-    /** The process leads from now on, under that fencing token. */
+    /** Makes this process the leader under that fencing token of its lease. See {@link Publisher#lead}. */
     public Steps<S> lead(long token, double time) {
         List<SubscriberStep<S>> upstream = subscriber.stop(time);
-        Steps<S> steps = downstream(publisher.lead(token, time));
+        Steps<S> steps = downstreamSteps(publisher.lead(token, time));
         return new Steps<>(upstream, steps.downstream());
     }
 
-    /** The process does not lead, or no more, and follows one of these sources, the first ones first. */
+    /** Makes this process a follower of one of these sources, which are in order of preference. */
     public Steps<S> follow(List<String> sources, double time) {
         publisher.resign(time);
         if (publisher.state() != null) {
             subscriber.resume(publisher.newest(), publisher.state(), time - publisher.age(time));
         }
-        subscriber.newerTerm(publisher.term());
+        subscriber.observeTerm(publisher.term());
         return new Steps<>(subscriber.start(sources, time), List.of());
     }
 
-    /** Changes of the state, all or none; only while the process's lease is held. */
+    /** Publishes changes, either all or none. Only allowed while the lease is valid. See {@link Publisher#publish}. */
     public Steps<S> publish(List<byte[]> deltas, double time) throws DamagedStateException {
-        return downstream(publisher.publish(deltas, time));
+        return downstreamSteps(publisher.publish(deltas, time));
     }
 
-    /** The connection to the source is open. */
+    /** Reports that the connection to the source is open. */
     public Steps<S> connected(long connection, double time) {
-        return passOn(subscriber.connected(connection, time), time);
+        return forward(subscriber.connected(connection, time), time);
     }
 
-    /** The connection to the source could not be opened, or has ended. */
+    /** Reports that the connection to the source could not be opened or has ended. */
     public Steps<S> disconnected(long connection, double time) {
-        return passOn(subscriber.disconnected(connection, time), time);
+        return forward(subscriber.disconnected(connection, time), time);
     }
 
-    /** The source has sent a message. */
+    /** Handles a message from the source. */
     public Steps<S> fromSource(long connection, ControlMessage message, double time) {
-        return passOn(subscriber.received(connection, message, time), time);
+        return forward(subscriber.received(connection, message, time), time);
     }
 
-    /** A subscriber has sent a message. */
+    /** Handles a message from a subscriber. */
     public Steps<S> fromSubscriber(long connection, ControlMessage message, double time) {
-        return downstream(publisher.received(connection, message, time));
+        return downstreamSteps(publisher.received(connection, message, time));
     }
 
-    /** A subscriber's connection has ended. */
+    /** Reports that a subscriber's connection has ended. */
     public void closed(long connection, double time) {
         publisher.closed(connection, time);
     }
 
-    /** Time has passed; to be called at {@link #due} at the latest. */
+    /** Handles timeouts on both sides. Has to be called at {@link #due} at the latest. */
     public Steps<S> tick(double time) {
-        Steps<S> first = passOn(subscriber.tick(time), time);
-        List<PublisherStep> all = new ArrayList<>(first.downstream());
-        all.addAll(downstream(publisher.tick(time)).downstream());
-        return new Steps<>(first.upstream(), all);
+        Steps<S> upstreamTick = forward(subscriber.tick(time), time);
+        List<PublisherStep> downstream = new ArrayList<>(upstreamTick.downstream());
+        downstream.addAll(downstreamSteps(publisher.tick(time)).downstream());
+        return new Steps<>(upstreamTick.upstream(), downstream);
     }
 
-    /** When {@link #tick} has something to do next. */
+    /** The time at which {@link #tick} has to be called next; infinite if there is nothing to do. */
     public double due() {
         return Math.min(subscriber.due(), publisher.due());
     }
 
-    private Steps<S> passOn(List<SubscriberStep<S>> upstream, double time) {
-        List<PublisherStep> downstream = new ArrayList<>(publisher.newerTerm(subscriber.term(), time));
-        publisher.currentAt(subscriber.currentAt());
+    private Steps<S> forward(List<SubscriberStep<S>> upstream, double time) {
+        List<PublisherStep> forwarded = new ArrayList<>(publisher.observeTerm(subscriber.term(), time));
+        publisher.updateKnownCurrentAt(subscriber.currentAt());
         for (SubscriberStep<S> step : upstream) {
             if (step instanceof SubscriberStep.Replaced<S> replaced) {
-                downstream.addAll(publisher.replaced(replaced.version(), replaced.state(), time));
+                forwarded.addAll(publisher.replaceState(replaced.version(), replaced.state(), time));
             } else if (step instanceof SubscriberStep.Advanced<S> advanced) {
-                downstream.addAll(publisher.advanced(advanced.from(), advanced.changes(), advanced.state(), time));
+                forwarded.addAll(publisher.advanceState(advanced.from(), advanced.changes(), advanced.state(), time));
             }
         }
-        return new Steps<>(upstream, downstream(downstream).downstream());
+        return new Steps<>(upstream, downstreamSteps(forwarded).downstream());
     }
 
-    private Steps<S> downstream(List<PublisherStep> steps) {
-        subscriber.newerTerm(publisher.term());
+    private Steps<S> downstreamSteps(List<PublisherStep> steps) {
+        subscriber.observeTerm(publisher.term());
         return new Steps<>(List.of(), steps);
     }
 
-    /** The side towards the leader. */
+    /** The side that connects to sources. */
     public Subscriber<S> subscriber() {
         return subscriber;
     }
 
-    /** The side towards the subscribers. */
+    /** The side that serves subscribers. */
     public Publisher<S> publisher() {
         return publisher;
     }
--- a/src/main/java/juniperusher/distribution/DamagedFrameException.java
+++ b/src/main/java/juniperusher/distribution/DamagedFrameException.java
@@ -1,10 +1,10 @@
 package juniperusher.distribution;
 
-/** Bytes that are no frame of this protocol. The connection that they came on is of no more use. */
+/** Received bytes are not a valid frame of the control protocol. The connection has to be closed. */
 public final class DamagedFrameException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** What is wrong with the frame. */
+    /** The part of the frame that is invalid. */
     public enum Fault {
         LENGTH,
         VERSION,
@@ -15,13 +15,17 @@
 
     private final Fault fault;
 
-    /** Says in one line what is wrong and what was expected. */
+    /**
+     * Creates an exception.
+     *
+     * @param message one line that says what is wrong and, if possible, what was expected
+     */
     public DamagedFrameException(Fault fault, String message) {
         super(message);
         this.fault = fault;
     }
 
-    /** What is wrong. */
+    /** The part of the frame that is invalid. */
     public Fault fault() {
         return fault;
     }
--- a/src/main/java/juniperusher/distribution/DeltaLog.java
+++ b/src/main/java/juniperusher/distribution/DeltaLog.java
@@ -5,106 +5,122 @@
 import java.util.List;
 
 /**
- * The recent changes of a state, bounded in number and bytes; the oldest go first. It leads from its base to the
- * newest version. A version is covered only if the log passes through it: the same revision of another term is
- * another state.
+ * A bounded log of the most recent changes of a state, from a base version to the newest version. When a limit is
+ * exceeded, the oldest changes are dropped and the base version moves on. Versions are compared by term and revision,
+ * because the same revision in another term names another state.
+ *
+ * <p>Not thread-safe.
  */
 public final class DeltaLog {
-    private static final int COMPACT_FROM = 64; // dropped entries
+    private static final int COMPACTION_MIN_DROPPED = 64; // avoids copying the list for each dropped entry
 
-    private final int mostChanges;
-    private final int mostBytes;
+    private final int maxChanges;
+    private final int maxBytes;
     private final List<Change> changes = new ArrayList<>();
-    private int first; // index of the oldest change that is kept
-    private Version base = Version.NONE;
-    private int bytes;
+    private int firstIndex; // index of the oldest kept change; the entries before it are null
+    private Version baseVersion = Version.NONE;
+    private int totalBytes;
 
-    /** An empty log of at most so many changes and bytes. */
-    public DeltaLog(int mostChanges, int mostBytes) {
-        this.mostChanges = mostChanges;
-        this.mostBytes = mostBytes;
+    /**
+     * Creates an empty log.
+     *
+     * @param maxChanges number of changes above which the oldest are dropped
+     * @param maxBytes bytes above which the oldest changes are dropped; the newest one is always kept
+     */
+    public DeltaLog(int maxChanges, int maxBytes) {
+        this.maxChanges = maxChanges;
+        this.maxBytes = maxBytes;
     }
 
-    /** Starts anew from a state of that version. */
+    /** Drops all changes; the log then begins at that version. */
     public void reset(Version version) {
         changes.clear();
-        first = 0;
-        bytes = 0;
-        base = version;
+        firstIndex = 0;
+        totalBytes = 0;
+        baseVersion = version;
     }
 
-    /** Adds the change that follows the newest one. */
+    /**
+     * Adds a change.
+     *
+     * @throws IllegalArgumentException if the change does not follow the newest version
+     */
     public void append(Change change) {
-        Version before = newest();
-        if (change.version().revision() != before.revision() + 1
-                || change.version().term() < before.term()) {
-            throw new IllegalArgumentException(change.version() + " does not follow " + before);
+        Version previous = newestVersion();
+        if (change.version().revision() != previous.revision() + 1
+                || change.version().term() < previous.term()) {
+            throw new IllegalArgumentException(change.version() + " does not follow " + previous);
         }
         changes.add(change);
-        bytes += ControlMessageCodec.size(change);
-        while (count() > mostChanges || bytes > mostBytes && count() > 1) {
-            Change dropped = changes.set(first, null);
-            first++;
-            base = dropped.version();
-            bytes -= ControlMessageCodec.size(dropped);
+        totalBytes += ControlMessageCodec.size(change);
+        while (changeCount() > maxChanges || totalBytes > maxBytes && changeCount() > 1) {
+            Change dropped = changes.set(firstIndex, null);
+            firstIndex++;
+            baseVersion = dropped.version();
+            totalBytes -= ControlMessageCodec.size(dropped);
         }
-        if (first >= COMPACT_FROM && first > changes.size() / 2) {
-            changes.subList(0, first).clear();
-            first = 0;
+        if (firstIndex >= COMPACTION_MIN_DROPPED && firstIndex > changes.size() / 2) {
+            changes.subList(0, firstIndex).clear();
+            firstIndex = 0;
         }
     }
 
-    /** The newest version. */
-    public Version newest() {
-        return count() == 0 ? base : changes.get(changes.size() - 1).version();
+    /** The version after the newest change; the base version if the log is empty. */
+    public Version newestVersion() {
+        return changeCount() == 0
+                ? baseVersion
+                : changes.get(changes.size() - 1).version();
     }
 
-    /** Whether who has that version can be served by changes. */
+    /** Whether the log contains all changes from that version to the newest one. */
     public boolean covers(Version version) {
-        long behind = newest().revision() - version.revision();
-        if (behind < 0 || behind > count()) {
+        long distance = newestVersion().revision() - version.revision();
+        if (distance < 0 || distance > changeCount()) {
             return false;
         }
-        return versionBehind((int) behind).equals(version);
+        return versionBeforeNewest((int) distance).equals(version);
     }
 
-    private Version versionBehind(int behind) {
-        return behind == count()
-                ? base
-                : changes.get(changes.size() - 1 - behind).version();
+    private Version versionBeforeNewest(int distance) {
+        return distance == changeCount()
+                ? baseVersion
+                : changes.get(changes.size() - 1 - distance).version();
     }
 
     /**
-     * The changes that follow that version: as many as fit into so many bytes, but one at least.
+     * Returns the first changes after that version.
      *
-     * @throws IllegalArgumentException if it is not covered
+     * @param byteLimit limit on the total size of the changes; one change is returned even if it is larger
+     * @throws IllegalArgumentException if the log does not cover the version
      */
-    public List<Change> since(Version version, int room) {
+    public List<Change> changesAfter(Version version, int byteLimit) {
         if (!covers(version)) {
-            throw new IllegalArgumentException(version + " is not in the log from " + base + " to " + newest());
+            throw new IllegalArgumentException(
+                    version + " is not in the log from " + baseVersion + " to " + newestVersion());
         }
-        int from = changes.size() - (int) (newest().revision() - version.revision());
+        int from = changes.size() - (int) (newestVersion().revision() - version.revision());
         int to = from;
-        int taken = 0;
-        while (to < changes.size() && (to == from || taken + ControlMessageCodec.size(changes.get(to)) <= room)) {
-            taken += ControlMessageCodec.size(changes.get(to));
+        int selectedBytes = 0;
+        while (to < changes.size()
+                && (to == from || selectedBytes + ControlMessageCodec.size(changes.get(to)) <= byteLimit)) {
+            selectedBytes += ControlMessageCodec.size(changes.get(to));
             to++;
         }
         return Collections.unmodifiableList(new ArrayList<>(changes.subList(from, to)));
     }
 
-    /** The oldest version from which changes are kept. */
-    public Version base() {
-        return base;
+    /** The version to which the oldest kept change applies. */
+    public Version baseVersion() {
+        return baseVersion;
     }
 
-    /** How many changes are kept. */
-    public int count() {
-        return changes.size() - first;
+    /** Number of changes in the log. */
+    public int changeCount() {
+        return changes.size() - firstIndex;
     }
 
-    /** How many bytes the kept changes take on the wire. */
-    public int bytes() {
-        return bytes;
+    /** Upper bound of the size, in bytes, of the log's changes in delta messages. */
+    public int totalBytes() {
+        return totalBytes;
     }
 }
--- a/src/main/java/juniperusher/distribution/EncodedState.java
+++ b/src/main/java/juniperusher/distribution/EncodedState.java
@@ -4,24 +4,24 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A whole state as the messages that carry it, shared by all who get it. */
-record EncodedState(Version version, List<ControlMessage.SnapshotPart> parts, int bytes) {
-    /** Cuts the bytes into parts of at most so many each. */
-    static EncodedState of(long term, Version version, byte[] bytes, int partBytes) {
+/** An encoded state, split into the messages of a snapshot. All subscribers that need a snapshot share it. */
+record EncodedState(Version version, List<ControlMessage.SnapshotPart> parts, int totalBytes) {
+    /** Splits an encoded state into parts of at most {@code maxPartBytes} bytes. */
+    static EncodedState of(long term, Version version, byte[] bytes, int maxPartBytes) {
         int checksum = ControlMessageCodec.checksum(bytes, 0, bytes.length);
-        int count = Math.max(1, (bytes.length + partBytes - 1) / partBytes);
+        int partCount = Math.max(1, (bytes.length + maxPartBytes - 1) / maxPartBytes);
         List<ControlMessage.SnapshotPart> parts = new ArrayList<>();
-        for (int part = 0; part < count; part++) {
-            int from = part * partBytes;
-            byte[] piece = Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + partBytes));
-            parts.add(new ControlMessage.SnapshotPart(term, version, part, count, checksum, piece));
+        for (int partIndex = 0; partIndex < partCount; partIndex++) {
+            int from = partIndex * maxPartBytes;
+            byte[] content = Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + maxPartBytes));
+            parts.add(new ControlMessage.SnapshotPart(term, version, partIndex, partCount, checksum, content));
         }
         return new EncodedState(version, parts, bytes.length);
     }
 
-    /** One part, from a sender that has seen that term. */
-    ControlMessage.SnapshotPart part(int number, long term) {
-        ControlMessage.SnapshotPart part = parts.get(number);
-        return part.term() == term ? part : part.inTerm(term);
+    /** Returns a part with that term of the sender. */
+    ControlMessage.SnapshotPart part(int partIndex, long senderTerm) {
+        ControlMessage.SnapshotPart part = parts.get(partIndex);
+        return part.term() == senderTerm ? part : part.withTerm(senderTerm);
     }
 }
--- a/src/main/java/juniperusher/distribution/Publisher.java
+++ b/src/main/java/juniperusher/distribution/Publisher.java
@@ -7,29 +7,38 @@
 import java.util.SplittableRandom;
 
 /**
- * A control process's side towards its subscribers, which are other control processes or relays. It has the newest
- * state and the log of recent changes and brings each subscriber there: by the changes that follow its version
- * where the log has them, else by the whole state. It publishes changes of its own while it leads, and passes on
- * what its own {@link Subscriber} has taken over while another one does ({@link ControlProcess} joins the two).
+ * State machine of a control process that serves a versioned state to subscribers, which are relays and other control
+ * processes. It keeps the newest state and a log of recent changes. A subscriber gets the changes that follow its
+ * version if the log has them, and a snapshot (the whole state) otherwise. While this process leads, it publishes
+ * its own changes; while another process leads, it republishes what its own {@link Subscriber} received
+ * ({@link ControlProcess} connects the two).
  *
- * <p>For a subscriber it keeps its version and what is on its way to it, never a queue: while the window of a slow
- * reader is full nothing is prepared for it, and afterwards it gets all that it missed in one go. One encoded state
- * serves all that need one. So memory is bounded by the log, one encoded state and the sum of the windows.
+ * <p>Memory is bounded by the log, one encoded state and the sum of the send windows. A subscriber has no queue: the
+ * publisher only records the subscriber's version and the sizes of the unacknowledged messages. While the window of a
+ * slow subscriber is full, no message is prepared for it; afterwards it gets everything that it missed together. All
+ * snapshots in progress share one encoded state.
  *
- * <p>How an adapter drives it: on one thread; it numbers the connections that it accepts, tells each decoded message
- * by {@link #received} and the end of a connection that it did not close itself by {@link #closed}; it carries the
- * returned steps out in their order before the next call; it calls {@link #tick} at {@link #due}, which each call
- * may have moved. A message that was sent counts as on its way until it is acknowledged, so the adapter may hand it
- * to the socket's queue without a bound of its own. Before {@link #publish} it asks its lease whether it holds, and
- * before {@link #tick} it ticks the lease, so that a leader that stood still does not call itself current.
+ * <p>Not thread-safe. Times are seconds of a monotonic clock. An adapter drives the publisher as follows:
+ *
+ * <ul>
+ *   <li>It numbers the connections that it accepts, passes each decoded message to {@link #received} and reports a
+ *       connection that it did not close itself by {@link #closed}.
+ *   <li>It carries out the returned steps in order before the next call.
+ *   <li>It calls {@link #tick} at {@link #due}, which any call may change.
+ *   <li>It may add messages to the socket's queue without a limit of its own, because a message counts against the
+ *       window until it is acknowledged.
+ *   <li>It checks that its lease is valid before {@link #publish} and ticks the lease before {@link #tick}. Otherwise
+ *       a leader that was suspended would report its state as current although its lease has expired.
+ * </ul>
  *
  * @param <S> the state
  */
 public final class Publisher<S> {
     private static final double NEVER = Double.POSITIVE_INFINITY;
-    private static final int SHARED_DELTAS = 16;
-    private static final double SMOOTHING = 0.2; // of the time that a whole state takes
-    private static final double FIRST_ESTIMATE = 0.25; // s
+    private static final int MAX_SHARED_DELTAS = 16;
+    // weight of the newest duration in the moving average of snapshot durations
+    private static final double SNAPSHOT_ESTIMATE_SMOOTHING = 0.2;
+    private static final double INITIAL_SNAPSHOT_ESTIMATE_SECONDS = 0.25;
 
     private final Timing timing;
     private final Limits limits;
@@ -37,62 +46,68 @@
     private final SplittableRandom random;
     private final DeltaLog log;
     private final Map<Long, Subscription> subscriptions = new LinkedHashMap<>();
-    private final Map<String, Long> connections = new LinkedHashMap<>(); // by the subscriber's name
-    private final Map<Version, ControlMessage.Delta> shared = new LinkedHashMap<>(); // by the version before it
+    private final Map<String, Long> connectionsByName = new LinkedHashMap<>(); // key: subscriber name
+    private final Map<Version, ControlMessage.Delta> sharedDeltas =
+            new LinkedHashMap<>(); // key: version before the delta
     private final Counters counters = new Counters();
-    private S state; // null for none yet
-    private EncodedState image; // the newest encoded state, or null
-    private long term; // the newest that was seen
-    private long leads; // the term under which this process leads, 0 for none
-    private long led; // the last such term
-    private double currentAt = Double.NEGATIVE_INFINITY; // while another one leads: when the state was known current
-    private double flushAt = NEVER;
-    private double flushedAt = Double.NEGATIVE_INFINITY;
-    private double heartbeatAt = NEVER;
-    private double freeFrom = Double.NEGATIVE_INFINITY; // when a place for a whole state is not promised yet
-    private double snapshotEstimate = FIRST_ESTIMATE;
+    private S state; // null until there is one
+    private EncodedState encodedState; // the state that current snapshots transfer, or null
+    private long highestTerm; // of this process and of all messages received
+    private long leadingTerm; // the term under which this process leads, 0 if it does not
+    private long lastLeadingTerm; // the last term under which this process led, 0 for none
+    private double lastKnownCurrentAt = Double.NEGATIVE_INFINITY; // used while this process does not lead
+    private double nextFlushAt = NEVER;
+    private double lastFlushAt = Double.NEGATIVE_INFINITY;
+    private double nextHeartbeatAt = NEVER;
+    // the latest time at which a rejected subscriber was told to expect a free snapshot slot
+    private double nextSnapshotSlotAt = Double.NEGATIVE_INFINITY;
+    private double snapshotEstimateSeconds = INITIAL_SNAPSHOT_ESTIMATE_SECONDS;
     private double now = Double.NEGATIVE_INFINITY;
 
-    /** What has happened so far, for metrics. */
+    /** Event counts since the start, for metrics. Not thread-safe. */
     public static final class Counters {
         private long snapshots;
         private long deltas;
         private long busy;
         private long slow;
-        private long encoded;
+        private long encodings;
 
-        /** Whole states that were begun. */
+        /** Snapshots started. */
         public long snapshots() {
             return snapshots;
         }
 
-        /** Messages with changes. */
+        /** Delta messages sent. */
         public long deltas() {
             return deltas;
         }
 
-        /** Subscribers that were told to come again later. */
+        /** Connections rejected with {@link ControlMessage.Busy}. */
         public long busy() {
             return busy;
         }
 
-        /** Connections that were closed as nothing was acknowledged for too long. */
+        /** Connections closed because of the acknowledgement timeout. */
         public long slow() {
             return slow;
         }
 
-        /** Times that the state was encoded. */
-        public long encoded() {
-            return encoded;
+        /** How often the state was encoded. */
+        public long encodings() {
+            return encodings;
         }
     }
 
     /**
-     * What the publisher holds in memory now.
+     * Current memory use of a publisher.
      *
-     * @param inFlightBytes the sum of what is on its way to all subscribers
-     * @param mostInFlightBytes the most that is on its way to one
-     * @param imageBytes of the encoded state, 0 for none
+     * @param subscribers number of subscribers
+     * @param inFlightBytes unacknowledged bytes of all subscribers
+     * @param mostInFlightBytes unacknowledged bytes of the subscriber that has most of them
+     * @param logChanges number of changes in the log
+     * @param logBytes bytes of the changes in the log
+     * @param encodedStateBytes size of the encoded state, 0 if there is none
+     * @param snapshotsUnderWay snapshot slots in use
      */
     public record Memory(
             int subscribers,
@@ -100,10 +115,14 @@
             long mostInFlightBytes,
             int logChanges,
             int logBytes,
-            int imageBytes,
+            int encodedStateBytes,
             int snapshotsUnderWay) {}
 
-    /** A publisher without a state: who subscribes waits for it, and is told that it is not current. */
+    /**
+     * Creates a publisher without a state. Until it has one, subscribers only get heartbeats, of an infinite age.
+     *
+     * @param seed seed of the jitter in retry-after delays
+     */
     public Publisher(Timing timing, Limits limits, StateCodec<S> codec, long seed) {
         this.timing = timing;
         this.limits = limits;
@@ -115,25 +134,26 @@
     // ---- the state ----
 
     /**
-     * This process leads from now on, under its lease's fencing token; also again under the same one after
-     * {@link #resign}. A new term is opened by a change that leaves the state as it is, so that who follows an
-     * older leader is found out by the version. If a newer term is known the only step is {@link
-     * PublisherStep.Deposed}.
+     * Makes this process the leader. The first change of a new term is empty: it gives the unchanged state a version
+     * of that term, so that the versions of subscribers that still follow an older leader differ from it. After
+     * {@link #resign}, the process may lead again under the same token. If a newer term is known, the process does not
+     * lead and the only step is {@link PublisherStep.Deposed}.
      *
+     * @param token the lease's fencing token, used as the term
      * @throws IllegalStateException if there is no state yet
      */
     public List<PublisherStep> lead(long token, double time) {
-        pass(time);
+        advanceClock(time);
         if (state == null) {
-            throw new IllegalStateException("there is no state to lead with");
+            throw new IllegalStateException("cannot lead without a state");
         }
-        if (token < term || token == newest().term() && token != led) {
-            return List.of(new PublisherStep.Deposed(Math.max(term, newest().term())));
+        if (token < highestTerm || token == newest().term() && token != lastLeadingTerm) {
+            return List.of(new PublisherStep.Deposed(Math.max(highestTerm, newest().term())));
         }
         List<PublisherStep> steps = new ArrayList<>();
-        term = token;
-        leads = token;
-        led = token;
+        highestTerm = token;
+        leadingTerm = token;
+        lastLeadingTerm = token;
         if (newest().term() < token) {
             append(new Change(new Version(token, newest().revision() + 1), new byte[0]));
             flush(steps);
@@ -141,367 +161,387 @@
         return steps;
     }
 
-    /** This process leads no more, or is not sure of it: what it has ages from now on. */
+    /** Stops leading, also if the lease is only in doubt. The age of the state counts from now on. */
     public void resign(double time) {
-        pass(time);
-        if (leads != 0) {
-            leads = 0;
-            currentAt = time;
+        advanceClock(time);
+        if (leadingTerm != 0) {
+            leadingTerm = 0;
+            lastKnownCurrentAt = time;
         }
     }
 
     /**
-     * Publishes changes of the leader's state, all or, if one is damaged, none.
+     * Applies changes to the leader's state and publishes them, either all or none.
      *
      * @throws IllegalStateException if this process does not lead
-     * @throws IllegalArgumentException if a change has no bytes or too many
+     * @throws IllegalArgumentException if a change is empty or longer than {@link Limits#changeBytes}
+     * @throws DamagedStateException if a change cannot be applied
      */
     public List<PublisherStep> publish(List<byte[]> deltas, double time) throws DamagedStateException {
-        pass(time);
-        if (leads == 0) {
+        advanceClock(time);
+        if (leadingTerm == 0) {
             throw new IllegalStateException("this process does not lead");
         }
         for (byte[] delta : deltas) {
             if (delta.length == 0 || delta.length > limits.changeBytes()) {
                 throw new IllegalArgumentException(
-                        "a change of " + delta.length + " bytes, not 1 to " + limits.changeBytes());
+                        "change has " + delta.length + " bytes, allowed are 1 to " + limits.changeBytes());
             }
         }
         state = codec.applyAll(state, deltas);
         for (byte[] delta : deltas) {
-            append(new Change(new Version(leads, newest().revision() + 1), delta));
+            append(new Change(new Version(leadingTerm, newest().revision() + 1), delta));
         }
-        return flushSoon();
+        return flushOrSchedule();
     }
 
-    /** The state is that one now: at the start, or as the process's own subscriber has taken it over whole. */
-    public List<PublisherStep> replaced(Version version, S next, double time) {
-        pass(time);
-        mustFollow();
+    /**
+     * Sets the state of a process that does not lead: the one restored at the start, or a snapshot that its own
+     * subscriber received. Ignored unless the version is newer.
+     */
+    public List<PublisherStep> replaceState(Version version, S newState, double time) {
+        advanceClock(time);
+        requireNotLeading();
         if (state != null && !version.isAfter(newest())) {
             return List.of();
         }
-        state = next;
+        state = newState;
         log.reset(version);
-        changed(version);
-        return flushSoon();
+        versionChanged(version);
+        return flushOrSchedule();
     }
 
-    /** The process's own subscriber has taken over changes, which have led to that state. */
-    public List<PublisherStep> advanced(Version from, List<Change> changes, S next, double time) {
-        pass(time);
-        mustFollow();
+    /** Adds changes that the process's own subscriber applied, and sets the state that resulted from them. */
+    public List<PublisherStep> advanceState(Version from, List<Change> changes, S newState, double time) {
+        advanceClock(time);
+        requireNotLeading();
         Version to = changes.get(changes.size() - 1).version();
         if (!from.equals(newest())) {
-            return replaced(to, next, time);
+            return replaceState(to, newState, time);
         }
-        state = next;
+        state = newState;
         changes.forEach(this::append);
-        return flushSoon();
+        return flushOrSchedule();
     }
 
-    private void mustFollow() {
-        if (leads != 0) {
-            throw new IllegalStateException("this process leads under " + leads);
+    private void requireNotLeading() {
+        if (leadingTerm != 0) {
+            throw new IllegalStateException("not allowed while this process leads in term " + leadingTerm);
         }
     }
 
-    /** When what this process follows was last known to be current. */
-    public void currentAt(double time) {
-        currentAt = Math.max(currentAt, time);
+    /** Reports that the state of this process was known to be current at that time. Earlier times are ignored. */
+    public void updateKnownCurrentAt(double time) {
+        lastKnownCurrentAt = Math.max(lastKnownCurrentAt, time);
     }
 
-    /** A newer term was seen: if this process leads under an older one it does so no more. */
-    public List<PublisherStep> newerTerm(long seen, double time) {
-        pass(time);
+    /** Reports a term that was seen elsewhere. If it is newer than the term of this process, it stops leading. */
+    public List<PublisherStep> observeTerm(long observedTerm, double time) {
+        advanceClock(time);
         List<PublisherStep> steps = new ArrayList<>();
-        heard(seen, steps);
+        raiseTerm(observedTerm, steps);
         return steps;
     }
 
     private void append(Change change) {
         log.append(change);
-        changed(change.version());
+        versionChanged(change.version());
     }
 
-    private void changed(Version version) {
-        term = Math.max(term, version.term());
-        shared.clear();
-        if (image != null && !log.covers(image.version())) {
-            image = null; // who is in the middle of it would not be served from there
+    private void versionChanged(Version version) {
+        highestTerm = Math.max(highestTerm, version.term());
+        sharedDeltas.clear();
+        if (encodedState != null && !log.covers(encodedState.version())) {
+            // A subscriber could not be brought from this snapshot to the newest version by changes.
+            encodedState = null;
         }
     }
 
-    private void heard(long seen, List<PublisherStep> steps) {
-        if (seen <= term) {
+    private void raiseTerm(long observedTerm, List<PublisherStep> steps) {
+        if (observedTerm <= highestTerm) {
             return;
         }
-        term = seen;
-        shared.clear();
-        if (leads != 0) {
+        highestTerm = observedTerm;
+        sharedDeltas.clear();
+        if (leadingTerm != 0) {
             resign(now);
-            steps.add(new PublisherStep.Deposed(seen));
+            steps.add(new PublisherStep.Deposed(observedTerm));
         }
-        steps.add(new PublisherStep.NewerTerm(seen));
+        steps.add(new PublisherStep.NewerTerm(observedTerm));
     }
 
     // ---- connections ----
 
-    /** A message has come on that connection. */
+    /** Handles a message that was received on an accepted connection. */
     public List<PublisherStep> received(long connection, ControlMessage message, double time) {
-        pass(time);
+        advanceClock(time);
         List<PublisherStep> steps = new ArrayList<>();
-        heard(message.term(), steps);
+        raiseTerm(message.term(), steps);
         Subscription subscription = subscriptions.get(connection);
         if (message instanceof ControlMessage.Subscribe subscribe && subscription == null) {
-            subscribe(connection, subscribe, steps);
+            addSubscription(connection, subscribe, steps);
         } else if (message instanceof ControlMessage.Acknowledge acknowledge) {
-            if (subscription != null) { // else it has crossed the connection's end
-                acknowledged(subscription, acknowledge, steps);
+            if (subscription != null) { // null if sent before the peer noticed that the connection was closed
+                handleAcknowledge(subscription, acknowledge, steps);
             }
         } else {
-            close(connection, steps);
+            closeConnection(connection, steps);
         }
         return steps;
     }
 
-    /** The connection has ended, by the other side or the network. */
+    /** Reports that the peer or the network has ended the connection. */
     public void closed(long connection, double time) {
-        pass(time);
-        forget(connection);
+        advanceClock(time);
+        removeSubscription(connection);
     }
 
-    private void subscribe(long connection, ControlMessage.Subscribe subscribe, List<PublisherStep> steps) {
-        Long older = connections.get(subscribe.subscriber());
-        if (older != null) {
-            close(older, steps); // half open: its subscriber has given it up
+    private void addSubscription(long connection, ControlMessage.Subscribe subscribe, List<PublisherStep> steps) {
+        Long previousConnection = connectionsByName.get(subscribe.subscriber());
+        if (previousConnection != null) {
+            closeConnection(previousConnection, steps); // half-open: the subscriber has already abandoned it
         }
         if (!subscribe.republishes() && subscriptions.size() >= limits.subscribers()) {
-            refuse(connection, timing.heartbeat() * (1 + random.nextDouble()), steps); // another one may have room
+            // The delay is short, because the subscriber then tries the next source, which may have room.
+            sendBusyAndClose(connection, timing.heartbeatIntervalSeconds() * (1 + random.nextDouble()), steps);
             return;
         }
         Subscription subscription = new Subscription(connection, subscribe, now);
         subscriptions.put(connection, subscription);
-        connections.put(subscription.name(), connection);
-        if (heartbeatAt == NEVER) {
-            heartbeatAt = now + timing.heartbeat();
+        connectionsByName.put(subscription.name(), connection);
+        if (nextHeartbeatAt == NEVER) {
+            nextHeartbeatAt = now + timing.heartbeatIntervalSeconds();
         }
-        if (!newest().isAfter(subscription.sent())) {
-            subscription.confirm();
+        if (!newest().isAfter(subscription.sentVersion())) {
+            subscription.markConfirmedCurrent();
         }
-        heartbeat(subscription, steps);
-        serve(subscription, steps);
+        sendHeartbeat(subscription, steps);
+        sendMissing(subscription, steps);
     }
 
-    private void acknowledged(
+    private void handleAcknowledge(
             Subscription subscription, ControlMessage.Acknowledge acknowledge, List<PublisherStep> steps) {
-        subscription.acknowledged(acknowledge.received(), now);
-        serve(subscription, steps);
-        boolean current = subscription.hasAcknowledgedAll() && !newest().isAfter(subscription.sent());
-        if (current && !subscription.isConfirmed()) {
-            subscription.confirm(); // so that it knows at once, and not at the next heartbeat
-            heartbeat(subscription, steps);
+        subscription.acknowledge(acknowledge.receivedMessages(), now);
+        sendMissing(subscription, steps);
+        boolean current = subscription.hasAcknowledgedAll() && !newest().isAfter(subscription.sentVersion());
+        if (current && !subscription.isConfirmedCurrent()) {
+            subscription.markConfirmedCurrent();
+            sendHeartbeat(subscription, steps); // tells it now, not a heartbeat interval later, that it is current
         }
     }
 
-    private void refuse(long connection, double retryAfter, List<PublisherStep> steps) {
+    private void sendBusyAndClose(long connection, double retryAfterSeconds, List<PublisherStep> steps) {
         counters.busy++;
-        steps.add(new PublisherStep.Send(connection, new ControlMessage.Busy(term, retryAfter)));
-        close(connection, steps);
+        steps.add(new PublisherStep.Send(connection, new ControlMessage.Busy(highestTerm, retryAfterSeconds)));
+        closeConnection(connection, steps);
     }
 
-    private void close(long connection, List<PublisherStep> steps) {
-        forget(connection);
+    private void closeConnection(long connection, List<PublisherStep> steps) {
+        removeSubscription(connection);
         steps.add(new PublisherStep.Close(connection));
     }
 
-    private void forget(long connection) {
+    private void removeSubscription(long connection) {
         Subscription subscription = subscriptions.remove(connection);
         if (subscription != null) {
-            connections.remove(subscription.name(), connection);
+            connectionsByName.remove(subscription.name(), connection);
         }
     }
 
     // ---- sending ----
 
-    /** Time has passed; to be called at {@link #due} at the latest. */
+    /** Sends what is due at that time. Has to be called at {@link #due} at the latest. */
     public List<PublisherStep> tick(double time) {
-        pass(time);
+        advanceClock(time);
         List<PublisherStep> steps = new ArrayList<>();
-        if (now >= flushAt) {
+        if (now >= nextFlushAt) {
             flush(steps);
         }
-        if (now >= heartbeatAt) {
-            heartbeatAt = subscriptions.isEmpty() ? NEVER : now + timing.heartbeat();
+        if (now >= nextHeartbeatAt) {
+            nextHeartbeatAt = subscriptions.isEmpty() ? NEVER : now + timing.heartbeatIntervalSeconds();
             for (Subscription subscription : List.copyOf(subscriptions.values())) {
-                if (subscription.isStuck(timing.acknowledgePatience(), now)) {
+                if (subscription.isStalled(timing.acknowledgementTimeoutSeconds(), now)) {
                     counters.slow++;
-                    close(subscription.connection(), steps);
+                    closeConnection(subscription.connection(), steps);
                 } else if (subscription.hasRoomForHeartbeat(limits)) {
-                    heartbeat(subscription, steps);
+                    sendHeartbeat(subscription, steps);
                 }
             }
         }
         return steps;
     }
 
-    /** When {@link #tick} has something to do next. */
+    /** The time at which {@link #tick} has to be called next; infinite if there is nothing to do. */
     public double due() {
-        return Math.min(flushAt, heartbeatAt);
+        return Math.min(nextFlushAt, nextHeartbeatAt);
     }
 
-    private List<PublisherStep> flushSoon() {
+    private List<PublisherStep> flushOrSchedule() {
         List<PublisherStep> steps = new ArrayList<>();
-        if (now >= flushedAt + timing.batch()) {
+        if (now >= lastFlushAt + timing.batchIntervalSeconds()) {
             flush(steps);
         } else {
-            flushAt = flushedAt + timing.batch();
+            nextFlushAt = lastFlushAt + timing.batchIntervalSeconds();
         }
         return steps;
     }
 
     private void flush(List<PublisherStep> steps) {
-        flushAt = NEVER;
-        flushedAt = now;
+        nextFlushAt = NEVER;
+        lastFlushAt = now;
         for (Subscription subscription : List.copyOf(subscriptions.values())) {
-            serve(subscription, steps);
-        }
-    }
-
-    private void heartbeat(Subscription to, List<PublisherStep> steps) {
-        double since = now - to.heardAt();
-        send(to, new ControlMessage.Heartbeat(term, newest(), to.sent(), age(now), to.acknowledged(), since), steps);
-    }
-
-    /** Sends what the subscriber lacks while its window has room. */
-    private void serve(Subscription to, List<PublisherStep> steps) {
-        while (to.hasRoom(limits)) {
-            if (to.snapshot() != null) {
-                sendPart(to, steps);
-            } else if (!newest().isAfter(to.sent())) {
-                return; // it has all, or more than this process
-            } else if (log.covers(to.sent())) {
-                ControlMessage.Delta delta = delta(to.sent());
+            sendMissing(subscription, steps);
+        }
+    }
+
+    private void sendHeartbeat(Subscription subscription, List<PublisherStep> steps) {
+        double secondsSinceAcknowledge = now - subscription.lastReceivedAt();
+        send(
+                subscription,
+                new ControlMessage.Heartbeat(
+                        highestTerm,
+                        newest(),
+                        subscription.sentVersion(),
+                        age(now),
+                        subscription.acknowledgedMessages(),
+                        secondsSinceAcknowledge),
+                steps);
+    }
+
+    /** Sends changes or snapshot parts until the subscriber is up to date or its window is full. */
+    private void sendMissing(Subscription subscription, List<PublisherStep> steps) {
+        while (subscription.hasWindowRoom(limits)) {
+            if (subscription.activeSnapshot() != null) {
+                sendSnapshotPart(subscription, steps);
+            } else if (!newest().isAfter(subscription.sentVersion())) {
+                return; // up to date, or ahead of this process
+            } else if (log.covers(subscription.sentVersion())) {
+                ControlMessage.Delta delta = deltaFrom(subscription.sentVersion());
                 counters.deltas++;
-                to.bringTo(delta.to());
-                send(to, delta, steps);
-            } else if (!beginSnapshot(to)) {
-                refuse(to.connection(), promisedPlace(), steps);
+                subscription.setSentVersion(delta.toVersion());
+                send(subscription, delta, steps);
+            } else if (!beginSnapshot(subscription)) {
+                sendBusyAndClose(subscription.connection(), reserveSnapshotSlot(), steps);
                 return;
             }
         }
     }
 
-    private ControlMessage.Delta delta(Version from) {
-        ControlMessage.Delta delta = shared.get(from);
+    private ControlMessage.Delta deltaFrom(Version from) {
+        ControlMessage.Delta delta = sharedDeltas.get(from);
         if (delta == null) {
-            delta = new ControlMessage.Delta(term, from, log.since(from, limits.deltaBytes()));
-            if (shared.size() >= SHARED_DELTAS) {
-                shared.remove(shared.keySet().iterator().next());
+            delta = new ControlMessage.Delta(highestTerm, from, log.changesAfter(from, limits.deltaBytes()));
+            if (sharedDeltas.size() >= MAX_SHARED_DELTAS) {
+                sharedDeltas.remove(sharedDeltas.keySet().iterator().next());
             }
-            shared.put(from, delta);
+            sharedDeltas.put(from, delta);
         }
         return delta;
     }
 
-    private boolean beginSnapshot(Subscription to) {
-        if (!to.republishes() && snapshotsUnderWay() >= limits.snapshotsAtOnce()) {
+    private boolean beginSnapshot(Subscription subscription) {
+        if (!subscription.republishes() && usedSnapshotSlots() >= limits.snapshotsAtOnce()) {
             return false;
         }
-        if (image == null || !image.version().isAfter(to.sent())) {
-            image = EncodedState.of(term, newest(), codec.encode(state), limits.partBytes());
-            counters.encoded++;
+        if (encodedState == null || !encodedState.version().isAfter(subscription.sentVersion())) {
+            encodedState = EncodedState.of(highestTerm, newest(), codec.encode(state), limits.partBytes());
+            counters.encodings++;
         }
         counters.snapshots++;
-        to.beginSnapshot(image, now);
+        subscription.beginSnapshot(encodedState, now);
         return true;
     }
 
-    private void sendPart(Subscription to, List<PublisherStep> steps) {
-        if (to.snapshot() != image) {
-            to.abandonSnapshot(); // replaced by a newer one, and with it the changes that follow it
+    private void sendSnapshotPart(Subscription subscription, List<PublisherStep> steps) {
+        if (subscription.activeSnapshot() != encodedState) {
+            // A newer encoded state has replaced this snapshot, or the log no longer covers its version.
+            subscription.abandonSnapshot();
             return;
         }
-        send(to, image.part(to.takePart(), term), steps);
-        if (to.snapshot() == null) {
-            snapshotEstimate += SMOOTHING * (now - to.snapshotAt() - snapshotEstimate);
+        send(subscription, encodedState.part(subscription.advancePart(), highestTerm), steps);
+        if (subscription.activeSnapshot() == null) {
+            snapshotEstimateSeconds +=
+                    SNAPSHOT_ESTIMATE_SMOOTHING * (now - subscription.snapshotStartedAt() - snapshotEstimateSeconds);
         }
     }
 
-    private void send(Subscription to, ControlMessage message, List<PublisherStep> steps) {
-        to.sending(ControlMessageCodec.size(message), now);
-        steps.add(new PublisherStep.Send(to.connection(), message));
+    private void send(Subscription subscription, ControlMessage message, List<PublisherStep> steps) {
+        subscription.messageSent(ControlMessageCodec.size(message), now);
+        steps.add(new PublisherStep.Send(subscription.connection(), message));
     }
 
-    private int snapshotsUnderWay() {
+    private int usedSnapshotSlots() {
         int count = 0;
         for (Subscription subscription : subscriptions.values()) {
-            count += subscription.takesPlace(limits.snapshotSeconds(), now) ? 1 : 0;
+            count += subscription.usesSnapshotSlot(limits.snapshotSeconds(), now) ? 1 : 0;
         }
         return count;
     }
 
-    /** When a place for a whole state may be free: each who is told so gets a later one. */
-    private double promisedPlace() {
-        freeFrom = Math.max(freeFrom, now) + snapshotEstimate / limits.snapshotsAtOnce();
-        double wait = Math.min(limits.retryAfter(), freeFrom - now + timing.batch());
-        return wait * (1 + random.nextDouble() / 2);
+    /**
+     * The retry-after delay, in seconds, of a subscriber for which no snapshot slot is free. Each call moves the
+     * expected time on by the time in which one slot becomes free, so that rejected subscribers come back one by one.
+     */
+    private double reserveSnapshotSlot() {
+        nextSnapshotSlotAt = Math.max(nextSnapshotSlotAt, now) + snapshotEstimateSeconds / limits.snapshotsAtOnce();
+        double waitSeconds = Math.min(limits.retryAfter(), nextSnapshotSlotAt - now + timing.batchIntervalSeconds());
+        return waitSeconds * (1 + random.nextDouble() / 2);
     }
 
-    private void pass(double time) {
+    private void advanceClock(double time) {
         if (time < now) {
-            throw new IllegalArgumentException("a monotonic clock must not go back from " + now + " to " + time);
+            throw new IllegalArgumentException("time went backwards from " + now + " to " + time);
         }
         now = time;
     }
 
-    // ---- what is asked ----
+    // ---- status ----
 
-    /** Seconds for which the state may be out of date; 0 while this process leads. */
+    /** How many seconds the state may be out of date: 0 while this process leads, infinite if not known. */
     public double age(double time) {
-        return leads != 0 ? 0 : Math.max(0, time - currentAt);
+        return leadingTerm != 0 ? 0 : Math.max(0, time - lastKnownCurrentAt);
     }
 
     /** Whether this process leads. */
     public boolean leads() {
-        return leads != 0;
+        return leadingTerm != 0;
     }
 
-    /** The newest term that was seen. */
+    /** The newest term that this process knows. */
     public long term() {
-        return term;
+        return highestTerm;
     }
 
-    /** The newest version, {@link Version#NONE} for none. */
+    /** The newest version, {@link Version#NONE} if there is no state. */
     public Version newest() {
-        return log.newest();
+        return log.newestVersion();
     }
 
-    /** The newest state, or null. */
+    /** The newest state, null if there is none. */
     public S state() {
         return state;
     }
 
-    /** What has happened so far. */
+    /** Event counts, updated in place. */
     public Counters counters() {
         return counters;
     }
 
-    /** What is held now. */
+    /** Current memory use. */
     public Memory memory() {
-        long sum = 0;
-        long most = 0;
+        long totalInFlight = 0;
+        long maxInFlight = 0;
         for (Subscription subscription : subscriptions.values()) {
-            sum += subscription.inFlightBytes();
-            most = Math.max(most, subscription.inFlightBytes());
+            totalInFlight += subscription.inFlightBytes();
+            maxInFlight = Math.max(maxInFlight, subscription.inFlightBytes());
         }
         return new Memory(
                 subscriptions.size(),
-                sum,
-                most,
-                log.count(),
-                log.bytes(),
-                image == null ? 0 : image.bytes(),
-                snapshotsUnderWay());
+                totalInFlight,
+                maxInFlight,
+                log.changeCount(),
+                log.totalBytes(),
+                encodedState == null ? 0 : encodedState.totalBytes(),
+                usedSnapshotSlots());
     }
 }
--- a/src/main/java/juniperusher/distribution/PublisherStep.java
+++ b/src/main/java/juniperusher/distribution/PublisherStep.java
@@ -1,16 +1,19 @@
 package juniperusher.distribution;
 
-/** Something that the adapter of a {@link Publisher} is to do; steps are carried out in their order. */
+/** An action that the adapter of a {@link Publisher} has to carry out. Steps are carried out in order. */
 public sealed interface PublisherStep {
-    /** Send the message on that connection. One message object may go to many: its frame can be shared. */
+    /** Send a message. The same object may be sent on many connections, so its encoded frame can be reused. */
     record Send(long connection, ControlMessage message) implements PublisherStep {}
 
-    /** Close that connection once what was to be sent on it is sent; it is forgotten here. */
+    /**
+     * Close a connection after its outstanding messages are written. The publisher has already dropped its state, so
+     * the adapter does not report the end of the connection.
+     */
     record Close(long connection) implements PublisherStep {}
 
-    /** A newer term than this process's own leads: it publishes no more and is to give up its lease. */
+    /** Release the lease: another process leads in that newer term, and this process has stopped publishing. */
     record Deposed(long term) implements PublisherStep {}
 
-    /** A subscriber has seen a newer term: the process's own {@link Subscriber} is to be told. */
+    /** Pass a newer term, which a subscriber has seen, to the {@link Subscriber} of this process. */
     record NewerTerm(long term) implements PublisherStep {}
 }
--- a/src/main/java/juniperusher/distribution/Subscriber.java
+++ b/src/main/java/juniperusher/distribution/Subscriber.java
@@ -9,277 +9,298 @@
 import juniperusher.distribution.SubscriberStep.Reason;
 
 /**
- * The side of who follows a published state: a relay, or a control process that does not lead. It connects to one of
- * several sources, goes on from the version that it has, and takes a state over only when it has come whole and
- * checked; until then, and whatever is damaged or lost, the one before stays in force. Versions only grow.
+ * State machine of a process that follows a published state: a relay, or a control process that does not lead. It
+ * connects to one of several sources and continues from the version that it has. A new state becomes active only when
+ * it was received completely and its checks passed; until then, and after any damage or loss, the previous state
+ * stays active. The version never decreases.
  *
- * <p>It knows for how long its state may have been out of date: a heartbeat tells how old the source's own knowledge
- * is, which acknowledgement the source had heard last and how long before, and the time counts from when that
- * acknowledgement was sent. So however long a message was on its way, the staleness is never told too small.
+ * <p>It also bounds the staleness of its state. A heartbeat contains the age of the source's own state, the last
+ * acknowledgement that the source received, and the time since then. The staleness is computed from the local time at
+ * which that acknowledgement was sent. Hence network delays can make it too large but never too small.
  *
- * <p>How an adapter drives it: on one thread; {@link #start} with the sources in order of preference, then the steps
- * in their order. After {@link SubscriberStep.Connect} it tells {@link #connected} or {@link #disconnected} with the
- * connection's number, and each decoded message by {@link #received}; bytes that are no frame end the connection like
- * the network does. Late events of an earlier connection do no harm. It calls {@link #tick} at {@link #due}, which
- * each call may have moved.
+ * <p>Not thread-safe. Times are seconds of a monotonic clock. An adapter drives the subscriber as follows:
+ *
+ * <ul>
+ *   <li>It calls {@link #start} with the sources in order of preference, and carries out the steps of each call in
+ *       order.
+ *   <li>After {@link SubscriberStep.Connect} it calls {@link #connected} or {@link #disconnected} with the number of
+ *       that connection, and {@link #received} for each decoded message. If the received bytes cannot be decoded, it
+ *       closes the connection and calls {@link #disconnected}. Late events of an earlier connection are ignored.
+ *   <li>It calls {@link #tick} at {@link #due}, which any call may change.
+ * </ul>
  *
  * @param <S> the state
  */
 public final class Subscriber<S> {
     private static final double NEVER = Double.POSITIVE_INFINITY;
-    private static final int MOST_REMEMBERED = 256; // acknowledgements whose times are kept
+    private static final int MAX_SENT_ACKNOWLEDGEMENTS = 256;
 
     private final String name;
     private final Timing timing;
-    private final int mostStateBytes;
+    private final int maxStateBytes;
     private final StateCodec<S> codec;
     private final SplittableRandom random;
-    private final Map<Reason, Long> breaks = new EnumMap<>(Reason.class);
-    private final ArrayDeque<Acknowledged> acknowledged = new ArrayDeque<>();
+    private final Map<Reason, Long> disconnectCounts = new EnumMap<>(Reason.class);
+    private final ArrayDeque<SentAcknowledgement> sentAcknowledgements = new ArrayDeque<>();
     private boolean republishes;
     private List<String> sources = List.of();
     private Phase phase = Phase.IDLE;
     private Version version = Version.NONE;
-    private S state; // null for none yet
-    private long term; // the newest that was seen
-    private double currentAt = Double.NEGATIVE_INFINITY;
-    private boolean wholeWanted; // the last change was damaged
-    private int source; // index into the sources
-    private long connection; // the number of the last one
-    private long received; // messages on it
-    private double heardAt;
-    private double moveAt = NEVER; // when to look for a source that is not stale
-    private double returnAt = NEVER; // when to try the first source again
-    private double nextAt = NEVER; // when to connect, or when the attempt is given up
-    private int failures; // since something was last right
-    private Assembly assembly; // the whole state that is coming in, or null
-    private long refused;
-    private long doubled;
+    private S state; // null until there is one
+    private long highestTerm; // of all that this process has seen
+    private double lastKnownCurrentAt = Double.NEGATIVE_INFINITY;
+    private boolean needsSnapshot; // a change was damaged, so the state cannot be updated by changes
+    private int sourceIndex;
+    private long connectionNumber; // of the current connection or, between connections, of the last one
+    private long receivedMessages; // on that connection
+    private double lastReceivedAt;
+    private double leaveStaleSourceAt = NEVER;
+    private double retryPreferredAt = NEVER; // the first source is the preferred one
+    private double connectActionAt = NEVER; // end of the backoff, or of the connect timeout
+    private int consecutiveFailures; // since a new state, or a heartbeat that confirmed the present one
+    private IncomingSnapshot incomingSnapshot; // null if none is in progress
+    private long refusedCount;
+    private long duplicates;
     private double now = Double.NEGATIVE_INFINITY;
 
     private enum Phase {
         IDLE,
-        PAUSING,
+        BACKING_OFF,
         CONNECTING,
         SUBSCRIBED
     }
 
-    /** When the acknowledgement of so many messages was sent. */
-    private record Acknowledged(long received, double at) {}
+    /** When the acknowledgement of the first {@code receivedMessages} messages was sent. */
+    private record SentAcknowledgement(long receivedMessages, double sentAt) {}
 
-    /** A whole state that is coming in. */
-    private static final class Assembly {
+    /** The parts of a snapshot that were received so far. */
+    private static final class IncomingSnapshot {
         final Version version;
-        final int parts;
+        final int partCount;
         final int checksum;
-        final List<byte[]> pieces = new ArrayList<>();
-        long bytes;
+        final List<byte[]> parts = new ArrayList<>();
+        long receivedBytes;
 
-        Assembly(ControlMessage.SnapshotPart first) {
+        IncomingSnapshot(ControlMessage.SnapshotPart first) {
             version = first.version();
-            parts = first.parts();
+            partCount = first.partCount();
             checksum = first.checksum();
         }
 
-        byte[] whole() {
-            byte[] whole = new byte[(int) bytes];
-            int at = 0;
-            for (byte[] piece : pieces) {
-                System.arraycopy(piece, 0, whole, at, piece.length);
-                at += piece.length;
+        byte[] joinParts() {
+            byte[] joined = new byte[(int) receivedBytes];
+            int offset = 0;
+            for (byte[] part : parts) {
+                System.arraycopy(part, 0, joined, offset, part.length);
+                offset += part.length;
             }
-            return whole;
+            return joined;
         }
     }
 
-    /** A subscriber without a state that follows nobody yet. */
-    public Subscriber(String name, Timing timing, int mostStateBytes, StateCodec<S> codec, long seed) {
+    /**
+     * Creates a subscriber without a state and without sources.
+     *
+     * @param name identifies this process to the publishers
+     * @param maxStateBytes size above which a snapshot is refused
+     * @param seed seed of the jitter in backoffs
+     */
+    public Subscriber(String name, Timing timing, int maxStateBytes, StateCodec<S> codec, long seed) {
         this.name = name;
         this.timing = timing;
-        this.mostStateBytes = mostStateBytes;
+        this.maxStateBytes = maxStateBytes;
         this.codec = codec;
         random = new SplittableRandom(seed);
     }
 
-    /** The process passes on what it gets: it pauses less, as others wait for it. */
-    void republishes() {
+    /** Marks this process as one that republishes the state. Its backoff is shorter, because relays depend on it. */
+    void setRepublishing() {
         republishes = true;
     }
 
-    // ---- what the process wants ----
+    // ---- commands ----
 
     /**
-     * A state that the process has from elsewhere, its own folder perhaps; ignored if it is not newer.
+     * Sets a state that does not come from a source, for example one restored from disk. Ignored if it is not newer
+     * than the present state.
      *
-     * @param knownCurrentAt when it was known to be current, by the same clock; negative infinity if that is not known
+     * @param knownCurrentAt when that state was last known to be current, by the clock of the other methods; negative
+     *     infinity if that is not known
      */
-    public void resume(Version has, S held, double knownCurrentAt) {
-        if (state == null || has.isAfter(version)) {
-            version = has;
-            state = held;
-            term = Math.max(term, has.term());
-            currentAt = Math.max(currentAt, knownCurrentAt);
+    public void resume(Version restoredVersion, S restoredState, double knownCurrentAt) {
+        if (state == null || restoredVersion.isAfter(version)) {
+            version = restoredVersion;
+            state = restoredState;
+            highestTerm = Math.max(highestTerm, restoredVersion.term());
+            lastKnownCurrentAt = Math.max(lastKnownCurrentAt, knownCurrentAt);
         }
     }
 
     /**
-     * Follows one of these sources from now on, the first ones first. A connection to one of them stays; the first
-     * attempt comes after a short random pause, so that many that start together do not connect together.
+     * Sets the sources to follow, in order of preference. A connection to one of them is kept. Otherwise the first
+     * attempt to connect follows a short random delay, so that many processes that start together do not connect at the
+     * same time.
      */
-    public List<SubscriberStep<S>> start(List<String> preferred, double time) {
-        pass(time);
+    public List<SubscriberStep<S>> start(List<String> newSources, double time) {
+        advanceClock(time);
         List<SubscriberStep<S>> steps = new ArrayList<>();
-        String connected = phase == Phase.SUBSCRIBED || phase == Phase.CONNECTING ? sources.get(source) : null;
-        sources = List.copyOf(preferred);
-        int kept = connected == null ? -1 : sources.indexOf(connected);
-        source = Math.max(0, kept);
-        if (kept >= 0) {
-            planReturn();
+        String connectedSource =
+                phase == Phase.SUBSCRIBED || phase == Phase.CONNECTING ? sources.get(sourceIndex) : null;
+        sources = List.copyOf(newSources);
+        int keptIndex = connectedSource == null ? -1 : sources.indexOf(connectedSource);
+        sourceIndex = Math.max(0, keptIndex);
+        if (keptIndex >= 0) {
+            schedulePreferredRetry();
             return steps;
         }
-        if (connected != null) {
-            steps.add(new SubscriberStep.Disconnect<>(connection, Reason.STOPPED));
+        if (connectedSource != null) {
+            steps.add(new SubscriberStep.Disconnect<>(connectionNumber, Reason.STOPPED));
         }
-        forgetConnection();
-        failures = 0;
-        phase = sources.isEmpty() ? Phase.IDLE : Phase.PAUSING;
-        nextAt = sources.isEmpty() ? NEVER : time + random.nextDouble() * timing.firstPause();
+        clearConnectionState();
+        consecutiveFailures = 0;
+        phase = sources.isEmpty() ? Phase.IDLE : Phase.BACKING_OFF;
+        connectActionAt = sources.isEmpty() ? NEVER : time + random.nextDouble() * timing.initialBackoffSeconds();
         return steps;
     }
 
-    /** Follows nobody any more; the state stays. */
+    /** Stops following any source; keeps the state. */
     public List<SubscriberStep<S>> stop(double time) {
         return start(List.of(), time);
     }
 
-    /** A newer term was seen elsewhere: a source that does not know of it is left when it next says so. */
-    public void newerTerm(long seen) {
-        term = Math.max(term, seen);
+    /** Reports a term that was seen elsewhere. The next message of a source with an older term ends its connection. */
+    public void observeTerm(long observedTerm) {
+        highestTerm = Math.max(highestTerm, observedTerm);
     }
 
     // ---- connections ----
 
-    /** The connection is open. */
-    public List<SubscriberStep<S>> connected(long number, double time) {
-        pass(time);
+    /** Reports that the connection is open. */
+    public List<SubscriberStep<S>> connected(long eventConnection, double time) {
+        advanceClock(time);
         List<SubscriberStep<S>> steps = new ArrayList<>();
-        if (number != connection || phase != Phase.CONNECTING) {
+        if (eventConnection != connectionNumber || phase != Phase.CONNECTING) {
             return steps;
         }
         phase = Phase.SUBSCRIBED;
-        heardAt = time;
-        planReturn();
-        received = 0;
-        acknowledged.clear();
-        acknowledged.add(new Acknowledged(0, time));
-        Version has = wholeWanted ? Version.NONE : version;
-        steps.add(new SubscriberStep.Send<>(connection, new ControlMessage.Subscribe(name, republishes, term, has)));
+        lastReceivedAt = time;
+        schedulePreferredRetry();
+        receivedMessages = 0;
+        sentAcknowledgements.clear();
+        sentAcknowledgements.add(new SentAcknowledgement(0, time));
+        Version requestedVersion = needsSnapshot ? Version.NONE : version;
+        steps.add(new SubscriberStep.Send<>(
+                connectionNumber, new ControlMessage.Subscribe(name, republishes, highestTerm, requestedVersion)));
         return steps;
     }
 
-    /** The connection could not be opened, or has ended. */
-    public List<SubscriberStep<S>> disconnected(long number, double time) {
-        pass(time);
+    /** Reports that the connection could not be opened or has ended. */
+    public List<SubscriberStep<S>> disconnected(long eventConnection, double time) {
+        advanceClock(time);
         List<SubscriberStep<S>> steps = new ArrayList<>();
-        if (number == connection && (phase == Phase.CONNECTING || phase == Phase.SUBSCRIBED)) {
+        if (eventConnection == connectionNumber && (phase == Phase.CONNECTING || phase == Phase.SUBSCRIBED)) {
             Reason reason = phase == Phase.CONNECTING ? Reason.NOT_CONNECTED : Reason.CLOSED;
-            leave(reason, pause());
+            scheduleReconnect(reason, nextBackoff());
         }
         return steps;
     }
 
-    /** Time has passed; to be called at {@link #due} at the latest. */
+    /** Handles timeouts and starts attempts to connect. Has to be called at {@link #due} at the latest. */
     public List<SubscriberStep<S>> tick(double time) {
-        pass(time);
+        advanceClock(time);
         List<SubscriberStep<S>> steps = new ArrayList<>();
-        if (phase == Phase.CONNECTING && now >= nextAt) {
-            breakOff(Reason.NOT_CONNECTED, steps);
-        } else if (phase == Phase.SUBSCRIBED && now >= heardAt + timing.silence()) {
-            breakOff(Reason.SILENCE, steps);
-        } else if (phase == Phase.SUBSCRIBED && now >= moveAt) {
-            breakOff(Reason.STALE_SOURCE, steps);
-        } else if (phase == Phase.SUBSCRIBED && now >= returnAt) {
-            breakOff(Reason.PREFERENCE, 0, steps);
-            source = 0;
-        }
-        if (phase == Phase.PAUSING && now >= nextAt) {
+        if (phase == Phase.CONNECTING && now >= connectActionAt) {
+            disconnect(Reason.NOT_CONNECTED, steps);
+        } else if (phase == Phase.SUBSCRIBED && now >= lastReceivedAt + timing.silenceTimeoutSeconds()) {
+            disconnect(Reason.SILENCE, steps);
+        } else if (phase == Phase.SUBSCRIBED && now >= leaveStaleSourceAt) {
+            disconnect(Reason.STALE_SOURCE, steps);
+        } else if (phase == Phase.SUBSCRIBED && now >= retryPreferredAt) {
+            disconnect(Reason.PREFERENCE, 0, steps);
+            sourceIndex = 0;
+        }
+        if (phase == Phase.BACKING_OFF && now >= connectActionAt) {
             phase = Phase.CONNECTING;
-            connection++;
-            nextAt = now + timing.connectPatience();
-            steps.add(new SubscriberStep.Connect<>(connection, sources.get(source)));
+            connectionNumber++;
+            connectActionAt = now + timing.connectPatience();
+            steps.add(new SubscriberStep.Connect<>(connectionNumber, sources.get(sourceIndex)));
         }
         return steps;
     }
 
-    /** When {@link #tick} has something to do next. */
+    /** The time at which {@link #tick} has to be called next; infinite if there is nothing to do. */
     public double due() {
-        return phase == Phase.SUBSCRIBED ? Math.min(heardAt + timing.silence(), Math.min(moveAt, returnAt)) : nextAt;
+        return phase == Phase.SUBSCRIBED
+                ? Math.min(
+                        lastReceivedAt + timing.silenceTimeoutSeconds(), Math.min(leaveStaleSourceAt, retryPreferredAt))
+                : connectActionAt;
     }
 
-    private void breakOff(Reason reason, List<SubscriberStep<S>> steps) {
-        breakOff(reason, pause(), steps);
+    private void disconnect(Reason reason, List<SubscriberStep<S>> steps) {
+        disconnect(reason, nextBackoff(), steps);
     }
 
-    private void breakOff(Reason reason, double pause, List<SubscriberStep<S>> steps) {
-        steps.add(new SubscriberStep.Disconnect<>(connection, reason));
-        leave(reason, pause);
+    private void disconnect(Reason reason, double backoffSeconds, List<SubscriberStep<S>> steps) {
+        steps.add(new SubscriberStep.Disconnect<>(connectionNumber, reason));
+        scheduleReconnect(reason, backoffSeconds);
     }
 
-    private void leave(Reason reason, double pause) {
-        breaks.merge(reason, 1L, Long::sum);
-        forgetConnection();
-        failures++;
-        source = (source + 1) % sources.size();
-        phase = Phase.PAUSING;
-        nextAt = now + pause;
+    private void scheduleReconnect(Reason reason, double backoffSeconds) {
+        disconnectCounts.merge(reason, 1L, Long::sum);
+        clearConnectionState();
+        consecutiveFailures++;
+        sourceIndex = (sourceIndex + 1) % sources.size();
+        phase = Phase.BACKING_OFF;
+        connectActionAt = now + backoffSeconds;
     }
 
-    private void planReturn() {
-        returnAt = source == 0 ? NEVER : now + timing.returnAfter() * (1 + random.nextDouble());
+    private void schedulePreferredRetry() {
+        retryPreferredAt =
+                sourceIndex == 0 ? NEVER : now + timing.preferredSourceRetrySeconds() * (1 + random.nextDouble());
     }
 
-    private void forgetConnection() {
-        assembly = null;
-        moveAt = NEVER;
-        returnAt = NEVER;
-        acknowledged.clear();
+    private void clearConnectionState() {
+        incomingSnapshot = null;
+        leaveStaleSourceAt = NEVER;
+        retryPreferredAt = NEVER;
+        sentAcknowledgements.clear();
     }
 
-    /** Doubled with each failure up to the longest one, less a random half. */
-    private double pause() {
-        double most = republishes ? timing.longestControlPause() : timing.longestPause();
-        double longest = Math.min(most, timing.firstPause() * Math.pow(2, failures));
-        return longest * (1 + random.nextDouble()) / 2;
+    /** Exponential backoff in seconds, between half of the bound and the bound. */
+    private double nextBackoff() {
+        double maxBackoff = republishes ? timing.maxControlBackoffSeconds() : timing.maxBackoffSeconds();
+        double backoff = Math.min(maxBackoff, timing.initialBackoffSeconds() * Math.pow(2, consecutiveFailures));
+        return backoff * (1 + random.nextDouble()) / 2;
     }
 
     // ---- messages ----
 
-    /** A message has come on that connection. */
-    public List<SubscriberStep<S>> received(long number, ControlMessage message, double time) {
-        pass(time);
+    /** Handles a message that was received on the connection. */
+    public List<SubscriberStep<S>> received(long eventConnection, ControlMessage message, double time) {
+        advanceClock(time);
         List<SubscriberStep<S>> steps = new ArrayList<>();
-        if (number != connection || phase != Phase.SUBSCRIBED) {
+        if (eventConnection != connectionNumber || phase != Phase.SUBSCRIBED) {
             return steps;
         }
-        heardAt = time;
-        received++;
-        if (message.term() < term) {
-            breakOff(Reason.OUTDATED_TERM, steps);
+        lastReceivedAt = time;
+        receivedMessages++;
+        if (message.term() < highestTerm) {
+            disconnect(Reason.OUTDATED_TERM, steps);
             return steps;
         }
-        term = message.term();
+        highestTerm = message.term();
         if (message instanceof ControlMessage.SnapshotPart part) {
-            take(part, steps);
+            handle(part, steps);
         } else if (message instanceof ControlMessage.Delta delta) {
-            take(delta, steps);
+            handle(delta, steps);
         } else if (message instanceof ControlMessage.Heartbeat heartbeat) {
-            take(heartbeat, steps);
+            handle(heartbeat, steps);
         } else if (message instanceof ControlMessage.Busy busy) {
-            double jitter = random.nextDouble() * timing.firstPause();
-            // The told wait is kept in full.
-            breakOff(Reason.BUSY, Math.max(busy.retryAfter() + jitter, pause()), steps);
+            double jitter = random.nextDouble() * timing.initialBackoffSeconds();
+            // The jitter only extends the requested delay.
+            disconnect(Reason.BUSY, Math.max(busy.retryAfterSeconds() + jitter, nextBackoff()), steps);
         } else {
-            breakOff(Reason.PROTOCOL, steps);
+            disconnect(Reason.PROTOCOL, steps);
         }
         if (phase == Phase.SUBSCRIBED) {
             acknowledge(steps);
@@ -288,49 +309,57 @@
     }
 
     private void acknowledge(List<SubscriberStep<S>> steps) {
-        if (acknowledged.size() < MOST_REMEMBERED) {
-            acknowledged.add(new Acknowledged(received, now));
+        if (sentAcknowledgements.size() < MAX_SENT_ACKNOWLEDGEMENTS) {
+            sentAcknowledgements.add(new SentAcknowledgement(receivedMessages, now));
         }
-        steps.add(new SubscriberStep.Send<>(connection, new ControlMessage.Acknowledge(term, version, received)));
+        steps.add(new SubscriberStep.Send<>(
+                connectionNumber, new ControlMessage.Acknowledge(highestTerm, version, receivedMessages)));
     }
 
-    private void take(ControlMessage.Heartbeat heartbeat, List<SubscriberStep<S>> steps) {
-        if (assembly == null && heartbeat.sent().isAfter(version)) {
-            breakOff(Reason.GAP, steps);
+    private void handle(ControlMessage.Heartbeat heartbeat, List<SubscriberStep<S>> steps) {
+        if (incomingSnapshot == null && heartbeat.sentVersion().isAfter(version)) {
+            disconnect(Reason.GAP, steps);
             return;
         }
-        double heard = sentAt(heartbeat.acknowledged());
-        if (!heartbeat.newest().isAfter(version)) {
-            currentAt = Math.max(currentAt, heard + heartbeat.since() - heartbeat.age());
+        double acknowledgementSentAt = acknowledgementSentAt(heartbeat.acknowledgedMessages());
+        if (!heartbeat.newestVersion().isAfter(version)) {
+            lastKnownCurrentAt = Math.max(
+                    lastKnownCurrentAt,
+                    acknowledgementSentAt + heartbeat.secondsSinceAcknowledge() - heartbeat.ageSeconds());
         }
-        if (heartbeat.age() <= timing.tooStale()) {
-            moveAt = NEVER;
-            failures = heartbeat.newest().isAfter(version) ? failures : 0;
-        } else if (moveAt == NEVER && sources.size() > 1) {
-            moveAt = now + timing.silence() * random.nextDouble(); // not all of them together
+        if (heartbeat.ageSeconds() <= timing.maxSourceAgeSeconds()) {
+            leaveStaleSourceAt = NEVER;
+            consecutiveFailures = heartbeat.newestVersion().isAfter(version) ? consecutiveFailures : 0;
+        } else if (leaveStaleSourceAt == NEVER && sources.size() > 1) {
+            // The random delay prevents that all subscribers of a stale source leave it together.
+            leaveStaleSourceAt = now + timing.silenceTimeoutSeconds() * random.nextDouble();
         }
     }
 
-    /** When that acknowledgement was sent, or the newest one before it whose time is known. */
-    private double sentAt(long number) {
-        double at = Double.NEGATIVE_INFINITY;
-        while (!acknowledged.isEmpty() && acknowledged.peek().received() <= number) {
-            at = acknowledged.poll().at();
+    /**
+     * When the acknowledgement of that many messages was sent, or the last one before it whose time is known; negative
+     * infinity if there is none.
+     */
+    private double acknowledgementSentAt(long messageCount) {
+        double sentAt = Double.NEGATIVE_INFINITY;
+        while (!sentAcknowledgements.isEmpty() && sentAcknowledgements.peek().receivedMessages() <= messageCount) {
+            sentAt = sentAcknowledgements.poll().sentAt();
         }
-        if (at > Double.NEGATIVE_INFINITY) {
-            acknowledged.addFirst(new Acknowledged(number, at)); // the next heartbeat may name it again
+        if (sentAt > Double.NEGATIVE_INFINITY) {
+            // The next heartbeat may refer to the same acknowledgement.
+            sentAcknowledgements.addFirst(new SentAcknowledgement(messageCount, sentAt));
         }
-        return at;
+        return sentAt;
     }
 
-    private void take(ControlMessage.Delta delta, List<SubscriberStep<S>> steps) {
-        if (!delta.to().isAfter(version)) {
-            doubled++;
+    private void handle(ControlMessage.Delta delta, List<SubscriberStep<S>> steps) {
+        if (!delta.toVersion().isAfter(version)) {
+            duplicates++;
             return;
         }
-        List<Change> changes = following(delta);
+        List<Change> changes = changesToApply(delta);
         if (changes.isEmpty() || state == null) {
-            breakOff(Reason.GAP, steps);
+            disconnect(Reason.GAP, steps);
             return;
         }
         Version from = version;
@@ -341,17 +370,17 @@
                     .toList();
             state = codec.applyAll(state, deltas);
         } catch (DamagedStateException ex) {
-            wholeWanted = true; // the same change would come again
-            refuse(delta.to(), ex.getMessage(), steps);
+            needsSnapshot = true; // otherwise the source would send the same change again
+            refuseDamaged(delta.toVersion(), ex.getMessage(), steps);
             return;
         }
-        takenOver(delta.to());
+        setActiveVersion(delta.toVersion());
         steps.add(new SubscriberStep.Advanced<>(from, changes, state));
     }
 
-    /** The delta's changes that follow the version in force; none if they do not. */
-    private List<Change> following(ControlMessage.Delta delta) {
-        if (delta.from().equals(version)) {
+    /** The changes of the delta that follow the active version; empty if the delta does not contain that version. */
+    private List<Change> changesToApply(ControlMessage.Delta delta) {
+        if (delta.fromVersion().equals(version)) {
             return delta.changes();
         }
         for (int i = 0; i < delta.changes().size() - 1; i++) {
@@ -362,120 +391,127 @@
         return List.of();
     }
 
-    private void take(ControlMessage.SnapshotPart part, List<SubscriberStep<S>> steps) {
+    private void handle(ControlMessage.SnapshotPart part, List<SubscriberStep<S>> steps) {
         if (!part.version().isAfter(version)) {
-            doubled++;
+            duplicates++;
             return;
         }
-        if (part.part() == 0 && (assembly == null || !assembly.version.equals(part.version()))) {
-            assembly = new Assembly(part);
+        if (part.partIndex() == 0 && (incomingSnapshot == null || !incomingSnapshot.version.equals(part.version()))) {
+            incomingSnapshot = new IncomingSnapshot(part);
         }
-        if (assembly == null || !assembly.version.equals(part.version()) || part.part() > assembly.pieces.size()) {
-            breakOff(Reason.GAP, steps);
-        } else if (part.part() < assembly.pieces.size()) {
-            doubled++;
+        if (incomingSnapshot == null
+                || !incomingSnapshot.version.equals(part.version())
+                || part.partIndex() > incomingSnapshot.parts.size()) {
+            disconnect(Reason.GAP, steps);
+        } else if (part.partIndex() < incomingSnapshot.parts.size()) {
+            duplicates++;
         } else {
-            add(part, steps);
+            addPart(part, steps);
         }
     }
 
-    private void add(ControlMessage.SnapshotPart part, List<SubscriberStep<S>> steps) {
-        boolean fits = part.parts() == assembly.parts
-                && part.checksum() == assembly.checksum
-                && part.part() < part.parts()
-                && (part.bytes().length > 0 || part.parts() == 1)
-                && assembly.bytes + part.bytes().length <= mostStateBytes;
-        if (!fits) {
-            refuse(part.version(), part + " does not fit the parts before or is beyond " + mostStateBytes, steps);
+    private void addPart(ControlMessage.SnapshotPart part, List<SubscriberStep<S>> steps) {
+        boolean consistent = part.partCount() == incomingSnapshot.partCount
+                && part.checksum() == incomingSnapshot.checksum
+                && part.partIndex() < part.partCount()
+                && (part.bytes().length > 0 || part.partCount() == 1)
+                && incomingSnapshot.receivedBytes + part.bytes().length <= maxStateBytes;
+        if (!consistent) {
+            refuseDamaged(
+                    part.version(),
+                    part + " is inconsistent with earlier parts or exceeds the state limit of " + maxStateBytes,
+                    steps);
             return;
         }
-        assembly.pieces.add(part.bytes());
-        assembly.bytes += part.bytes().length;
-        if (assembly.pieces.size() == assembly.parts) {
-            byte[] whole = assembly.whole();
-            assembly = null;
-            replace(part, whole, steps);
+        incomingSnapshot.parts.add(part.bytes());
+        incomingSnapshot.receivedBytes += part.bytes().length;
+        if (incomingSnapshot.parts.size() == incomingSnapshot.partCount) {
+            byte[] encoded = incomingSnapshot.joinParts();
+            incomingSnapshot = null;
+            replaceState(part, encoded, steps);
         }
     }
 
-    private void replace(ControlMessage.SnapshotPart part, byte[] whole, List<SubscriberStep<S>> steps) {
-        if (ControlMessageCodec.checksum(whole, 0, whole.length) != part.checksum()) {
-            refuse(part.version(), "the CRC32C of its " + whole.length + " bytes is not the one told", steps);
+    private void replaceState(ControlMessage.SnapshotPart lastPart, byte[] encoded, List<SubscriberStep<S>> steps) {
+        if (ControlMessageCodec.checksum(encoded, 0, encoded.length) != lastPart.checksum()) {
+            refuseDamaged(lastPart.version(), "CRC32C mismatch over a snapshot of " + encoded.length + " bytes", steps);
             return;
         }
         try {
-            state = codec.decode(whole);
+            state = codec.decode(encoded);
         } catch (DamagedStateException ex) {
-            refuse(part.version(), ex.getMessage(), steps);
+            refuseDamaged(lastPart.version(), ex.getMessage(), steps);
             return;
         }
-        takenOver(part.version());
+        setActiveVersion(lastPart.version());
         steps.add(new SubscriberStep.Replaced<>(version, state));
     }
 
-    private void takenOver(Version next) {
-        version = next;
-        wholeWanted = false;
-        failures = 0;
+    private void setActiveVersion(Version newVersion) {
+        version = newVersion;
+        needsSnapshot = false;
+        consecutiveFailures = 0;
     }
 
-    private void refuse(Version damaged, String why, List<SubscriberStep<S>> steps) {
-        refused++;
-        steps.add(new SubscriberStep.Refused<>(damaged, why));
-        breakOff(Reason.DAMAGED, steps);
+    private void refuseDamaged(Version refusedVersion, String reason, List<SubscriberStep<S>> steps) {
+        refusedCount++;
+        steps.add(new SubscriberStep.Refused<>(refusedVersion, reason));
+        disconnect(Reason.DAMAGED, steps);
     }
 
-    private void pass(double time) {
+    private void advanceClock(double time) {
         if (time < now) {
-            throw new IllegalArgumentException("a monotonic clock must not go back from " + now + " to " + time);
+            throw new IllegalArgumentException("time went backwards from " + now + " to " + time);
         }
         now = time;
     }
 
-    // ---- what is asked ----
+    // ---- status ----
 
-    /** The version in force, {@link Version#NONE} for none. */
+    /** The version of the active state, {@link Version#NONE} if there is none. */
     public Version version() {
         return version;
     }
 
-    /** The state in force, or null. */
+    /** The active state, null if there is none. */
     public S state() {
         return state;
     }
 
-    /** The newest term that was seen. */
+    /** The newest term that this process knows. */
     public long term() {
-        return term;
+        return highestTerm;
     }
 
-    /** When the state in force was last known to be current; negative infinity if it never was. */
+    /** When the active state was last known to be current; negative infinity if that was never known. */
     public double currentAt() {
-        return currentAt;
+        return lastKnownCurrentAt;
     }
 
-    /** Seconds for which the state in force may have been out of date; infinite if it was never known current. */
+    /**
+     * For how many seconds the active state may have been out of date; infinite if it was never known to be current.
+     */
     public double staleness(double time) {
-        return Math.max(0, time - currentAt);
+        return Math.max(0, time - lastKnownCurrentAt);
     }
 
-    /** The source that it is subscribed to, or null. */
+    /** The source that this process is subscribed to, or null. */
     public String source() {
-        return phase == Phase.SUBSCRIBED ? sources.get(source) : null;
+        return phase == Phase.SUBSCRIBED ? sources.get(sourceIndex) : null;
     }
 
-    /** How many connections were left for that reason. */
+    /** How many connections ended for that reason. {@link Reason#STOPPED} is not counted. */
     public long breaks(Reason reason) {
-        return breaks.getOrDefault(reason, 0L);
+        return disconnectCounts.getOrDefault(reason, 0L);
     }
 
-    /** States and changes that were refused as damaged. */
+    /** How many snapshots and deltas were refused as damaged. */
     public long refused() {
-        return refused;
+        return refusedCount;
     }
 
-    /** Messages that brought nothing new. */
+    /** How many delta or snapshot messages contained nothing new. */
     public long doubled() {
-        return doubled;
+        return duplicates;
     }
 }
--- a/src/main/java/juniperusher/distribution/SubscriberStep.java
+++ b/src/main/java/juniperusher/distribution/SubscriberStep.java
@@ -3,57 +3,65 @@
 import java.util.List;
 
 /**
- * Something that the adapter of a {@link Subscriber} is to do; steps are carried out in their order.
+ * An action that the adapter of a {@link Subscriber} has to carry out, or an event that it may pass on. Steps are
+ * carried out in order.
  *
  * @param <S> the state
  */
 public sealed interface SubscriberStep<S> {
-    /** Connect to that source; what comes of it is told with the connection's number. */
+    /**
+     * Connect to a source. The adapter reports the result, and later events, with the number of this connection.
+     */
     record Connect<S>(long connection, String source) implements SubscriberStep<S> {}
 
-    /** Send the message on that connection. */
+    /** Send a message. */
     record Send<S>(long connection, ControlMessage message) implements SubscriberStep<S> {}
 
-    /** Close that connection, or give up connecting; nothing more of it needs to be told. */
+    /** Close a connection or abort the attempt to connect. No further events of it have to be reported. */
     record Disconnect<S>(long connection, Reason reason) implements SubscriberStep<S> {}
 
-    /** The state of that version is in force in place of the one before, whatever that was. */
+    /** A snapshot has replaced the active state. */
     record Replaced<S>(Version version, S state) implements SubscriberStep<S> {}
 
-    /** The state is in force to which the changes have led from the version before. */
+    /**
+     * Changes were applied to the active state.
+     *
+     * @param from version before the changes
+     * @param state the active state after the changes
+     */
     record Advanced<S>(Version from, List<Change> changes, S state) implements SubscriberStep<S> {
-        /** The version in force. */
+        /** The active version after the changes. */
         public Version to() {
             return changes.get(changes.size() - 1).version();
         }
     }
 
-    /** A state or a change was refused whole; what was in force stays so. Worth one line in the log. */
+    /** A damaged snapshot or delta was refused as a whole; the active state is unchanged. Should be logged. */
     record Refused<S>(Version version, String why) implements SubscriberStep<S> {}
 
-    /** Why a connection is closed. */
+    /** Why a connection was closed. */
     enum Reason {
-        /** The process wants no more, or has other sources now. */
+        /** The process stopped following, or its new sources do not include this one. */
         STOPPED,
-        /** The source did not answer in time. */
+        /** The connection could not be opened in time. */
         NOT_CONNECTED,
-        /** The other side closed it, or the network. */
+        /** The source or the network closed it. */
         CLOSED,
-        /** A heartbeat is overdue. */
+        /** No message was received for the silence timeout. */
         SILENCE,
-        /** A message is missing. */
+        /** A message is missing, or a delta does not follow the active version. */
         GAP,
-        /** The source is behind a leader that this process knows of. */
+        /** The source has not seen the newest term that this process knows. */
         OUTDATED_TERM,
-        /** The source has not been current itself for too long. */
+        /** The source's own state has been out of date for too long. */
         STALE_SOURCE,
-        /** Another source is preferred and may be back. */
+        /** The connection was to a fallback; the preferred source is tried again. */
         PREFERENCE,
-        /** The source has no room now and said when to come again. */
+        /** The source rejected the subscription with a retry-after delay. */
         BUSY,
-        /** A state or a change was damaged. */
+        /** A snapshot or a delta was damaged. */
         DAMAGED,
-        /** A message that a publisher never sends. */
+        /** The source sent a message that only subscribers send. */
         PROTOCOL
     }
 }
--- a/src/main/java/juniperusher/distribution/Subscription.java
+++ b/src/main/java/juniperusher/distribution/Subscription.java
@@ -3,34 +3,34 @@
 import java.util.ArrayDeque;
 
 /**
- * What a publisher knows of one subscriber's connection: the version that it is brought to, and which messages are on
- * their way to it. Holds no message.
+ * A publisher's state of one subscriber's connection: the version up to which data was sent, and the sizes of the
+ * unacknowledged messages, but not the messages themselves.
  */
 final class Subscription {
     private final long connection;
     private final String name;
     private final boolean republishes;
     private final ArrayDeque<InFlight> inFlight = new ArrayDeque<>();
-    private Version sent;
+    private Version sentVersion;
     private int inFlightBytes;
-    private long messages;
-    private long acknowledged;
-    private double heardAt;
-    private double progressAt; // when something was acknowledged, or sent while nothing was on its way
-    private boolean confirmed;
-    private EncodedState snapshot; // under way, or null
-    private int nextPart;
-    private double snapshotAt;
-
-    /** A message on its way. */
+    private long sentMessages;
+    private long acknowledgedMessages;
+    private double lastReceivedAt;
+    private double lastProgressAt; // last acknowledgement, or last message sent with none in flight
+    private boolean confirmedCurrent;
+    private EncodedState activeSnapshot; // the snapshot in progress, or null
+    private int nextPartIndex;
+    private double snapshotStartedAt;
+
+    /** An unacknowledged message: its number on this connection, from 1, and its size. */
     private record InFlight(long number, int bytes) {}
 
     Subscription(long connection, ControlMessage.Subscribe subscribe, double time) {
         this.connection = connection;
         name = subscribe.subscriber();
         republishes = subscribe.republishes();
-        sent = subscribe.has();
-        heardAt = time;
+        sentVersion = subscribe.version();
+        lastReceivedAt = time;
     }
 
     long connection() {
@@ -41,14 +41,14 @@
         return name;
     }
 
-    /** Whether it is a control process, which passes on what it gets. */
+    /** Whether the subscriber is a control process, which republishes the state. */
     boolean republishes() {
         return republishes;
     }
 
-    // ---- what is on its way ----
+    // ---- messages in flight ----
 
-    boolean hasRoom(Limits limits) {
+    boolean hasWindowRoom(Limits limits) {
         return inFlightBytes < limits.windowBytes() && inFlight.size() < limits.windowMessages();
     }
 
@@ -64,94 +64,100 @@
         return inFlightBytes;
     }
 
-    void sending(int bytes, double time) {
+    void messageSent(int bytes, double time) {
         if (inFlight.isEmpty()) {
-            progressAt = time;
+            lastProgressAt = time;
         }
-        messages++;
-        inFlight.add(new InFlight(messages, bytes));
+        sentMessages++;
+        inFlight.add(new InFlight(sentMessages, bytes));
         inFlightBytes += bytes;
     }
 
-    /** It has received so many messages; more than were sent, where one came doubled, are no more than all. */
-    void acknowledged(long received, double time) {
-        acknowledged = received;
-        heardAt = time;
-        while (!inFlight.isEmpty() && inFlight.peek().number() <= received) {
+    /**
+     * Handles an acknowledgement of that many received messages. The number exceeds that of sent messages if the
+     * network duplicated a message; then all messages are acknowledged.
+     */
+    void acknowledge(long receivedMessages, double time) {
+        acknowledgedMessages = receivedMessages;
+        lastReceivedAt = time;
+        while (!inFlight.isEmpty() && inFlight.peek().number() <= receivedMessages) {
             inFlightBytes -= inFlight.poll().bytes();
-            progressAt = time;
+            lastProgressAt = time;
         }
     }
 
-    /** The last acknowledgement's number, 0 for none. */
-    long acknowledged() {
-        return acknowledged;
+    /** The number of received messages in the last acknowledgement, 0 if there was none. */
+    long acknowledgedMessages() {
+        return acknowledgedMessages;
     }
 
-    /** When the last acknowledgement came, or the subscription. */
-    double heardAt() {
-        return heardAt;
+    /** When the last acknowledgement was received or, if there was none, the subscription. */
+    double lastReceivedAt() {
+        return lastReceivedAt;
     }
 
-    /** Whether nothing of what is on its way was acknowledged for longer than that. */
-    boolean isStuck(double patience, double time) {
-        return !inFlight.isEmpty() && time > progressAt + patience;
+    /** Whether messages are in flight and none was acknowledged within the timeout. */
+    boolean isStalled(double timeoutSeconds, double time) {
+        return !inFlight.isEmpty() && time > lastProgressAt + timeoutSeconds;
     }
 
-    // ---- the version ----
+    // ---- version ----
 
-    /** The version that it has once it has all that was sent. */
-    Version sent() {
-        return sent;
+    /** The version that the subscriber has once it has received everything that was sent. */
+    Version sentVersion() {
+        return sentVersion;
     }
 
-    void bringTo(Version version) {
-        sent = version;
+    void setSentVersion(Version version) {
+        sentVersion = version;
     }
 
-    /** Whether it was told that it is current, since it first was. */
-    boolean isConfirmed() {
-        return confirmed;
+    /** Whether the subscriber was told, by a heartbeat, that it was up to date at some time. */
+    boolean isConfirmedCurrent() {
+        return confirmedCurrent;
     }
 
-    void confirm() {
-        confirmed = true;
+    void markConfirmedCurrent() {
+        confirmedCurrent = true;
     }
 
-    // ---- a whole state ----
+    // ---- snapshot ----
 
     void beginSnapshot(EncodedState state, double time) {
-        snapshot = state;
-        nextPart = 0;
-        snapshotAt = time;
+        activeSnapshot = state;
+        nextPartIndex = 0;
+        snapshotStartedAt = time;
     }
 
-    /** The whole state that is under way, or null. */
-    EncodedState snapshot() {
-        return snapshot;
+    /** The snapshot in progress, or null. */
+    EncodedState activeSnapshot() {
+        return activeSnapshot;
     }
 
     void abandonSnapshot() {
-        snapshot = null;
+        activeSnapshot = null;
     }
 
-    /** The number of the part that is to be sent now; after the last one no state is under way. */
-    int takePart() {
-        int part = nextPart++;
-        if (nextPart == snapshot.parts().size()) {
-            sent = snapshot.version();
-            snapshot = null;
+    /** Returns the index of the part to be sent and moves on to the next one; the last part ends the snapshot. */
+    int advancePart() {
+        int partIndex = nextPartIndex++;
+        if (nextPartIndex == activeSnapshot.parts().size()) {
+            sentVersion = activeSnapshot.version();
+            activeSnapshot = null;
         }
-        return part;
+        return partIndex;
     }
 
-    /** When the last whole state was begun. */
-    double snapshotAt() {
-        return snapshotAt;
+    /** When the last snapshot was started. */
+    double snapshotStartedAt() {
+        return snapshotStartedAt;
     }
 
-    /** Whether it takes one of the places for whole states: a relay that gets one and is not slow. */
-    boolean takesPlace(double seconds, double time) {
-        return snapshot != null && !republishes && time < snapshotAt + seconds;
+    /**
+     * Whether this subscriber counts towards the limit on concurrent snapshots. Control processes and snapshots that
+     * take longer than {@code maxSlotSeconds} do not count.
+     */
+    boolean usesSnapshotSlot(double maxSlotSeconds, double time) {
+        return activeSnapshot != null && !republishes && time < snapshotStartedAt + maxSlotSeconds;
     }
 }
--- a/src/main/java/juniperusher/distribution/Timing.java
+++ b/src/main/java/juniperusher/distribution/Timing.java
@@ -1,51 +1,60 @@
 package juniperusher.distribution;
 
 /**
- * The distribution's times, in seconds.
+ * Intervals, timeouts and backoffs of publishers and subscribers, all in seconds.
  *
- * @param heartbeat between two heartbeats of a publisher to each subscriber
- * @param silence without a message after which a subscriber takes its connection for broken
- * @param acknowledgePatience without progress in acknowledgements after which a publisher closes a connection
- * @param connectPatience after which an attempt to connect is given up
- * @param firstPause the longest pause before the first new attempt; doubled with each failure
- * @param longestPause the longest pause of a relay before any attempt
- * @param longestControlPause the same of a control process, of which there are few and for which relays wait
- * @param tooStale the age of a publisher beyond which its subscriber looks for another one
- * @param returnAfter after which a subscriber of another source than the first tries that again, doubled at most, so
- *     that who came back gets its share
- * @param batch the shortest time between two deltas to one subscriber, so that changes of a burst share frames
+ * @param heartbeatIntervalSeconds interval of a publisher's heartbeats
+ * @param silenceTimeoutSeconds time without a message after which a subscriber closes its connection
+ * @param acknowledgementTimeoutSeconds time without progress in acknowledgements after which a publisher closes a
+ *     connection
+ * @param connectPatience timeout of an attempt to connect
+ * @param initialBackoffSeconds backoff before jitter, doubled with each failure
+ * @param maxBackoffSeconds maximum backoff of a relay
+ * @param maxControlBackoffSeconds maximum backoff of a control process; shorter, because there are few of them and
+ *     relays depend on them
+ * @param maxSourceAgeSeconds age of a source's state above which a subscriber changes to another source
+ * @param preferredSourceRetrySeconds minimum time after which a subscriber of another source tries the preferred source
+ *     again, so that relays return to a control process that has recovered; a random delay of up to the same length is
+ *     added
+ * @param batchIntervalSeconds minimum time between two rounds of deltas, so that the changes of a burst share messages
  */
 public record Timing(
-        double heartbeat,
-        double silence,
-        double acknowledgePatience,
+        double heartbeatIntervalSeconds,
+        double silenceTimeoutSeconds,
+        double acknowledgementTimeoutSeconds,
         double connectPatience,
-        double firstPause,
-        double longestPause,
-        double longestControlPause,
-        double tooStale,
-        double returnAfter,
-        double batch) {
-    /** Leaves 13 s room for a killed control process: silence, pauses and a second attempt take under 8 s. */
+        double initialBackoffSeconds,
+        double maxBackoffSeconds,
+        double maxControlBackoffSeconds,
+        double maxSourceAgeSeconds,
+        double preferredSourceRetrySeconds,
+        double batchIntervalSeconds) {
+    /**
+     * The defaults. A change has to be active on all relays within 13 s, also if a control process is killed: the
+     * silence timeout, the backoffs and a second attempt to connect take less than 8 s.
+     */
     public static final Timing USUAL = new Timing(1, 3, 10, 2, 0.5, 6, 1, 4, 600, 0.1);
 
-    /** Checks that the times fit each other. */
+    /** Checks that the times are consistent. */
     public Timing {
-        if (!(heartbeat > 0 && silence > 2 * heartbeat && acknowledgePatience > silence)) {
-            throw new IllegalArgumentException("silence has to be longer than two heartbeats,"
-                    + " and the patience with acknowledgements longer still");
+        if (!(heartbeatIntervalSeconds > 0
+                && silenceTimeoutSeconds > 2 * heartbeatIntervalSeconds
+                && acknowledgementTimeoutSeconds > silenceTimeoutSeconds)) {
+            throw new IllegalArgumentException("silence timeout must exceed two heartbeat intervals,"
+                    + " and the acknowledgement timeout must exceed the silence timeout");
         }
-        if (!(firstPause > 0
-                && longestPause >= firstPause
-                && longestControlPause >= firstPause
+        if (!(initialBackoffSeconds > 0
+                && maxBackoffSeconds >= initialBackoffSeconds
+                && maxControlBackoffSeconds >= initialBackoffSeconds
                 && connectPatience > 0
-                && returnAfter > 0
-                && batch >= 0)) {
+                && preferredSourceRetrySeconds > 0
+                && batchIntervalSeconds >= 0)) {
             throw new IllegalArgumentException(
-                    "pauses and patience have to be positive, the longest pauses the longest");
+                    "backoffs and timeouts must be positive, and no maximum backoff less than the initial one");
         }
-        if (!(tooStale > 3 * heartbeat)) {
-            throw new IllegalArgumentException("a publisher's age may miss two heartbeats when all is well");
+        if (!(maxSourceAgeSeconds > 3 * heartbeatIntervalSeconds)) {
+            throw new IllegalArgumentException(
+                    "maximum source age must exceed three heartbeat intervals: two may be missed in normal operation");
         }
     }
 }
--- a/src/main/java/juniperusher/distribution/Version.java
+++ b/src/main/java/juniperusher/distribution/Version.java
@@ -1,18 +1,21 @@
 package juniperusher.distribution;
 
 /**
- * Names one published state. The term is the fencing token under which its publisher led, the revision counts
- * changes. Ordered by term first. A leader gives out each revision of its term once and goes on from the revision
- * that it found, so a version names one state only, and with it all changes that led there.
+ * Identifies one published state. Versions are ordered by term, then by revision. A leader uses each revision of its
+ * term once and continues from the revision that it took over, so a version identifies a single state and the sequence
+ * of changes that led to it.
+ *
+ * @param term the fencing token under which the publisher of the state led
+ * @param revision number of changes; continues across terms
  */
 public record Version(long term, long revision) implements Comparable<Version> {
-    /** The version of who has no state yet: older than any that is published. */
+    /** The version of a process without a state; older than any published version. */
     public static final Version NONE = new Version(0, 0);
 
     /** Checks that neither number is negative. */
     public Version {
         if (term < 0 || revision < 0) {
-            throw new IllegalArgumentException("a version needs numbers from 0, not " + term + " and " + revision);
+            throw new IllegalArgumentException("term and revision must not be negative: " + term + ", " + revision);
         }
     }
 
--- a/src/test/java/juniperusher/distribution/ControlMessageCodecTest.java
+++ b/src/test/java/juniperusher/distribution/ControlMessageCodecTest.java
@@ -81,7 +81,7 @@
             }
         }
         assertEquals(messages, decoded);
-        assertEquals(0, decoder.pending());
+        assertEquals(0, decoder.pendingBytes());
     }
 
     /** A wrong bit makes no other message: it is damage, or, in the length, a frame that does not end. */
--- a/src/test/java/juniperusher/distribution/DeltaLogTest.java
+++ b/src/test/java/juniperusher/distribution/DeltaLogTest.java
@@ -29,11 +29,11 @@
     void keepsTheLastOnes(@ForAll @IntRange(min = 1, max = 100) int most, @ForAll @IntRange(max = 400) int changes) {
         DeltaLog log = log(most, changes);
         int kept = Math.min(most, changes);
-        assertEquals(kept, log.count());
+        assertEquals(kept, log.changeCount());
         for (int behind = 0; behind <= kept; behind++) {
             Version version = new Version(1, 10 + changes - behind);
             assertTrue(log.covers(version));
-            List<Change> since = log.since(version, PLENTY);
+            List<Change> since = log.changesAfter(version, PLENTY);
             assertEquals(behind, since.size());
             for (int i = 0; i < behind; i++) {
                 assertEquals(version.revision() + 1 + i, since.get(i).version().revision());
@@ -50,9 +50,9 @@
         log.reset(new Version(1, 1));
         for (int i = 2; i < 200; i++) {
             log.append(new Change(new Version(1, i), new byte[100]));
-            assertTrue(log.bytes() <= 500);
+            assertTrue(log.totalBytes() <= 500);
         }
-        assertEquals(4, log.count());
+        assertEquals(4, log.changeCount());
     }
 
     /** Of another leader's changes none is served, though the revision is the same. */
@@ -64,15 +64,15 @@
         assertTrue(log.covers(new Version(1, 13)));
         assertTrue(log.covers(new Version(2, 14)));
         assertFalse(log.covers(new Version(1, 14)));
-        assertThrows(IllegalArgumentException.class, () -> log.since(new Version(1, 14), PLENTY));
+        assertThrows(IllegalArgumentException.class, () -> log.changesAfter(new Version(1, 14), PLENTY));
     }
 
     @Test
     void aDeltaHasAsMuchAsFitsAndOneAtLeast() {
         DeltaLog log = log(100, 20);
-        assertEquals(1, log.since(new Version(1, 10), 1).size());
-        assertEquals(3, log.since(new Version(1, 10), 3 * 12 + 6).size());
-        assertEquals(20, log.since(new Version(1, 10), PLENTY).size());
+        assertEquals(1, log.changesAfter(new Version(1, 10), 1).size());
+        assertEquals(3, log.changesAfter(new Version(1, 10), 3 * 12 + 6).size());
+        assertEquals(20, log.changesAfter(new Version(1, 10), PLENTY).size());
     }
 
     @Test
--- a/src/test/java/juniperusher/distribution/DistributionWorldTest.java
+++ b/src/test/java/juniperusher/distribution/DistributionWorldTest.java
@@ -83,7 +83,7 @@
             world.run(time);
             for (String relay : world.relays()) {
                 double staleness = world.staleness(relay);
-                assertTrue(staleness < Timing.USUAL.tooStale(), relay + " tells " + staleness);
+                assertTrue(staleness < Timing.USUAL.maxSourceAgeSeconds(), relay + " tells " + staleness);
             }
         }
         for (String relay : world.relays()) {
@@ -114,7 +114,7 @@
         world.kill("c2");
         world.run(20);
         world.start("c2");
-        world.run(20 + 2 * Timing.USUAL.returnAfter());
+        world.run(20 + 2 * Timing.USUAL.preferredSourceRetrySeconds());
         for (String relay : own) {
             assertEquals("c2", world.source(relay));
             assertEquals(1, world.breaks(relay, Reason.PREFERENCE));
@@ -204,13 +204,13 @@
             world.change(1);
             world.run(10 + i * HOUR / 30);
         }
-        assertEquals(HOUR, world.staleness("r1"), 2 * Timing.USUAL.heartbeat());
+        assertEquals(HOUR, world.staleness("r1"), 2 * Timing.USUAL.heartbeatIntervalSeconds());
         long snapshots = snapshots(world, 3);
         world.cut(Set.of("r1"), false);
         world.run(10 + HOUR + IN_FORCE);
         converged(world);
         assertEquals(snapshots, snapshots(world, 3), "the log has them");
-        assertTrue(world.staleness("r1") < 2 * Timing.USUAL.heartbeat() + 1);
+        assertTrue(world.staleness("r1") < 2 * Timing.USUAL.heartbeatIntervalSeconds() + 1);
     }
 
     private static long snapshots(DistributionWorld world, int controls) {
@@ -258,7 +258,7 @@
         assertTrue(snapshots(world, 6) >= snapshots + 700);
         assertTrue(busy(world, 6) > busy, "some had to come again");
         for (int i = 1; i <= 6; i++) {
-            assertTrue(world.publisher("c" + i).counters().encoded() <= 3, "one encoded state serves all");
+            assertTrue(world.publisher("c" + i).counters().encodings() <= 3, "one encoded state serves all");
         }
     }
 
@@ -346,7 +346,7 @@
             }
         }
         assertNotEquals(world.newest(), world.version("r1"));
-        assertTrue(world.staleness("r1") > Timing.USUAL.tooStale(), "it says so");
+        assertTrue(world.staleness("r1") > Timing.USUAL.maxSourceAgeSeconds(), "it says so");
         world.run(200);
         converged(world);
         assertEquals(0, world.breaks("r1", Reason.SILENCE));
@@ -368,7 +368,7 @@
         world.cut(Set.of("c1"), true);
         world.run(40);
         for (String relay : world.relays()) {
-            assertEquals(30, world.staleness(relay), 3 * Timing.USUAL.heartbeat());
+            assertEquals(30, world.staleness(relay), 3 * Timing.USUAL.heartbeatIntervalSeconds());
         }
         world.cut(Set.of("c1"), false);
         world.change(1);
@@ -435,7 +435,9 @@
         converged(world);
         for (String relay : world.relays()) {
             double staleness = world.staleness(relay);
-            assertTrue(staleness < Timing.USUAL.tooStale(), () -> relay + " " + staleness + "\n" + world.drawn());
+            assertTrue(
+                    staleness < Timing.USUAL.maxSourceAgeSeconds(),
+                    () -> relay + " " + staleness + "\n" + world.drawn());
         }
     }
 
--- a/src/test/java/juniperusher/distribution/PublisherTest.java
+++ b/src/test/java/juniperusher/distribution/PublisherTest.java
@@ -24,7 +24,7 @@
     private double now;
 
     private void lead() {
-        publisher.replaced(new Version(0, 1), Ledger.EMPTY, now);
+        publisher.replaceState(new Version(0, 1), Ledger.EMPTY, now);
         publisher.lead(1, now);
         assertEquals(new Version(1, 2), publisher.newest());
     }
@@ -63,7 +63,7 @@
         publish(5);
         List<ControlMessage> near = subscribe(1, "near", new Version(1, 4));
         assertEquals(
-                new Version(1, 7), of(ControlMessage.Delta.class, near).get(0).to());
+                new Version(1, 7), of(ControlMessage.Delta.class, near).get(0).toVersion());
         now = 2;
         publish(10);
         List<ControlMessage> far = subscribe(2, "far", new Version(1, 4));
@@ -71,7 +71,7 @@
         ControlMessage.SnapshotPart part =
                 of(ControlMessage.SnapshotPart.class, far).get(0);
         assertEquals(new Version(1, 17), part.version());
-        assertEquals(STATE / LIMITS.partBytes(), part.parts());
+        assertEquals(STATE / LIMITS.partBytes(), part.partCount());
     }
 
     @Test
@@ -109,7 +109,7 @@
         assertTrue(delta.changes().size() > 1);
         assertEquals(
                 new Version(1, 11),
-                of(ControlMessage.Delta.class, rest).get(rest.size() - 1).to());
+                of(ControlMessage.Delta.class, rest).get(rest.size() - 1).toVersion());
     }
 
     @Test
@@ -139,8 +139,8 @@
             ControlMessage.Busy busy =
                     of(ControlMessage.Busy.class, sent(steps)).get(0);
             assertInstanceOf(PublisherStep.Close.class, steps.get(steps.size() - 1));
-            assertTrue(busy.retryAfter() > 0 && busy.retryAfter() <= 1.5 * LIMITS.retryAfter());
-            before = Math.max(before, busy.retryAfter());
+            assertTrue(busy.retryAfterSeconds() > 0 && busy.retryAfterSeconds() <= 1.5 * LIMITS.retryAfter());
+            before = Math.max(before, busy.retryAfterSeconds());
         }
         assertTrue(before > 5, "the later ones are told a longer time, at most " + before);
         assertEquals(1, publisher.memory().subscribers());
@@ -178,7 +178,7 @@
             now = publisher.due();
             closed = !of(PublisherStep.Close.class, publisher.tick(now)).isEmpty();
         }
-        assertTrue(now > TIMING.acknowledgePatience() && now < TIMING.acknowledgePatience() + 3);
+        assertTrue(now > TIMING.acknowledgementTimeoutSeconds() && now < TIMING.acknowledgementTimeoutSeconds() + 3);
         assertEquals(1, publisher.counters().slow());
         assertEquals(0, publisher.memory().inFlightBytes());
     }
@@ -229,7 +229,7 @@
         for (int i = 0; i < 3; i++) {
             assertEquals(0, sent(publish(1)).size());
         }
-        assertEquals(now + TIMING.batch(), publisher.due(), 1e-9);
+        assertEquals(now + TIMING.batchIntervalSeconds(), publisher.due(), 1e-9);
         now = publisher.due();
         List<ControlMessage> sent = of(ControlMessage.class, sent(publisher.tick(now)));
         assertEquals(3, of(ControlMessage.Delta.class, sent).get(0).changes().size());
@@ -238,7 +238,7 @@
     @Test
     void onlyTheLeaderPublishes() throws DamagedStateException {
         assertThrows(IllegalStateException.class, () -> publisher.lead(1, now), "there is nothing to lead with");
-        publisher.replaced(new Version(0, 1), Ledger.EMPTY, now);
+        publisher.replaceState(new Version(0, 1), Ledger.EMPTY, now);
         assertThrows(IllegalStateException.class, () -> publish(1));
         publisher.lead(1, now);
         publish(1);
@@ -263,12 +263,12 @@
     /** Who has followed another leader at the same revision gets the whole state, also where the log is long enough. */
     @Test
     void aSubscriberOfAnotherLeadersChangesGetsTheWholeState() throws DamagedStateException {
-        publisher.replaced(new Version(1, 5), Ledger.EMPTY, now);
+        publisher.replaceState(new Version(1, 5), Ledger.EMPTY, now);
         publisher.lead(2, now);
         publish(2);
         List<ControlMessage> same = subscribe(1, "same", new Version(1, 5));
         assertEquals(
-                new Version(2, 8), of(ControlMessage.Delta.class, same).get(0).to());
+                new Version(2, 8), of(ControlMessage.Delta.class, same).get(0).toVersion());
         List<ControlMessage> other = subscribe(2, "other", new Version(1, 7));
         assertEquals(
                 new Version(2, 8),
@@ -278,7 +278,7 @@
     /** An older encoded state would not get it on. */
     @Test
     void anEncodedStateThatIsOlderThanTheSubscribersIsNotSent() throws DamagedStateException {
-        publisher.replaced(new Version(1, 5), Ledger.EMPTY, now);
+        publisher.replaceState(new Version(1, 5), Ledger.EMPTY, now);
         assertFalse(of(ControlMessage.SnapshotPart.class, subscribe(1, "new", Version.NONE))
                 .isEmpty());
         publisher.closed(1, now);
@@ -291,7 +291,7 @@
 
     @Test
     void whoIsAheadGetsNothingButHeartbeats() {
-        publisher.replaced(new Version(1, 5), Ledger.EMPTY, now);
+        publisher.replaceState(new Version(1, 5), Ledger.EMPTY, now);
         List<ControlMessage> sent = subscribe(1, "r", new Version(1, 8));
         assertEquals(1, sent.size());
         assertInstanceOf(ControlMessage.Heartbeat.class, sent.get(0));
--- a/src/test/java/juniperusher/distribution/SubscriberTest.java
+++ b/src/test/java/juniperusher/distribution/SubscriberTest.java
@@ -63,7 +63,7 @@
     /** Subscribed, with version 1.1 in force. */
     private void begin() {
         subscriber.start(List.of("a", "b"), now);
-        assertEquals(Version.NONE, connect().has());
+        assertEquals(Version.NONE, connect().version());
         hear(part(new Version(1, 1), 0, 1, CODEC.encode(Ledger.EMPTY)));
         assertEquals(new Version(1, 1), subscriber.version());
     }
@@ -141,18 +141,18 @@
         List<SubscriberStep<Ledger>> steps = hear(delta(new Version(1, 1), LedgerCodec.change(4, 12), damaged));
         assertEquals(Reason.DAMAGED, left(steps));
         assertEquals(Ledger.EMPTY, subscriber.state(), "not even the change before it");
-        assertEquals(Version.NONE, connect().has());
+        assertEquals(Version.NONE, connect().version());
         hear(part(new Version(1, 3), 0, 1, CODEC.encode(new Ledger(2, 9))));
         assertEquals(new Version(1, 3), subscriber.version());
         subscriber.disconnected(connection, now);
-        assertEquals(new Version(1, 3), connect().has());
+        assertEquals(new Version(1, 3), connect().version());
     }
 
     @Test
     void aChangeForAStateThatItDoesNotHaveIsAskedForAnew() {
         begin();
         assertEquals(Reason.GAP, left(hear(delta(new Version(1, 2), LedgerCodec.change(4, 12)))));
-        assertEquals(new Version(1, 1), connect().has());
+        assertEquals(new Version(1, 1), connect().version());
     }
 
     @Test
@@ -180,7 +180,7 @@
     @Test
     void anOlderTermIsRefused() {
         begin();
-        subscriber.newerTerm(2);
+        subscriber.observeTerm(2);
         List<SubscriberStep<Ledger>> steps = hear(delta(new Version(1, 1), LedgerCodec.change(4, 12)));
         assertEquals(Reason.OUTDATED_TERM, left(steps));
         assertEquals(new Version(1, 1), subscriber.version());
@@ -192,13 +192,14 @@
         begin();
         assertEquals("a", subscriber.source());
         double heard = now;
-        assertEquals(heard + TIMING.silence(), subscriber.due(), 1e-9);
-        assertTrue(subscriber.tick(heard + TIMING.silence() - 0.01).isEmpty());
-        now = heard + TIMING.silence();
+        assertEquals(heard + TIMING.silenceTimeoutSeconds(), subscriber.due(), 1e-9);
+        assertTrue(
+                subscriber.tick(heard + TIMING.silenceTimeoutSeconds() - 0.01).isEmpty());
+        now = heard + TIMING.silenceTimeoutSeconds();
         assertEquals(Reason.SILENCE, left(subscriber.tick(now)));
         connect();
         assertEquals("b", subscriber.source());
-        assertTrue(now - heard < TIMING.silence() + 2 * TIMING.firstPause());
+        assertTrue(now - heard < TIMING.silenceTimeoutSeconds() + 2 * TIMING.initialBackoffSeconds());
     }
 
     @Test
@@ -211,9 +212,9 @@
                     SubscriberStep.Connect.class, subscriber.tick(now).get(0));
             subscriber.disconnected(connect.connection(), now);
             longest = Math.max(longest, subscriber.due() - now);
-            assertTrue(subscriber.due() - now >= TIMING.firstPause() / 2);
+            assertTrue(subscriber.due() - now >= TIMING.initialBackoffSeconds() / 2);
         }
-        assertTrue(longest > TIMING.longestPause() / 2 && longest <= TIMING.longestPause());
+        assertTrue(longest > TIMING.maxBackoffSeconds() / 2 && longest <= TIMING.maxBackoffSeconds());
     }
 
     @Test
@@ -221,7 +222,7 @@
         begin();
         assertEquals(Reason.BUSY, left(hear(new ControlMessage.Busy(1, 20))));
         assertTrue(subscriber.due() >= now + 20);
-        assertTrue(subscriber.due() <= now + 20 + TIMING.firstPause());
+        assertTrue(subscriber.due() <= now + 20 + TIMING.initialBackoffSeconds());
     }
 
     /** From when the acknowledgement was sent that the heartbeat answers, whatever time that took. */
@@ -250,9 +251,9 @@
     void aSourceThatIsItselfStaleIsLeft() {
         begin();
         Version version = subscriber.version();
-        hear(heartbeat(version, version, TIMING.tooStale() + 1, 1));
+        hear(heartbeat(version, version, TIMING.maxSourceAgeSeconds() + 1, 1));
         double from = now;
-        assertTrue(subscriber.due() <= from + TIMING.silence());
+        assertTrue(subscriber.due() <= from + TIMING.silenceTimeoutSeconds());
         now = subscriber.due();
         assertEquals(Reason.STALE_SOURCE, left(subscriber.tick(now)));
         connect();
@@ -299,14 +300,16 @@
         subscriber.start(List.of("c", "a"), now);
         Version version = subscriber.version();
         List<SubscriberStep<Ledger>> steps = List.of();
-        for (int i = 1; left(steps) == null && i < 3 * TIMING.returnAfter(); i++) {
+        for (int i = 1; left(steps) == null && i < 3 * TIMING.preferredSourceRetrySeconds(); i++) {
             hear(heartbeat(version, version, 0, i));
-            now += TIMING.heartbeat();
+            now += TIMING.heartbeatIntervalSeconds();
             steps = subscriber.tick(now);
         }
         assertEquals(Reason.PREFERENCE, left(steps));
         assertEquals("c", first(SubscriberStep.Connect.class, steps).source());
-        assertTrue(now > TIMING.returnAfter() && now < 2 * TIMING.returnAfter() + 20, "at " + now);
+        assertTrue(
+                now > TIMING.preferredSourceRetrySeconds() && now < 2 * TIMING.preferredSourceRetrySeconds() + 20,
+                "at " + now);
     }
 
     /** It starts with what its folder had, aged, while no control process is to be reached. */
@@ -317,7 +320,7 @@
         assertEquals(new Version(3, 9), subscriber.version());
         assertEquals(500, subscriber.staleness(now), 1e-9);
         ControlMessage.Subscribe subscribe = connect();
-        assertEquals(new Version(3, 9), subscribe.has());
+        assertEquals(new Version(3, 9), subscribe.version());
         assertEquals(3, subscribe.term());
         assertFalse(subscribe.republishes());
         subscriber.resume(new Version(3, 8), new Ledger(8, 8), 0);
