--- a/src/test/java/juniperusher/distribution/ControlMessageCodecTest.java
+++ b/src/test/java/juniperusher/distribution/ControlMessageCodecTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** Frames of messages: what was encoded is decoded however it is cut, and damage is found. */
+/** Encoding and decoding of frames, incomplete input and damaged frames. */
 class ControlMessageCodecTest {
     private static final String SEED = "20261202";
 
@@ -26,8 +26,8 @@
         return new Version(random.nextLong(1, 9), random.nextLong(1, 1L << 40));
     }
 
-    private static byte[] bytes(SplittableRandom random, int most) {
-        byte[] bytes = new byte[random.nextInt(most)];
+    private static byte[] bytes(SplittableRandom random, int bound) {
+        byte[] bytes = new byte[random.nextInt(bound)];
         random.nextBytes(bytes);
         return bytes;
     }
@@ -58,7 +58,7 @@
     }
 
     @Property(tries = 500, seed = SEED)
-    void whatWasEncodedIsDecodedHoweverItIsCut(@ForAll @LongRange(min = 0) long seed) throws Exception {
+    void decodesMessagesFromPiecesOfAnySize(@ForAll @LongRange(min = 0) long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         List<ControlMessage> messages = new ArrayList<>();
         ByteArrayOutputStream wire = new ByteArrayOutputStream();
@@ -84,17 +84,20 @@
         assertEquals(0, decoder.pendingBytes());
     }
 
-    /** A wrong bit makes no other message: it is damage, or, in the length, a frame that does not end. */
+    /**
+     * A flipped bit must not yield a message. It is reported as damage or, if it makes the length larger, the decoder
+     * waits for more bytes.
+     */
     @Property(tries = 2_000, seed = SEED)
-    void aWrongBitIsFound(@ForAll @LongRange(min = 0) long seed, @ForAll @IntRange(max = 1 << 20) int place) {
+    void detectsSingleBitErrors(@ForAll @LongRange(min = 0) long seed, @ForAll @IntRange(max = 1 << 20) int bitNumber) {
         byte[] frame = ControlMessageCodec.encode(message(new SplittableRandom(seed)));
-        int bit = place % (8 * frame.length);
+        int bit = bitNumber % (8 * frame.length);
         frame[bit / 8] ^= (byte) (1 << bit % 8);
         ControlMessageCodec.Decoder decoder = new ControlMessageCodec.Decoder();
         decoder.feed(ByteBuffer.wrap(frame));
         try {
             assertNull(decoder.next());
-            assertTrue(bit < 32, "a message in spite of a wrong bit at " + bit);
+            assertTrue(bit < 32, "decoder did not report the flipped bit " + bit);
         } catch (DamagedFrameException ex) {
             assertTrue(ex.getMessage().length() > 0);
         }
@@ -106,66 +109,66 @@
         return assertThrows(DamagedFrameException.class, decoder::next).fault();
     }
 
-    private static byte[] sealed(byte[] frame) {
+    private static byte[] withValidChecksum(byte[] frame) {
         int end = frame.length - Integer.BYTES;
         ByteBuffer.wrap(frame).putInt(end, ControlMessageCodec.checksum(frame, Integer.BYTES, end));
         return frame;
     }
 
     @Test
-    void eachDamageHasItsName() {
+    void reportsTheFaultOfADamagedFrame() {
         byte[] frame = ControlMessageCodec.encode(new ControlMessage.Busy(1, 2));
         byte[] tooLong = frame.clone();
         ByteBuffer.wrap(tooLong).putInt(0, ControlMessageCodec.MAX_FRAME);
-        assertEquals(Fault.LENGTH, fault(tooLong), "refused before its bytes have come");
+        assertEquals(Fault.LENGTH, fault(tooLong), "refused before all bytes have arrived");
         byte[] negative = frame.clone();
         ByteBuffer.wrap(negative).putInt(0, -1);
         assertEquals(Fault.LENGTH, fault(negative));
-        byte[] other = frame.clone();
-        other[4] = 2;
-        assertEquals(Fault.VERSION, fault(other));
-        byte[] unknown = frame.clone();
-        unknown[5] = 77;
-        assertEquals(Fault.CHECKSUM, fault(unknown));
-        assertEquals(Fault.TYPE, fault(sealed(unknown)));
-        byte[] before = frame.clone();
-        ByteBuffer.wrap(before).putDouble(14, -1);
-        assertEquals(Fault.CONTENT, fault(sealed(before)), "a negative time");
-        byte[] shorter = frame.clone();
-        shorter[5] = 4;
-        assertEquals(Fault.CONTENT, fault(sealed(shorter)), "not enough for a heartbeat");
+        byte[] unknownVersion = frame.clone();
+        unknownVersion[4] = 2;
+        assertEquals(Fault.VERSION, fault(unknownVersion));
+        byte[] unknownType = frame.clone();
+        unknownType[5] = 77;
+        assertEquals(Fault.CHECKSUM, fault(unknownType));
+        assertEquals(Fault.TYPE, fault(withValidChecksum(unknownType)));
+        byte[] negativeDelay = frame.clone();
+        ByteBuffer.wrap(negativeDelay).putDouble(14, -1);
+        assertEquals(Fault.CONTENT, fault(withValidChecksum(negativeDelay)), "negative duration");
+        byte[] truncated = frame.clone();
+        truncated[5] = 4;
+        assertEquals(Fault.CONTENT, fault(withValidChecksum(truncated)), "content too short for a heartbeat");
     }
 
     @Test
-    void aDeltaThatLeadsNowhereIsDamaged() {
+    void refusesMalformedDeltas() {
         List<Change> changes = List.of(new Change(new Version(1, 8), new byte[] {1}));
         byte[] frame = ControlMessageCodec.encode(new ControlMessage.Delta(1, new Version(1, 7), changes));
-        byte[] none = frame.clone();
-        ByteBuffer.wrap(none).putInt(30, 0);
-        assertEquals(Fault.CONTENT, fault(sealed(none)));
-        byte[] many = frame.clone();
-        ByteBuffer.wrap(many).putInt(30, Integer.MAX_VALUE);
-        assertEquals(Fault.CONTENT, fault(sealed(many)));
-        byte[] beyond = frame.clone();
-        beyond[35] = 100;
-        assertEquals(Fault.CONTENT, fault(sealed(beyond)), "a change that is longer than its frame");
-        byte[] endless = frame.clone();
-        java.util.Arrays.fill(endless, 34, 37, (byte) -1);
-        assertEquals(Fault.CONTENT, fault(sealed(endless)), "a number without an end");
+        byte[] noChanges = frame.clone();
+        ByteBuffer.wrap(noChanges).putInt(30, 0);
+        assertEquals(Fault.CONTENT, fault(withValidChecksum(noChanges)));
+        byte[] tooManyChanges = frame.clone();
+        ByteBuffer.wrap(tooManyChanges).putInt(30, Integer.MAX_VALUE);
+        assertEquals(Fault.CONTENT, fault(withValidChecksum(tooManyChanges)));
+        byte[] tooLongChange = frame.clone();
+        tooLongChange[35] = 100;
+        assertEquals(Fault.CONTENT, fault(withValidChecksum(tooLongChange)), "change is longer than the frame");
+        byte[] unterminated = frame.clone();
+        java.util.Arrays.fill(unterminated, 34, 37, (byte) -1);
+        assertEquals(Fault.CONTENT, fault(withValidChecksum(unterminated)), "unterminated number");
     }
 
     @Test
-    void whatIsTooLongIsNotEncoded() {
-        byte[] much = new byte[ControlMessageCodec.MAX_FRAME];
-        ControlMessage message = new ControlMessage.SnapshotPart(1, new Version(1, 1), 0, 1, 0, much);
+    void refusesToEncodeOversizedMessages() {
+        byte[] oversized = new byte[ControlMessageCodec.MAX_FRAME];
+        ControlMessage message = new ControlMessage.SnapshotPart(1, new Version(1, 1), 0, 1, 0, oversized);
         assertThrows(IllegalArgumentException.class, () -> ControlMessageCodec.encode(message));
         ControlMessage named = new ControlMessage.Subscribe("n".repeat(300), false, 1, Version.NONE);
         assertThrows(IllegalArgumentException.class, () -> ControlMessageCodec.encode(named));
     }
 
-    /** The bytes of one frame, so that a change of the protocol without a change of its version is seen. */
+    /** Guards against a change of the format without a new protocol version. */
     @Test
-    void aFrameIsAsItWas() {
+    void encodesAFrameInTheDocumentedFormat() {
         byte[] frame = ControlMessageCodec.encode(new ControlMessage.Busy(3, 0.5));
         byte[] expected = {0, 0, 0, 22, 1, 5, 0, 0, 0, 0, 0, 0, 0, 3, 0x3f, (byte) 0xe0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0};
         assertArrayEquals(
--- a/src/test/java/juniperusher/distribution/DeltaLogTest.java
+++ b/src/test/java/juniperusher/distribution/DeltaLogTest.java
@@ -11,12 +11,13 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
+/** The limits of the delta log, and which versions it covers. */
 class DeltaLogTest {
     private static final String SEED = "20261202";
-    private static final int PLENTY = 1 << 20;
+    private static final int UNLIMITED_BYTES = 1 << 20;
 
-    private static DeltaLog log(int most, int changes) {
-        DeltaLog log = new DeltaLog(most, PLENTY);
+    private static DeltaLog log(int maxChanges, int changes) {
+        DeltaLog log = new DeltaLog(maxChanges, UNLIMITED_BYTES);
         log.reset(new Version(1, 10));
         for (int i = 1; i <= changes; i++) {
             log.append(new Change(new Version(1, 10 + i), new byte[i]));
@@ -24,16 +25,16 @@
         return log;
     }
 
-    /** However many were appended, the last ones are there and no others. */
     @Property(tries = 300, seed = SEED)
-    void keepsTheLastOnes(@ForAll @IntRange(min = 1, max = 100) int most, @ForAll @IntRange(max = 400) int changes) {
-        DeltaLog log = log(most, changes);
-        int kept = Math.min(most, changes);
+    void keepsTheNewestChanges(
+            @ForAll @IntRange(min = 1, max = 100) int maxChanges, @ForAll @IntRange(max = 400) int changes) {
+        DeltaLog log = log(maxChanges, changes);
+        int kept = Math.min(maxChanges, changes);
         assertEquals(kept, log.changeCount());
         for (int behind = 0; behind <= kept; behind++) {
             Version version = new Version(1, 10 + changes - behind);
             assertTrue(log.covers(version));
-            List<Change> since = log.changesAfter(version, PLENTY);
+            List<Change> since = log.changesAfter(version, UNLIMITED_BYTES);
             assertEquals(behind, since.size());
             for (int i = 0; i < behind; i++) {
                 assertEquals(version.revision() + 1 + i, since.get(i).version().revision());
@@ -45,7 +46,7 @@
     }
 
     @Test
-    void keepsToItsBytes() {
+    void staysWithinItsByteLimit() {
         DeltaLog log = new DeltaLog(1_000, 500);
         log.reset(new Version(1, 1));
         for (int i = 2; i < 200; i++) {
@@ -55,28 +56,28 @@
         assertEquals(4, log.changeCount());
     }
 
-    /** Of another leader's changes none is served, though the revision is the same. */
+    /** A subscriber that applied another leader's changes must not get the changes that follow the same revision. */
     @Test
-    void theSameRevisionOfAnotherTermIsNotCovered() {
+    void doesNotCoverTheSameRevisionOfAnotherTerm() {
         DeltaLog log = log(100, 3);
         log.append(new Change(new Version(2, 14), new byte[0]));
         log.append(new Change(new Version(2, 15), new byte[1]));
         assertTrue(log.covers(new Version(1, 13)));
         assertTrue(log.covers(new Version(2, 14)));
         assertFalse(log.covers(new Version(1, 14)));
-        assertThrows(IllegalArgumentException.class, () -> log.changesAfter(new Version(1, 14), PLENTY));
+        assertThrows(IllegalArgumentException.class, () -> log.changesAfter(new Version(1, 14), UNLIMITED_BYTES));
     }
 
     @Test
-    void aDeltaHasAsMuchAsFitsAndOneAtLeast() {
+    void returnsAsManyChangesAsFitButAtLeastOne() {
         DeltaLog log = log(100, 20);
         assertEquals(1, log.changesAfter(new Version(1, 10), 1).size());
         assertEquals(3, log.changesAfter(new Version(1, 10), 3 * 12 + 6).size());
-        assertEquals(20, log.changesAfter(new Version(1, 10), PLENTY).size());
+        assertEquals(20, log.changesAfter(new Version(1, 10), UNLIMITED_BYTES).size());
     }
 
     @Test
-    void whatDoesNotFollowIsRefused() {
+    void refusesChangesThatAreNotConsecutive() {
         DeltaLog log = log(100, 1);
         assertThrows(IllegalArgumentException.class, () -> log.append(new Change(new Version(1, 13), new byte[0])));
         assertThrows(IllegalArgumentException.class, () -> log.append(new Change(new Version(0, 12), new byte[0])));
--- a/src/test/java/juniperusher/distribution/DistributionScaleTest.java
+++ b/src/test/java/juniperusher/distribution/DistributionScaleTest.java
@@ -14,56 +14,56 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A day's faults, compressed, over many relays in virtual time, with the figures printed. A tenth of the fleet and a
- * cut of a minute by default; the fleet's size and an hour, which takes minutes, with {@code
- * -Ddistribution.relays=4300 -Ddistribution.cut=60}.
+ * Simulates the changes and faults of a day, compressed, with many relays in virtual time, and prints figures. The
+ * default is a tenth of the fleet and a regional outage of one minute. {@code -Ddistribution.relays=4300
+ * -Ddistribution.cut=60} runs the full fleet and an outage of an hour, which takes minutes.
  */
 class DistributionScaleTest {
     private static final long SEED = 20_261_202;
     private static final int RELAYS = Integer.getInteger("distribution.relays", 430);
-    private static final int CUT = Integer.getInteger("distribution.cut", 1); // minutes for which a region is cut off
-    private static final int CONTROLS = 21;
-    private static final double DELAY = 0.05; // s each way, as between regions
+    private static final int OUTAGE_MINUTES = Integer.getInteger("distribution.cut", 1);
+    private static final int CONTROL_PROCESSES = 21;
+    private static final double DELAY_SECONDS = 0.05; // each way, as between regions
     private static final int STATE_BYTES = Integer.getInteger("distribution.state", 20_000);
     private static final int CHANGE_BYTES = 24;
-    private static final double IN_FORCE = 13; // s
-    private static final double BUDGET = 8 * 1_024; // bytes a second for each relay
+    private static final double MAX_ACTIVATION_SECONDS = 13;
+    private static final double MAX_BYTES_PER_SECOND = 8 * 1_024; // to each relay
 
     private final DistributionWorld world = new DistributionWorld(new DistributionWorld.Setting(
-            CONTROLS, RELAYS, Timing.USUAL, Limits.USUAL, DELAY, STATE_BYTES, CHANGE_BYTES, SEED));
+            CONTROL_PROCESSES, RELAYS, Timing.USUAL, Limits.USUAL, DELAY_SECONDS, STATE_BYTES, CHANGE_BYTES, SEED));
     private double now;
 
-    private void run(double seconds) {
+    private void advance(double seconds) {
         now += seconds;
         world.run(now);
         assertNull(world.broken());
     }
 
-    private void converged(String what, double from) {
+    private void assertConverged(String what, double from) {
         assertNull(world.behind(), () -> what + ": " + world.behind() + " is behind");
         report(what + ": in force at the last relay after", world.lastTakeOver() - from, "s");
-        assertTrue(world.lastTakeOver() - from < IN_FORCE);
+        assertTrue(world.lastTakeOver() - from < MAX_ACTIVATION_SECONDS);
     }
 
     private static void report(String what, double value, String unit) {
         System.out.println(String.format(Locale.ROOT, "%d relays, %s %.3f %s", RELAYS, what, value, unit));
     }
 
-    private long[] bytes() {
+    private long[] bytesToRelays() {
         return world.relays().stream().mapToLong(world::bytesTo).toArray();
     }
 
-    /** Bytes a second to the relay that got the most, since then. */
-    private double mostSince(long[] before, double seconds) {
-        long[] after = bytes();
-        double most = 0;
+    /** Average bytes per second to the relay that received most since {@code before}. */
+    private double maxBytesPerSecondSince(long[] before, double seconds) {
+        long[] after = bytesToRelays();
+        double max = 0;
         for (int i = 0; i < after.length; i++) {
-            most = Math.max(most, (after[i] - before[i]) / seconds);
+            max = Math.max(max, (after[i] - before[i]) / seconds);
         }
-        return most;
+        return max;
     }
 
-    private double mostStale() {
+    private double maxStaleness() {
         return world.relays().stream()
                 .filter(world::alive)
                 .mapToDouble(world::staleness)
@@ -72,133 +72,138 @@
     }
 
     @Test
-    void aDaysChangesReachTheLastRelayInTime() {
+    void changesReachAllRelaysInTimeDespiteFaults() {
         System.out.println("seed " + SEED + ", state of " + STATE_BYTES + " B, changes of " + CHANGE_BYTES + " B, "
-                + DELAY + " s each way");
-        run(60);
+                + DELAY_SECONDS + " s each way");
+        advance(60);
         report("all start without a state: the last one has it after", world.lastTakeOver(), "s");
-        quiet();
+        withoutChanges();
         changesOneByOne();
-        burst();
+        burstOfChanges();
         controlProcessesKilled();
         leaderKilled();
-        restarts();
-        regionBack();
-        leaderCutOff();
+        relayRestarts();
+        regionalOutage();
+        leaderPartitioned();
     }
 
-    private void quiet() {
-        long[] before = bytes();
+    private void withoutChanges() {
+        long[] before = bytesToRelays();
         double stale = 0;
         for (int i = 0; i < 300; i++) {
-            run(0.1);
-            stale = Math.max(stale, mostStale());
+            advance(0.1);
+            stale = Math.max(stale, maxStaleness());
         }
-        report("quiet: bytes a second to the busiest relay", mostSince(before, 30), "B");
+        report("quiet: bytes a second to the busiest relay", maxBytesPerSecondSince(before, 30), "B");
         report("quiet: greatest staleness told", stale, "s");
     }
 
-    /** 11,000 a day are one in 7.9 s; here ten times as many. */
+    /** 11,000 changes a day are one per 7.9 s; this runs ten times that rate. */
     private void changesOneByOne() {
-        long[] before = bytes();
+        long[] before = bytesToRelays();
         double latest = 0;
         for (int i = 0; i < 100; i++) {
             double from = now;
             world.change(1);
-            run(0.79);
+            advance(0.79);
             assertNull(world.behind());
             latest = Math.max(latest, world.lastTakeOver() - from);
         }
         report("a change each 0.79 s: in force at the last relay at most after", latest, "s");
-        report("a change each 0.79 s: bytes a second to the busiest relay", mostSince(before, 79), "B");
+        report("a change each 0.79 s: bytes a second to the busiest relay", maxBytesPerSecondSince(before, 79), "B");
     }
 
-    private void burst() {
-        long[] before = bytes();
+    private void burstOfChanges() {
+        long[] before = bytesToRelays();
         double from = now;
         world.change(11_000);
-        run(IN_FORCE);
-        converged("11,000 changes at once", from);
-        report("11,000 changes at once: bytes to the busiest relay", mostSince(before, 1), "B");
-        long[] after = bytes();
-        run(60 - IN_FORCE);
+        advance(MAX_ACTIVATION_SECONDS);
+        assertConverged("11,000 changes at once", from);
+        report("11,000 changes at once: bytes to the busiest relay", maxBytesPerSecondSince(before, 1), "B");
+        long[] after = bytesToRelays();
+        advance(60 - MAX_ACTIVATION_SECONDS);
         report(
                 "11,000 changes at once: bytes a second to the busiest relay over the minute",
-                mostSince(before, 60),
+                maxBytesPerSecondSince(before, 60),
                 "B");
-        assertTrue(mostSince(after, 60 - IN_FORCE) < BUDGET);
+        assertTrue(maxBytesPerSecondSince(after, 60 - MAX_ACTIVATION_SECONDS) < MAX_BYTES_PER_SECOND);
     }
 
     private void controlProcessesKilled() {
         double from = now;
         world.change(100);
-        run(0.12);
+        advance(0.12);
         Set<String> killed = Set.of("c2", "c3", "c4");
         killed.stream().sorted().forEach(world::kill);
         world.change(100);
-        run(IN_FORCE - 0.12);
-        converged("three control processes killed in the middle of a delta", from);
+        advance(MAX_ACTIVATION_SECONDS - 0.12);
+        assertConverged("three control processes killed in the middle of a delta", from);
         killed.stream().sorted().forEach(world::start);
-        run(10);
+        advance(10);
     }
 
     private void leaderKilled() {
         world.kill("c1");
-        run(6); // the lease's time
+        advance(6); // until the lease expires
         double from = now;
         world.elect("c9");
         world.change(1);
-        run(IN_FORCE);
-        converged("the leader killed, from the next one's first change", from);
+        advance(MAX_ACTIVATION_SECONDS);
+        assertConverged("the leader killed, from the next one's first change", from);
         world.start("c1");
-        run(10);
+        advance(10);
     }
 
-    /** 790 a day, fifty times as fast, for a minute. */
-    private void restarts() {
+    /** 790 restarts a day, at fifty times that rate for one minute. */
+    private void relayRestarts() {
         SplittableRandom random = new SplittableRandom(SEED);
         List<String> relays = new ArrayList<>(world.relays());
         for (int i = 0; i < 27; i++) {
             String relay = relays.get(random.nextInt(relays.size()));
             world.kill(relay);
             world.change(1);
-            run(1.1);
+            advance(1.1);
             world.start(relay);
-            run(1.1);
+            advance(1.1);
         }
         double from = now;
         world.change(1);
-        run(IN_FORCE);
-        converged("27 relays restarted in a minute, a change after", from);
+        advance(MAX_ACTIVATION_SECONDS);
+        assertConverged("27 relays restarted in a minute, a change after", from);
     }
 
-    private void regionBack() {
+    private void regionalOutage() {
         List<String> shuffled = new ArrayList<>(world.relays());
         Collections.shuffle(shuffled, new java.util.Random(SEED));
         Set<String> region = shuffled.stream().limit(RELAYS / 6).collect(Collectors.toSet());
         world.cut(region, true);
-        for (int i = 0; i < CUT; i++) {
+        for (int i = 0; i < OUTAGE_MINUTES; i++) {
             world.change(8);
-            run(60);
+            advance(60);
         }
-        report("a sixth of the relays cut off for " + CUT + " min: greatest staleness told", mostStale(), "s");
+        report(
+                "a sixth of the relays cut off for " + OUTAGE_MINUTES + " min: greatest staleness told",
+                maxStaleness(),
+                "s");
         double from = now;
-        long[] before = bytes();
+        long[] before = bytesToRelays();
         world.cut(region, false);
-        run(IN_FORCE);
-        converged("a sixth of the relays back after " + CUT + " min and " + 8 * CUT + " changes", from);
-        report("a sixth of the relays back: bytes to the busiest relay", mostSince(before, 1), "B");
+        advance(MAX_ACTIVATION_SECONDS);
+        assertConverged(
+                "a sixth of the relays back after " + OUTAGE_MINUTES + " min and " + 8 * OUTAGE_MINUTES + " changes",
+                from);
+        report("a sixth of the relays back: bytes to the busiest relay", maxBytesPerSecondSince(before, 1), "B");
     }
 
-    /** A partition between the leader and all others, for a minute. */
-    private void leaderCutOff() {
+    /** Partitions the leader from all other processes for one minute. */
+    private void leaderPartitioned() {
         world.cut(Set.of(world.leader()), true);
-        run(60);
-        report("the leader cut off for a minute: greatest staleness told", mostStale(), "s");
+        advance(60);
+        report("the leader cut off for a minute: greatest staleness told", maxStaleness(), "s");
         double from = now;
         world.cut(Set.of(world.leader()), false);
         world.change(1);
-        run(IN_FORCE);
-        converged("the leader back after a minute, a change then", from);
+        advance(MAX_ACTIVATION_SECONDS);
+        assertConverged("the leader back after a minute, a change then", from);
     }
 }
--- a/src/test/java/juniperusher/distribution/DistributionWorldTest.java
+++ b/src/test/java/juniperusher/distribution/DistributionWorldTest.java
@@ -18,47 +18,49 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Control processes and relays in virtual time, with the faults that a network and its processes have. */
+/** Control processes and relays in virtual time, with network faults and killed processes. */
 class DistributionWorldTest {
     private static final String SEED = "20261202";
-    private static final double DELAY = 0.01;
-    private static final double IN_FORCE = 13; // s in which a change is to be in force at the last relay
-    private static final double HOUR = 3_600;
+    private static final double DELAY_SECONDS = 0.01;
+    private static final double MAX_ACTIVATION_SECONDS = 13; // until a change is active on the last relay
+    private static final double HOUR_SECONDS = 3_600;
 
     private static DistributionWorld.Setting setting(int controls, int relays, long seed) {
-        return new DistributionWorld.Setting(controls, relays, Timing.USUAL, Limits.USUAL, DELAY, 100, 20, seed);
+        return new DistributionWorld.Setting(
+                controls, relays, Timing.USUAL, Limits.USUAL, DELAY_SECONDS, 100, 20, seed);
     }
 
-    /** A world in which everybody has the first state. */
-    private static DistributionWorld settled(DistributionWorld.Setting setting) {
-        return settled(setting, 10);
+    /** A simulated fleet in which all processes have the first state. */
+    private static DistributionWorld convergedWorld(DistributionWorld.Setting setting) {
+        return convergedWorld(setting, 10);
     }
 
-    private static DistributionWorld settled(DistributionWorld.Setting setting, double until) {
+    private static DistributionWorld convergedWorld(DistributionWorld.Setting setting, double until) {
         DistributionWorld world = new DistributionWorld(setting);
         world.run(until);
-        converged(world);
+        assertConverged(world);
         return world;
     }
 
-    private static void good(DistributionWorld world) {
+    private static void assertNotBroken(DistributionWorld world) {
         assertNull(world.broken(), () -> world.broken() + "\n" + world.drawn());
     }
 
-    private static void converged(DistributionWorld world) {
-        good(world);
+    private static void assertConverged(DistributionWorld world) {
+        assertNotBroken(world);
         assertNull(world.behind(), () -> world.behind() + " is behind " + world.newest() + "\n" + world.drawn());
     }
 
-    private static void drawn(String name, DistributionWorld world) throws Exception {
-        good(world);
-        Path now = Path.of("target/timelines", name + ".txt"); // to look at, or to take over after a change
+    private static void assertTimeline(String name, DistributionWorld world) throws Exception {
+        assertNotBroken(world);
+        // The actual timeline, for inspection or to replace the expected one after an intended change.
+        Path now = Path.of("target/timelines", name + ".txt");
         Files.createDirectories(now.getParent());
         Files.writeString(now, world.drawn());
         assertEquals(Files.readString(Path.of("src/test/resources/timelines", name + ".txt")), world.drawn());
     }
 
-    /** A control process that relays follow and that does not lead. */
+    /** A control process that does not lead and has at least one relay as its subscriber. */
     private static String follower(DistributionWorld world) {
         return world.relays().stream()
                 .map(world::source)
@@ -69,21 +71,21 @@
 
     @Test
     void changesReachEveryRelay() {
-        DistributionWorld world = settled(setting(3, 6, 1));
+        DistributionWorld world = convergedWorld(setting(3, 6, 1));
         world.change(3);
         world.run(10.5);
-        converged(world);
+        assertConverged(world);
         assertEquals(new Version(1, 5), world.newest());
     }
 
     @Test
-    void staysCurrentWhileNothingHappens() {
-        DistributionWorld world = settled(setting(3, 6, 2));
+    void stalenessStaysLowWithoutChanges() {
+        DistributionWorld world = convergedWorld(setting(3, 6, 2));
         for (double time = 10; time < 100; time += 0.3) {
             world.run(time);
             for (String relay : world.relays()) {
                 double staleness = world.staleness(relay);
-                assertTrue(staleness < Timing.USUAL.maxSourceAgeSeconds(), relay + " tells " + staleness);
+                assertTrue(staleness < Timing.USUAL.maxSourceAgeSeconds(), relay + " has staleness " + staleness);
             }
         }
         for (String relay : world.relays()) {
@@ -92,21 +94,21 @@
     }
 
     @Test
-    void aControlProcessKilledInTheMiddleOfADelta() throws Exception {
-        DistributionWorld world = settled(setting(3, 3, 3));
+    void convergesWhenAControlProcessIsKilledDuringADelta() throws Exception {
+        DistributionWorld world = convergedWorld(setting(3, 3, 3));
         String killed = follower(world);
         world.change(800);
-        world.run(10 + 3.5 * DELAY); // its frames are on their way to its relay
+        world.run(10 + 3.5 * DELAY_SECONDS); // its frames to its relay are in flight
         world.kill(killed);
-        world.run(10 + IN_FORCE);
-        converged(world);
-        drawn("control-killed", world);
+        world.run(10 + MAX_ACTIVATION_SECONDS);
+        assertConverged(world);
+        assertTimeline("control-killed", world);
     }
 
-    /** Else a control process that was restarted would have no relays until the others fail. */
+    /** Otherwise a restarted control process would have no relays until another one fails. */
     @Test
-    void relaysReturnToTheSourceThatTheyPrefer() {
-        DistributionWorld world = settled(setting(3, 12, 15));
+    void relaysReturnToTheirPreferredSource() {
+        DistributionWorld world = convergedWorld(setting(3, 12, 15));
         List<String> own = world.relays().stream()
                 .filter(relay -> "c2".equals(world.source(relay)))
                 .toList();
@@ -119,58 +121,58 @@
             assertEquals("c2", world.source(relay));
             assertEquals(1, world.breaks(relay, Reason.PREFERENCE));
         }
-        converged(world);
+        assertConverged(world);
     }
 
     @Test
-    void theLeaderKilledInTheMiddleOfADelta() {
+    void convergesWhenTheLeaderIsKilledDuringADelta() {
         for (int seed = 0; seed < 50; seed++) {
-            DistributionWorld world = settled(setting(4, 4, seed));
+            DistributionWorld world = convergedWorld(setting(4, 4, seed));
             world.change(1_000);
-            world.run(10 + seed % 10 * DELAY);
+            world.run(10 + seed % 10 * DELAY_SECONDS);
             world.kill("c1");
-            world.run(16); // the lease's time
+            world.run(16); // until the lease expires
             world.elect("c3");
             world.change(1);
-            world.run(16 + IN_FORCE);
-            converged(world);
+            world.run(16 + MAX_ACTIVATION_SECONDS);
+            assertConverged(world);
             assertEquals(2, world.newest().term());
         }
     }
 
     @Test
-    void lostFramesAreAskedForAnew() {
-        DistributionWorld world = settled(setting(2, 2, 4));
+    void recoversFromLostFrames() {
+        DistributionWorld world = convergedWorld(setting(2, 2, 4));
         world.loseNext("r1");
         world.change(1);
         world.run(10.5);
         world.change(1);
         world.run(13);
-        assertEquals(1, world.breaks("r1", Reason.GAP), "the next change does not follow");
-        converged(world);
+        assertEquals(1, world.breaks("r1", Reason.GAP), "the next change is not consecutive");
+        assertConverged(world);
         world.loseNext("r1");
         world.change(1);
         world.run(16);
-        assertEquals(2, world.breaks("r1", Reason.GAP), "the next heartbeat tells of what did not come");
-        converged(world);
+        assertEquals(2, world.breaks("r1", Reason.GAP), "the next heartbeat reveals the lost change");
+        assertConverged(world);
     }
 
     @Test
-    void doubledFramesChangeNothing() {
-        DistributionWorld world = settled(setting(2, 2, 5));
+    void ignoresDuplicatedFrames() {
+        DistributionWorld world = convergedWorld(setting(2, 2, 5));
         for (int i = 0; i < 10; i++) {
             world.doubleNext("r1");
             world.change(1);
             world.run(11 + i);
         }
-        converged(world);
-        assertTrue(world.doubled("r1") > 3, "only " + world.doubled("r1"));
+        assertConverged(world);
+        assertTrue(world.doubled("r1") > 3, "duplicates: " + world.doubled("r1"));
         assertEquals(0, world.breaks("r1", Reason.GAP));
     }
 
     @Test
-    void framesOutOfOrderChangeNothingWrongly() {
-        DistributionWorld world = settled(setting(2, 2, 6));
+    void recoversFromReorderedFrames() {
+        DistributionWorld world = convergedWorld(setting(2, 2, 6));
         for (int i = 0; i < 10; i++) {
             world.swapNext("r1");
             world.change(1);
@@ -180,40 +182,40 @@
         }
         assertTrue(world.breaks("r1", Reason.GAP) > 0);
         world.run(50);
-        converged(world);
+        assertConverged(world);
     }
 
     @Test
-    void aDamagedFrameEndsTheConnectionAndNoMore() {
-        DistributionWorld world = settled(setting(2, 2, 7));
+    void aDamagedFrameOnlyEndsTheConnection() {
+        DistributionWorld world = convergedWorld(setting(2, 2, 7));
         Version before = world.version("r1");
         world.damageNext("r1");
         world.change(1);
-        world.run(10 + 3 * DELAY);
-        assertEquals(before, world.version("r1"), "the old one stays in force");
+        world.run(10 + 3 * DELAY_SECONDS);
+        assertEquals(before, world.version("r1"), "the previous version stays active");
         world.run(13);
         assertEquals(1, world.breaks("r1", Reason.CLOSED));
-        converged(world);
+        assertConverged(world);
     }
 
     @Test
-    void thirtyRevisionsAndAnHourBehind() {
-        DistributionWorld world = settled(setting(3, 3, 8));
+    void catchesUpByChangesAfterAnHour() {
+        DistributionWorld world = convergedWorld(setting(3, 3, 8));
         world.cut(Set.of("r1"), true);
         for (int i = 1; i <= 30; i++) {
             world.change(1);
-            world.run(10 + i * HOUR / 30);
+            world.run(10 + i * HOUR_SECONDS / 30);
         }
-        assertEquals(HOUR, world.staleness("r1"), 2 * Timing.USUAL.heartbeatIntervalSeconds());
-        long snapshots = snapshots(world, 3);
+        assertEquals(HOUR_SECONDS, world.staleness("r1"), 2 * Timing.USUAL.heartbeatIntervalSeconds());
+        long snapshots = snapshotsStarted(world, 3);
         world.cut(Set.of("r1"), false);
-        world.run(10 + HOUR + IN_FORCE);
-        converged(world);
-        assertEquals(snapshots, snapshots(world, 3), "the log has them");
+        world.run(10 + HOUR_SECONDS + MAX_ACTIVATION_SECONDS);
+        assertConverged(world);
+        assertEquals(snapshots, snapshotsStarted(world, 3), "the log has them");
         assertTrue(world.staleness("r1") < 2 * Timing.USUAL.heartbeatIntervalSeconds() + 1);
     }
 
-    private static long snapshots(DistributionWorld world, int controls) {
+    private static long snapshotsStarted(DistributionWorld world, int controls) {
         long sum = 0;
         for (int i = 1; i <= controls; i++) {
             sum += world.publisher("c" + i).counters().snapshots();
@@ -221,48 +223,49 @@
         return sum;
     }
 
-    /** A region of 700 relays is cut off for an hour; all ask at once when it is back. */
+    /** A region of 700 relays is partitioned for an hour; then all relays reconnect together. */
     @Test
-    void aRegionBackAfterAnHour() {
-        DistributionWorld world = settled(setting(6, 700, 9));
+    void aRegionCatchesUpByChangesAfterAnHour() {
+        DistributionWorld world = convergedWorld(setting(6, 700, 9));
         Set<String> region = new java.util.HashSet<>(world.relays());
         world.cut(region, true);
         for (int i = 1; i <= 60; i++) {
             world.change(8);
-            world.run(10 + i * HOUR / 60);
+            world.run(10 + i * HOUR_SECONDS / 60);
         }
-        long snapshots = snapshots(world, 6);
+        long snapshots = snapshotsStarted(world, 6);
         world.cut(region, false);
-        world.run(10 + HOUR + IN_FORCE);
-        converged(world);
-        assertEquals(snapshots, snapshots(world, 6), "the log has them");
+        world.run(10 + HOUR_SECONDS + MAX_ACTIVATION_SECONDS);
+        assertConverged(world);
+        assertEquals(snapshots, snapshotsStarted(world, 6), "the log has them");
     }
 
-    /** The same with states that nobody can be brought to by changes any more: whole ones, a few at a time. */
+    /** As above, but the log no longer covers the relays' version: all need snapshots, and few slots are available. */
     @Test
-    void aRegionBackThatNeedsWholeStates() {
-        Limits few = limits(2, 100, 8_192);
+    void aRegionCatchesUpBySnapshots() {
+        Limits limits = limits(2, 100, 8_192);
         int stateBytes = 40_000;
-        DistributionWorld world =
-                settled(new DistributionWorld.Setting(6, 700, Timing.USUAL, few, DELAY, stateBytes, 20, 10), 60);
+        DistributionWorld world = convergedWorld(
+                new DistributionWorld.Setting(6, 700, Timing.USUAL, limits, DELAY_SECONDS, stateBytes, 20, 10), 60);
         world.cut(Set.copyOf(world.relays()), true);
         world.change(300);
         world.run(120);
-        long snapshots = snapshots(world, 6);
-        long busy = busy(world, 6);
+        long snapshots = snapshotsStarted(world, 6);
+        long busy = busyReplies(world, 6);
         world.cut(Set.copyOf(world.relays()), false);
         world.run(180);
-        converged(world);
+        assertConverged(world);
         System.out.println("whole states for 700 relays: " + (world.lastTakeOver() - 120) + " s, "
-                + (snapshots(world, 6) - snapshots) + " states, " + (busy(world, 6) - busy) + " told to come later");
-        assertTrue(snapshots(world, 6) >= snapshots + 700);
-        assertTrue(busy(world, 6) > busy, "some had to come again");
+                + (snapshotsStarted(world, 6) - snapshots) + " states, " + (busyReplies(world, 6) - busy)
+                + " told to come later");
+        assertTrue(snapshotsStarted(world, 6) >= snapshots + 700);
+        assertTrue(busyReplies(world, 6) > busy, "some were rejected at first");
         for (int i = 1; i <= 6; i++) {
-            assertTrue(world.publisher("c" + i).counters().encodings() <= 3, "one encoded state serves all");
+            assertTrue(world.publisher("c" + i).counters().encodings() <= 3, "snapshots share an encoded state");
         }
     }
 
-    private static long busy(DistributionWorld world, int controls) {
+    private static long busyReplies(DistributionWorld world, int controls) {
         long sum = 0;
         for (int i = 1; i <= controls; i++) {
             sum += world.publisher("c" + i).counters().busy();
@@ -287,10 +290,12 @@
                 usual.retryAfter());
     }
 
-    /** The old leader and a relay of its own are cut off and go on; when they are back the newer term wins. */
+    /**
+     * A partitioned leader and one of its relays continue with the old term; after the partition, the newer term wins.
+     */
     @Test
-    void twoThatBothBelieveToLead() throws Exception {
-        DistributionWorld world = settled(setting(3, 3, 11));
+    void convergesAfterTwoLeaders() throws Exception {
+        DistributionWorld world = convergedWorld(setting(3, 3, 11));
         String own = world.relays().stream()
                 .filter(relay -> "c1".equals(world.source(relay)))
                 .findFirst()
@@ -299,23 +304,23 @@
         world.cut(Set.of("c1", own), true);
         world.run(15);
         world.electBeside("c2");
-        world.change(2); // of both
+        world.change(2); // one by each leader
         world.run(18);
-        assertEquals(new Version(1, 4), world.version(own), "it follows the old leader");
+        assertEquals(new Version(1, 4), world.version(own), "the relay follows the old leader");
         world.cut(Set.of("c1", own), false);
         world.run(20);
-        assertEquals(new Version(1, 4), world.version(own), "nobody has told it yet");
+        assertEquals(new Version(1, 4), world.version(own), "the relay does not know the newer term yet");
         world.leaseLost("c1");
-        world.run(20 + IN_FORCE);
-        converged(world);
+        world.run(20 + MAX_ACTIVATION_SECONDS);
+        assertConverged(world);
         assertFalse(world.publisher("c1").leads());
-        drawn("two-leaders", world);
+        assertTimeline("two-leaders", world);
     }
 
-    /** Before the store tells an old leader, a relay that has seen the newer term does. */
+    /** An old leader learns the newer term from a relay before the store reports that its lease is lost. */
     @Test
-    void anOldLeaderHearsOfTheNewerTermFromARelay() {
-        DistributionWorld world = settled(setting(2, 4, 18));
+    void aRelayDeposesAnOldLeader() {
+        DistributionWorld world = convergedWorld(setting(2, 4, 18));
         world.twoLead();
         world.electBeside("c2");
         world.change(1);
@@ -327,18 +332,18 @@
         assertEquals(2, world.publisher("c1").term());
         world.start("c2");
         world.elect("c2");
-        world.run(20 + IN_FORCE);
-        converged(world);
+        world.run(20 + MAX_ACTIVATION_SECONDS);
+        assertConverged(world);
     }
 
     @Test
-    void aSlowReaderHoldsNobodyElse() {
-        DistributionWorld world = settled(setting(2, 20, 12));
+    void aSlowSubscriberDoesNotDelayOthers() {
+        DistributionWorld world = convergedWorld(setting(2, 20, 12));
         world.readRate("r1", 4_000);
         for (int i = 0; i < 20; i++) {
             world.change(500);
             world.run(10 + i + 0.9);
-            good(world);
+            assertNotBroken(world);
             for (String relay : world.relays()) {
                 if (!relay.equals("r1")) {
                     assertEquals(world.newest(), world.version(relay), relay);
@@ -346,25 +351,25 @@
             }
         }
         assertNotEquals(world.newest(), world.version("r1"));
-        assertTrue(world.staleness("r1") > Timing.USUAL.maxSourceAgeSeconds(), "it says so");
+        assertTrue(world.staleness("r1") > Timing.USUAL.maxSourceAgeSeconds(), "the slow relay reports its staleness");
         world.run(200);
-        converged(world);
+        assertConverged(world);
         assertEquals(0, world.breaks("r1", Reason.SILENCE));
     }
 
     @Test
-    void aBurstOfADaysChanges() {
-        DistributionWorld world = settled(setting(5, 100, 13));
+    void distributesABurstOfChangesInTime() {
+        DistributionWorld world = convergedWorld(setting(5, 100, 13));
         world.change(11_000);
-        world.run(10 + IN_FORCE);
-        converged(world);
-        assertTrue(world.lastTakeOver() < 10 + IN_FORCE);
+        world.run(10 + MAX_ACTIVATION_SECONDS);
+        assertConverged(world);
+        assertTrue(world.lastTakeOver() < 10 + MAX_ACTIVATION_SECONDS);
     }
 
-    /** Nobody reaches the leader for a while: all say how stale they are, and nobody loses what is in force. */
+    /** While the leader is unreachable, all relays report their staleness and keep their active state. */
     @Test
-    void allFollowersCutOffFromTheLeader() throws Exception {
-        DistributionWorld world = settled(setting(3, 2, 14));
+    void convergesAfterTheLeaderIsPartitioned() throws Exception {
+        DistributionWorld world = convergedWorld(setting(3, 2, 14));
         world.cut(Set.of("c1"), true);
         world.run(40);
         for (String relay : world.relays()) {
@@ -372,12 +377,12 @@
         }
         world.cut(Set.of("c1"), false);
         world.change(1);
-        world.run(40 + IN_FORCE);
-        converged(world);
-        drawn("leader-cut-off", world);
+        world.run(40 + MAX_ACTIVATION_SECONDS);
+        assertConverged(world);
+        assertTimeline("leader-cut-off", world);
     }
 
-    private static void play(DistributionWorld world, int code, boolean leases) {
+    private static void applyFault(DistributionWorld world, int code, boolean leases) {
         String control = "c" + (1 + code / 16 % 4);
         String relay = "r" + (1 + code / 16 % 4);
         switch (code % 16) {
@@ -406,19 +411,19 @@
         }
     }
 
-    private static void playScript(List<Integer> script, boolean leases) {
+    private static void runScript(List<Integer> script, boolean leases) {
         Limits small = limits(1, 60, 8_192);
         DistributionWorld world = new DistributionWorld(
-                new DistributionWorld.Setting(4, 4, Timing.USUAL, small, DELAY, 20_000, 20, script.hashCode()));
+                new DistributionWorld.Setting(4, 4, Timing.USUAL, small, DELAY_SECONDS, 20_000, 20, script.hashCode()));
         if (!leases) {
             world.twoLead();
         }
         double now = 0;
         for (int code : script) {
-            play(world, code, leases);
+            applyFault(world, code, leases);
             now += code / 1_000 % 50 / 10.0;
             world.run(now);
-            good(world);
+            assertNotBroken(world);
         }
         for (int i = 1; i <= 4; i++) {
             world.start("c" + i);
@@ -429,10 +434,10 @@
         world.run(now + 1);
         elect(world, "c2", leases);
         for (int i : new int[] {1, 3, 4}) {
-            world.leaseLost("c" + i); // the store tells who still believes
+            world.leaseLost("c" + i); // the store reports this to processes that still lead
         }
         world.run(now + 60);
-        converged(world);
+        assertConverged(world);
         for (String relay : world.relays()) {
             double staleness = world.staleness(relay);
             assertTrue(
@@ -441,15 +446,16 @@
         }
     }
 
-    /** Some 1,000 scripts of up to 40 faults, each up to 5 s apart; one leads at a time. */
+    /** 1,000 random scripts of up to 40 faults, each at most 5 s apart; one process leads at a time. */
     @Property(tries = 1_000, seed = SEED)
-    void everyScriptOfFaultsConverges(@ForAll @Size(max = 40) List<@IntRange(max = 99_999) Integer> script) {
-        playScript(script, true);
+    void convergesAfterAnyFaultsWithOneLeader(@ForAll @Size(max = 40) List<@IntRange(max = 99_999) Integer> script) {
+        runScript(script, true);
     }
 
-    /** The same where an old leader goes on until it hears of the new one. */
+    /** As above, but an old leader continues until it learns the newer term. */
     @Property(tries = 1_000, seed = SEED)
-    void everyScriptWithSeveralLeadersConverges(@ForAll @Size(max = 40) List<@IntRange(max = 99_999) Integer> script) {
-        playScript(script, false);
+    void convergesAfterAnyFaultsWithSeveralLeaders(
+            @ForAll @Size(max = 40) List<@IntRange(max = 99_999) Integer> script) {
+        runScript(script, false);
     }
 }
--- a/src/test/java/juniperusher/distribution/PublisherTest.java
+++ b/src/test/java/juniperusher/distribution/PublisherTest.java
@@ -13,14 +13,14 @@
 import juniperusher.lab.fleet.LedgerCodec;
 import org.junit.jupiter.api.Test;
 
-/** One publisher, driven message by message. */
+/** A single publisher, driven by one message at a time. */
 class PublisherTest {
     private static final long SEED = 20_261_202;
-    private static final int STATE = 1_000;
+    private static final int STATE_BYTES = 1_000;
     private static final Limits LIMITS = new Limits(3, 400, 8, 100, 100, 100, 1, 5, 10_000, 10, 10_000, 30);
     private static final Timing TIMING = Timing.USUAL;
 
-    private final Publisher<Ledger> publisher = new Publisher<>(TIMING, LIMITS, new LedgerCodec(STATE), SEED);
+    private final Publisher<Ledger> publisher = new Publisher<>(TIMING, LIMITS, new LedgerCodec(STATE_BYTES), SEED);
     private double now;
 
     private void lead() {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void whoIsBehindGetsTheChangesAndWhoIsTooFarTheWholeState() throws DamagedStateException {
+    void sendsChangesOrASnapshotDependingOnTheLog() throws DamagedStateException {
         lead();
         now = 1;
         publish(5);
@@ -71,11 +71,11 @@
         ControlMessage.SnapshotPart part =
                 of(ControlMessage.SnapshotPart.class, far).get(0);
         assertEquals(new Version(1, 17), part.version());
-        assertEquals(STATE / LIMITS.partBytes(), part.partCount());
+        assertEquals(STATE_BYTES / LIMITS.partBytes(), part.partCount());
     }
 
     @Test
-    void theWindowBoundsWhatIsOnItsWay() {
+    void windowLimitsUnacknowledgedBytes() {
         lead();
         List<ControlMessage> first = subscribe(1, "r", Version.NONE);
         int bytes = first.stream().mapToInt(ControlMessageCodec::size).sum();
@@ -83,19 +83,18 @@
         assertEquals(0, acknowledge(1, Version.NONE, 0).size());
         int parts = of(ControlMessage.SnapshotPart.class, first).size();
         long received = first.size();
-        while (parts < STATE / LIMITS.partBytes()) {
+        while (parts < STATE_BYTES / LIMITS.partBytes()) {
             List<ControlMessage> more = acknowledge(1, Version.NONE, received);
             assertFalse(more.isEmpty());
             assertTrue(publisher.memory().mostInFlightBytes() < LIMITS.windowBytes() + 200);
             received += more.size();
             parts += of(ControlMessage.SnapshotPart.class, more).size();
         }
-        assertEquals(STATE / LIMITS.partBytes(), parts);
+        assertEquals(STATE_BYTES / LIMITS.partBytes(), parts);
     }
 
-    /** What it missed comes in one go, not one by one. */
     @Test
-    void aReaderWhoseWindowWasFullGetsAllThatItMissed() throws DamagedStateException {
+    void sendsMissedChangesTogetherAfterAFullWindow() throws DamagedStateException {
         lead();
         subscribe(1, "r", new Version(1, 2));
         int sent = 0;
@@ -113,7 +112,7 @@
     }
 
     @Test
-    void aReaderThatIsBeyondTheLogGetsTheNewestWholeState() throws DamagedStateException {
+    void sendsTheNewestSnapshotToASubscriberBeyondTheLog() throws DamagedStateException {
         lead();
         subscribe(1, "r", new Version(1, 2));
         int sent = 1;
@@ -129,7 +128,7 @@
     }
 
     @Test
-    void whoAsksWhileOthersGetWholeStatesIsToldWhenToComeAgain() {
+    void rejectsWithGrowingRetryAfterWhenNoSnapshotSlotIsFree() {
         lead();
         subscribe(1, "first", Version.NONE);
         double before = 0;
@@ -142,19 +141,19 @@
             assertTrue(busy.retryAfterSeconds() > 0 && busy.retryAfterSeconds() <= 1.5 * LIMITS.retryAfter());
             before = Math.max(before, busy.retryAfterSeconds());
         }
-        assertTrue(before > 5, "the later ones are told a longer time, at most " + before);
+        assertTrue(before > 5, "retry-after delays do not grow, maximum " + before);
         assertEquals(1, publisher.memory().subscribers());
         assertEquals(1, publisher.memory().snapshotsUnderWay());
         assertEquals(
                 0,
                 of(ControlMessage.Busy.class, subscribe(99, "near", new Version(1, 2)))
                         .size(),
-                "who needs none is taken");
+                "a subscriber that needs no snapshot is accepted");
     }
 
-    /** A slow one has its place for a while only, and goes on after. */
+    /** A slow subscriber must not block the slot for ever; its own snapshot continues. */
     @Test
-    void aSlowReadersPlaceIsFreeAfterAWhile() {
+    void aSlowSubscriberLosesItsSnapshotSlot() {
         lead();
         int received = subscribe(1, "slow", Version.NONE).size();
         for (int i = 0; i < 6; i++) {
@@ -170,7 +169,7 @@
     }
 
     @Test
-    void whoAcknowledgesNothingIsClosed() {
+    void closesAConnectionWithoutAcknowledgements() {
         lead();
         subscribe(1, "dead", new Version(1, 2));
         boolean closed = false;
@@ -184,7 +183,7 @@
     }
 
     @Test
-    void aSubscriberThatComesAgainReplacesItsHalfOpenConnection() {
+    void aNewConnectionReplacesAHalfOpenOne() {
         lead();
         subscribe(1, "r", new Version(1, 2));
         List<PublisherStep> steps =
@@ -194,7 +193,7 @@
     }
 
     @Test
-    void beyondTheBoundOfSubscribersRelaysAreSentAwayAndControlProcessesTaken() {
+    void subscriberLimitAppliesToRelaysOnly() {
         lead();
         for (int i = 0; i < 3; i++) {
             subscribe(i, "r" + i, new Version(1, 2));
@@ -208,9 +207,9 @@
         assertFalse(of(ControlMessage.SnapshotPart.class, sent).isEmpty());
     }
 
-    /** One encoded frame can serve all of them. */
+    /** The adapter can then encode the frame once. */
     @Test
-    void thoseOfOneVersionGetTheSameMessage() throws DamagedStateException {
+    void subscribersOfTheSameVersionShareAMessage() throws DamagedStateException {
         lead();
         subscribe(1, "a", new Version(1, 2));
         subscribe(2, "b", new Version(1, 2));
@@ -221,7 +220,7 @@
     }
 
     @Test
-    void changesOfABurstShareFrames() throws DamagedStateException {
+    void batchesTheChangesOfABurst() throws DamagedStateException {
         lead();
         subscribe(1, "r", new Version(1, 2));
         now = 0.5;
@@ -237,7 +236,7 @@
 
     @Test
     void onlyTheLeaderPublishes() throws DamagedStateException {
-        assertThrows(IllegalStateException.class, () -> publisher.lead(1, now), "there is nothing to lead with");
+        assertThrows(IllegalStateException.class, () -> publisher.lead(1, now), "no state yet");
         publisher.replaceState(new Version(0, 1), Ledger.EMPTY, now);
         assertThrows(IllegalStateException.class, () -> publish(1));
         publisher.lead(1, now);
@@ -246,7 +245,7 @@
         assertThrows(IllegalStateException.class, () -> publish(1));
         assertEquals(2, publisher.age(now + 2), 1e-9);
         publisher.lead(1, now);
-        assertEquals(new Version(1, 3), publisher.newest(), "the same term is opened once");
+        assertEquals(new Version(1, 3), publisher.newest(), "a term begins with only one empty change");
     }
 
     @Test
@@ -260,9 +259,9 @@
         assertEquals(List.of(new PublisherStep.Deposed(5)), publisher.lead(4, now));
     }
 
-    /** Who has followed another leader at the same revision gets the whole state, also where the log is long enough. */
+    /** Changes that follow the same revision of another term do not apply to that subscriber's state. */
     @Test
-    void aSubscriberOfAnotherLeadersChangesGetsTheWholeState() throws DamagedStateException {
+    void sendsASnapshotToASubscriberOfAnotherTerm() throws DamagedStateException {
         publisher.replaceState(new Version(1, 5), Ledger.EMPTY, now);
         publisher.lead(2, now);
         publish(2);
@@ -275,9 +274,9 @@
                 of(ControlMessage.SnapshotPart.class, other).get(0).version());
     }
 
-    /** An older encoded state would not get it on. */
+    /** Guards against sending an encoded state that would not bring the subscriber to a newer version. */
     @Test
-    void anEncodedStateThatIsOlderThanTheSubscribersIsNotSent() throws DamagedStateException {
+    void doesNotReuseAnEncodedStateOlderThanTheSubscriber() throws DamagedStateException {
         publisher.replaceState(new Version(1, 5), Ledger.EMPTY, now);
         assertFalse(of(ControlMessage.SnapshotPart.class, subscribe(1, "new", Version.NONE))
                 .isEmpty());
@@ -290,7 +289,7 @@
     }
 
     @Test
-    void whoIsAheadGetsNothingButHeartbeats() {
+    void sendsOnlyHeartbeatsToASubscriberThatIsAhead() {
         publisher.replaceState(new Version(1, 5), Ledger.EMPTY, now);
         List<ControlMessage> sent = subscribe(1, "r", new Version(1, 8));
         assertEquals(1, sent.size());
@@ -298,7 +297,7 @@
     }
 
     @Test
-    void aChangeThatIsDamagedOrTooLongIsNotPublished() {
+    void refusesDamagedOrOversizedChanges() {
         lead();
         byte[] damaged = LedgerCodec.change(1, 20);
         damaged[0] ^= 1;
@@ -311,7 +310,7 @@
     }
 
     @Test
-    void limitsAndTimesThatDoNotFitAreRefused() {
+    void refusesInconsistentLimitsAndTiming() {
         assertThrows(
                 IllegalArgumentException.class,
                 () -> new Limits(3, 400, 8, 100, 100, 2 << 20, 1, 5, 10_000, 10, 4 << 20, 30));
--- a/src/test/java/juniperusher/distribution/SubscriberTest.java
+++ b/src/test/java/juniperusher/distribution/SubscriberTest.java
@@ -14,23 +14,23 @@
 import juniperusher.lab.fleet.LedgerCodec;
 import org.junit.jupiter.api.Test;
 
-/** One subscriber, driven message by message. */
+/** A single subscriber, driven by one message at a time. */
 class SubscriberTest {
     private static final Timing TIMING = Timing.USUAL;
-    private static final int MOST = 1_000;
+    private static final int MAX_STATE_BYTES = 1_000;
     private static final long SEED = 20_261_202;
     private static final LedgerCodec CODEC = new LedgerCodec(100);
 
-    private final Subscriber<Ledger> subscriber = new Subscriber<>("r", TIMING, MOST, CODEC, SEED);
+    private final Subscriber<Ledger> subscriber = new Subscriber<>("r", TIMING, MAX_STATE_BYTES, CODEC, SEED);
     private double now;
     private long connection;
 
-    private List<SubscriberStep<Ledger>> hear(ControlMessage message) {
+    private List<SubscriberStep<Ledger>> receive(ControlMessage message) {
         now += 0.01;
         return subscriber.received(connection, message, now);
     }
 
-    /** Lets time pass until it connects, and connects. */
+    /** Advances the time to the next attempt to connect, and opens the connection. */
     private ControlMessage.Subscribe connect() {
         now = Math.max(now, subscriber.due());
         SubscriberStep.Connect<Ledger> connect = assertInstanceOf(
@@ -60,11 +60,11 @@
         return new ControlMessage.Heartbeat(newest.term(), newest, sent, age, heard, 0);
     }
 
-    /** Subscribed, with version 1.1 in force. */
-    private void begin() {
+    /** Subscribes and activates version 1.1. */
+    private void subscribeWithFirstState() {
         subscriber.start(List.of("a", "b"), now);
         assertEquals(Version.NONE, connect().version());
-        hear(part(new Version(1, 1), 0, 1, CODEC.encode(Ledger.EMPTY)));
+        receive(part(new Version(1, 1), 0, 1, CODEC.encode(Ledger.EMPTY)));
         assertEquals(new Version(1, 1), subscriber.version());
     }
 
@@ -76,134 +76,134 @@
                 .orElse(null);
     }
 
-    private static Reason left(List<SubscriberStep<Ledger>> steps) {
+    private static Reason disconnectReason(List<SubscriberStep<Ledger>> steps) {
         SubscriberStep.Disconnect<?> step = first(SubscriberStep.Disconnect.class, steps);
         return step == null ? null : step.reason();
     }
 
     @Test
-    void aStateIsTakenOverOnlyOnceItIsWhole() {
-        begin();
+    void activatesASnapshotOnlyWhenComplete() {
+        subscribeWithFirstState();
         Ledger before = subscriber.state();
         byte[] whole = CODEC.encode(new Ledger(7, 7));
         for (int i = 0; i < 3; i++) {
-            assertNull(first(SubscriberStep.Replaced.class, hear(part(new Version(1, 8), i, 4, whole))));
+            assertNull(first(SubscriberStep.Replaced.class, receive(part(new Version(1, 8), i, 4, whole))));
             assertSame(before, subscriber.state());
         }
         assertEquals(
                 new Ledger(7, 7),
-                first(SubscriberStep.Replaced.class, hear(part(new Version(1, 8), 3, 4, whole)))
+                first(SubscriberStep.Replaced.class, receive(part(new Version(1, 8), 3, 4, whole)))
                         .state());
         assertEquals(new Version(1, 8), subscriber.version());
     }
 
     @Test
-    void aDamagedWholeStateIsRefusedAndTheOldOneKept() {
-        begin();
+    void refusesADamagedSnapshotAndKeepsTheState() {
+        subscribeWithFirstState();
         Ledger before = subscriber.state();
         byte[] whole = CODEC.encode(new Ledger(7, 7));
-        whole[3] ^= 1; // before its checksum was taken
-        List<SubscriberStep<Ledger>> steps = hear(part(new Version(1, 8), 0, 1, whole));
+        whole[3] ^= 1; // before the checksum is computed
+        List<SubscriberStep<Ledger>> steps = receive(part(new Version(1, 8), 0, 1, whole));
         assertEquals(
                 new Version(1, 8), first(SubscriberStep.Refused.class, steps).version());
-        assertEquals(Reason.DAMAGED, left(steps));
+        assertEquals(Reason.DAMAGED, disconnectReason(steps));
         assertSame(before, subscriber.state());
         assertEquals(new Version(1, 1), subscriber.version());
         assertEquals(1, subscriber.refused());
     }
 
     @Test
-    void partsThatAreNotThoseOfTheChecksumAreRefused() {
-        begin();
+    void refusesASnapshotWithAWrongChecksum() {
+        subscribeWithFirstState();
         byte[] whole = CODEC.encode(new Ledger(7, 7));
-        hear(part(new Version(1, 8), 0, 2, whole));
+        receive(part(new Version(1, 8), 0, 2, whole));
         ControlMessage.SnapshotPart second = part(new Version(1, 8), 1, 2, whole);
         second.bytes()[5] ^= 1;
-        assertEquals(Reason.DAMAGED, left(hear(second)));
+        assertEquals(Reason.DAMAGED, disconnectReason(receive(second)));
         assertEquals(new Version(1, 1), subscriber.version());
     }
 
     @Test
-    void aWholeStateBeyondTheBoundIsRefusedBeforeItIsHeld() {
-        begin();
-        byte[] whole = new byte[4 * MOST];
-        assertNull(left(hear(part(new Version(1, 8), 0, 8, whole))));
-        assertNull(left(hear(part(new Version(1, 8), 1, 8, whole))));
-        assertEquals(Reason.DAMAGED, left(hear(part(new Version(1, 8), 2, 8, whole))));
+    void refusesAnOversizedSnapshotBeforeItIsComplete() {
+        subscribeWithFirstState();
+        byte[] whole = new byte[4 * MAX_STATE_BYTES];
+        assertNull(disconnectReason(receive(part(new Version(1, 8), 0, 8, whole))));
+        assertNull(disconnectReason(receive(part(new Version(1, 8), 1, 8, whole))));
+        assertEquals(Reason.DAMAGED, disconnectReason(receive(part(new Version(1, 8), 2, 8, whole))));
     }
 
-    /** Else the same change would come again and again. */
+    /** Otherwise the source would send the same damaged change again after each reconnection. */
     @Test
-    void afterADamagedChangeTheWholeStateIsAskedFor() {
-        begin();
+    void requestsASnapshotAfterADamagedChange() {
+        subscribeWithFirstState();
         byte[] damaged = LedgerCodec.change(5, 12);
         damaged[0] ^= 1;
-        List<SubscriberStep<Ledger>> steps = hear(delta(new Version(1, 1), LedgerCodec.change(4, 12), damaged));
-        assertEquals(Reason.DAMAGED, left(steps));
-        assertEquals(Ledger.EMPTY, subscriber.state(), "not even the change before it");
+        List<SubscriberStep<Ledger>> steps = receive(delta(new Version(1, 1), LedgerCodec.change(4, 12), damaged));
+        assertEquals(Reason.DAMAGED, disconnectReason(steps));
+        assertEquals(Ledger.EMPTY, subscriber.state(), "the valid change before the damaged one is not applied either");
         assertEquals(Version.NONE, connect().version());
-        hear(part(new Version(1, 3), 0, 1, CODEC.encode(new Ledger(2, 9))));
+        receive(part(new Version(1, 3), 0, 1, CODEC.encode(new Ledger(2, 9))));
         assertEquals(new Version(1, 3), subscriber.version());
         subscriber.disconnected(connection, now);
         assertEquals(new Version(1, 3), connect().version());
     }
 
     @Test
-    void aChangeForAStateThatItDoesNotHaveIsAskedForAnew() {
-        begin();
-        assertEquals(Reason.GAP, left(hear(delta(new Version(1, 2), LedgerCodec.change(4, 12)))));
+    void reconnectsAfterAGap() {
+        subscribeWithFirstState();
+        assertEquals(Reason.GAP, disconnectReason(receive(delta(new Version(1, 2), LedgerCodec.change(4, 12)))));
         assertEquals(new Version(1, 1), connect().version());
     }
 
     @Test
-    void ofADeltaThatItHasInPartTheRestIsTaken() {
-        begin();
+    void appliesTheUnknownPartOfADelta() {
+        subscribeWithFirstState();
         byte[] second = LedgerCodec.change(2, 12);
         byte[] third = LedgerCodec.change(3, 12);
-        hear(delta(new Version(1, 1), second));
+        receive(delta(new Version(1, 1), second));
         Ledger once = subscriber.state();
-        List<SubscriberStep<Ledger>> steps = hear(delta(new Version(1, 1), second, third));
+        List<SubscriberStep<Ledger>> steps = receive(delta(new Version(1, 1), second, third));
         SubscriberStep.Advanced<?> advanced = first(SubscriberStep.Advanced.class, steps);
         assertEquals(new Version(1, 2), advanced.from());
         assertEquals(once.changes() + 1, subscriber.state().changes());
-        assertTrue(hear(delta(new Version(1, 1), second)).size() == 1, "an acknowledgement and no more");
+        assertTrue(receive(delta(new Version(1, 1), second)).size() == 1, "only an acknowledgement");
         assertEquals(1, subscriber.doubled());
     }
 
-    /** The same revision of another term is another state. */
+    /** The same revision of another term names another state. */
     @Test
-    void aDeltaFromTheSameRevisionOfAnotherTermIsAGap() {
-        begin();
-        assertEquals(Reason.GAP, left(hear(delta(new Version(2, 1), LedgerCodec.change(4, 12)))));
+    void aDeltaFromAnotherTermIsAGap() {
+        subscribeWithFirstState();
+        assertEquals(Reason.GAP, disconnectReason(receive(delta(new Version(2, 1), LedgerCodec.change(4, 12)))));
     }
 
     @Test
-    void anOlderTermIsRefused() {
-        begin();
+    void refusesAnOlderTerm() {
+        subscribeWithFirstState();
         subscriber.observeTerm(2);
-        List<SubscriberStep<Ledger>> steps = hear(delta(new Version(1, 1), LedgerCodec.change(4, 12)));
-        assertEquals(Reason.OUTDATED_TERM, left(steps));
+        List<SubscriberStep<Ledger>> steps = receive(delta(new Version(1, 1), LedgerCodec.change(4, 12)));
+        assertEquals(Reason.OUTDATED_TERM, disconnectReason(steps));
         assertEquals(new Version(1, 1), subscriber.version());
         assertEquals(2, connect().term());
     }
 
     @Test
-    void silenceIsABreakAndTheNextSourceIsTried() {
-        begin();
+    void connectsToTheNextSourceAfterSilence() {
+        subscribeWithFirstState();
         assertEquals("a", subscriber.source());
         double heard = now;
         assertEquals(heard + TIMING.silenceTimeoutSeconds(), subscriber.due(), 1e-9);
         assertTrue(
                 subscriber.tick(heard + TIMING.silenceTimeoutSeconds() - 0.01).isEmpty());
         now = heard + TIMING.silenceTimeoutSeconds();
-        assertEquals(Reason.SILENCE, left(subscriber.tick(now)));
+        assertEquals(Reason.SILENCE, disconnectReason(subscriber.tick(now)));
         connect();
         assertEquals("b", subscriber.source());
         assertTrue(now - heard < TIMING.silenceTimeoutSeconds() + 2 * TIMING.initialBackoffSeconds());
     }
 
     @Test
-    void pausesGrowToTheLongestAndAreNotTheSame() {
+    void backoffGrowsToItsMaximum() {
         subscriber.start(List.of("a", "b"), now);
         double longest = 0;
         for (int i = 0; i < 20; i++) {
@@ -218,57 +218,57 @@
     }
 
     @Test
-    void aToldWaitIsKeptInFull() {
-        begin();
-        assertEquals(Reason.BUSY, left(hear(new ControlMessage.Busy(1, 20))));
+    void respectsTheRetryAfterDelay() {
+        subscribeWithFirstState();
+        assertEquals(Reason.BUSY, disconnectReason(receive(new ControlMessage.Busy(1, 20))));
         assertTrue(subscriber.due() >= now + 20);
         assertTrue(subscriber.due() <= now + 20 + TIMING.initialBackoffSeconds());
     }
 
-    /** From when the acknowledgement was sent that the heartbeat answers, whatever time that took. */
+    /** Staleness counts from the sending of the acknowledgement to which the heartbeat refers. */
     @Test
-    void theStalenessIsNeverToldTooSmall() {
-        begin();
+    void neverUnderestimatesStaleness() {
+        subscribeWithFirstState();
         assertEquals(Double.POSITIVE_INFINITY, subscriber.staleness(now));
         Version version = subscriber.version();
-        double acknowledged = now; // with the whole state's acknowledgement
+        double acknowledged = now; // when the snapshot was acknowledged
         now += 2;
-        hear(heartbeat(version, version, 0.5, 1));
+        receive(heartbeat(version, version, 0.5, 1));
         assertEquals(now - acknowledged + 0.5, subscriber.staleness(now), 1e-9);
         double second = now;
         now += 2;
-        hear(new ControlMessage.Heartbeat(1, version, version, 0.5, 2, 1.5));
+        receive(new ControlMessage.Heartbeat(1, version, version, 0.5, 2, 1.5));
         assertEquals(now - (second + 1.5) + 0.5, subscriber.staleness(now), 1e-9);
-        double told = subscriber.staleness(now);
+        double previousStaleness = subscriber.staleness(now);
         now += 2;
-        hear(heartbeat(version, version, Double.POSITIVE_INFINITY, 3));
-        assertEquals(told + 2.01, subscriber.staleness(now), 1e-9, "the source knows nothing newer");
-        hear(heartbeat(new Version(1, 2), version, 0, 4));
-        assertTrue(subscriber.staleness(now) > told + 2, "it has something newer");
+        receive(heartbeat(version, version, Double.POSITIVE_INFINITY, 3));
+        assertEquals(previousStaleness + 2.01, subscriber.staleness(now), 1e-9, "the source does not know its own age");
+        receive(heartbeat(new Version(1, 2), version, 0, 4));
+        assertTrue(subscriber.staleness(now) > previousStaleness + 2, "the source has a newer version");
     }
 
     @Test
-    void aSourceThatIsItselfStaleIsLeft() {
-        begin();
+    void leavesAStaleSource() {
+        subscribeWithFirstState();
         Version version = subscriber.version();
-        hear(heartbeat(version, version, TIMING.maxSourceAgeSeconds() + 1, 1));
+        receive(heartbeat(version, version, TIMING.maxSourceAgeSeconds() + 1, 1));
         double from = now;
         assertTrue(subscriber.due() <= from + TIMING.silenceTimeoutSeconds());
         now = subscriber.due();
-        assertEquals(Reason.STALE_SOURCE, left(subscriber.tick(now)));
+        assertEquals(Reason.STALE_SOURCE, disconnectReason(subscriber.tick(now)));
         connect();
         assertEquals("b", subscriber.source());
     }
 
     @Test
-    void aHeartbeatTellsOfWhatDidNotCome() {
-        begin();
-        assertEquals(Reason.GAP, left(hear(heartbeat(new Version(1, 2), new Version(1, 2), 0, 1))));
+    void aHeartbeatRevealsALostMessage() {
+        subscribeWithFirstState();
+        assertEquals(Reason.GAP, disconnectReason(receive(heartbeat(new Version(1, 2), new Version(1, 2), 0, 1))));
     }
 
     @Test
-    void lateEventsOfAnEarlierConnectionDoNothing() {
-        begin();
+    void ignoresLateEventsOfAnEarlierConnection() {
+        subscribeWithFirstState();
         long first = connection;
         subscriber.disconnected(first, now);
         connect();
@@ -282,39 +282,39 @@
     }
 
     @Test
-    void newSourcesLeaveAConnectionThatIsStillAmongThem() {
-        begin();
+    void keepsAConnectionThatIsAmongTheNewSources() {
+        subscribeWithFirstState();
         assertTrue(subscriber.start(List.of("c", "a"), now).isEmpty());
         assertEquals("a", subscriber.source());
-        assertEquals(Reason.STOPPED, left(subscriber.start(List.of("c"), now)));
+        assertEquals(Reason.STOPPED, disconnectReason(subscriber.start(List.of("c"), now)));
         connect();
         assertEquals("c", subscriber.source());
-        assertEquals(Reason.STOPPED, left(subscriber.stop(now)));
+        assertEquals(Reason.STOPPED, disconnectReason(subscriber.stop(now)));
         assertEquals(Double.POSITIVE_INFINITY, subscriber.due());
         assertEquals(new Version(1, 1), subscriber.version());
     }
 
     @Test
-    void theFirstOfNewSourcesIsTriedAfterAWhile() {
-        begin();
+    void retriesThePreferredSource() {
+        subscribeWithFirstState();
         subscriber.start(List.of("c", "a"), now);
         Version version = subscriber.version();
         List<SubscriberStep<Ledger>> steps = List.of();
-        for (int i = 1; left(steps) == null && i < 3 * TIMING.preferredSourceRetrySeconds(); i++) {
-            hear(heartbeat(version, version, 0, i));
+        for (int i = 1; disconnectReason(steps) == null && i < 3 * TIMING.preferredSourceRetrySeconds(); i++) {
+            receive(heartbeat(version, version, 0, i));
             now += TIMING.heartbeatIntervalSeconds();
             steps = subscriber.tick(now);
         }
-        assertEquals(Reason.PREFERENCE, left(steps));
+        assertEquals(Reason.PREFERENCE, disconnectReason(steps));
         assertEquals("c", first(SubscriberStep.Connect.class, steps).source());
         assertTrue(
                 now > TIMING.preferredSourceRetrySeconds() && now < 2 * TIMING.preferredSourceRetrySeconds() + 20,
                 "at " + now);
     }
 
-    /** It starts with what its folder had, aged, while no control process is to be reached. */
+    /** A relay can start with the state on its disk while no control process is reachable. */
     @Test
-    void aStateFromItsFolderIsInForceAndAged() {
+    void resumesARestoredStateWithItsAge() {
         subscriber.resume(new Version(3, 9), new Ledger(9, 9), -500);
         subscriber.start(List.of("a"), now);
         assertEquals(new Version(3, 9), subscriber.version());
@@ -324,11 +324,11 @@
         assertEquals(3, subscribe.term());
         assertFalse(subscribe.republishes());
         subscriber.resume(new Version(3, 8), new Ledger(8, 8), 0);
-        assertEquals(new Version(3, 9), subscriber.version(), "an older one is no news");
+        assertEquals(new Version(3, 9), subscriber.version(), "an older state is ignored");
     }
 
     @Test
-    void aClockThatGoesBackIsRefused() {
+    void refusesATimeThatGoesBackwards() {
         subscriber.start(List.of("a"), 5);
         assertThrows(IllegalArgumentException.class, () -> subscriber.tick(4));
     }
