--- a/src/main/java/juniperusher/distribution/ControlMessage.java
+++ b/src/main/java/juniperusher/distribution/ControlMessage.java
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Sent by the publisher at a regular interval, and when a subscriber has become up to date.
+     * Sent by the publisher after the subscription, at a regular interval, and when a subscriber has become up to date.
      *
      * @param newestVersion the publisher's newest version
      * @param sentVersion the version that the subscriber has once it has received all earlier messages
--- a/src/main/java/juniperusher/distribution/Publisher.java
+++ b/src/main/java/juniperusher/distribution/Publisher.java
@@ -35,6 +35,7 @@
  */
 public final class Publisher<S> {
     private static final double NEVER = Double.POSITIVE_INFINITY;
+    // messages kept for reuse between two changes, because many subscribers have the same version
     private static final int MAX_SHARED_DELTAS = 16;
     // weight of the newest duration in the moving average of snapshot durations
     private static final double SNAPSHOT_ESTIMATE_SMOOTHING = 0.2;
@@ -47,8 +48,8 @@
     private final DeltaLog log;
     private final Map<Long, Subscription> subscriptions = new LinkedHashMap<>();
     private final Map<String, Long> connectionsByName = new LinkedHashMap<>(); // key: subscriber name
-    private final Map<Version, ControlMessage.Delta> sharedDeltas =
-            new LinkedHashMap<>(); // key: version before the delta
+    // key: version before the delta
+    private final Map<Version, ControlMessage.Delta> sharedDeltas = new LinkedHashMap<>();
     private final Counters counters = new Counters();
     private S state; // null until there is one
     private EncodedState encodedState; // the state that current snapshots transfer, or null
@@ -119,7 +120,7 @@
             int snapshotsUnderWay) {}
 
     /**
-     * Creates a publisher without a state. Until it has one, subscribers only get heartbeats, of an infinite age.
+     * Creates a publisher without a state. Until it has one, subscribers only get heartbeats.
      *
      * @param seed seed of the jitter in retry-after delays
      */
@@ -131,13 +132,13 @@
         log = new DeltaLog(limits.logChanges(), limits.logBytes());
     }
 
-    // ---- the state ----
+    // ---- state and term ----
 
     /**
      * Makes this process the leader. The first change of a new term is empty: it gives the unchanged state a version
      * of that term, so that the versions of subscribers that still follow an older leader differ from it. After
-     * {@link #resign}, the process may lead again under the same token. If a newer term is known, the process does not
-     * lead and the only step is {@link PublisherStep.Deposed}.
+     * {@link #resign}, the process may lead again under the same token. If a newer term is known, or the state already
+     * has this term from another leader, the process does not lead and the only step is {@link PublisherStep.Deposed}.
      *
      * @param token the lease's fencing token, used as the term
      * @throws IllegalStateException if there is no state yet
--- a/src/main/java/juniperusher/distribution/Subscriber.java
+++ b/src/main/java/juniperusher/distribution/Subscriber.java
@@ -33,6 +33,7 @@
  */
 public final class Subscriber<S> {
     private static final double NEVER = Double.POSITIVE_INFINITY;
+    // Further ones are not recorded until a heartbeat confirms some; the staleness is overestimated meanwhile.
     private static final int MAX_SENT_ACKNOWLEDGEMENTS = 256;
 
     private final String name;
@@ -331,7 +332,7 @@
             leaveStaleSourceAt = NEVER;
             consecutiveFailures = heartbeat.newestVersion().isAfter(version) ? consecutiveFailures : 0;
         } else if (leaveStaleSourceAt == NEVER && sources.size() > 1) {
-            // The random delay prevents that all subscribers of a stale source leave it together.
+            // The random delay keeps the subscribers of a stale source from leaving it all at once.
             leaveStaleSourceAt = now + timing.silenceTimeoutSeconds() * random.nextDouble();
         }
     }
--- a/src/main/java/juniperusher/distribution/Subscription.java
+++ b/src/main/java/juniperusher/distribution/Subscription.java
@@ -112,7 +112,7 @@
         sentVersion = version;
     }
 
-    /** Whether the subscriber was told, by a heartbeat, that it was up to date at some time. */
+    /** Whether a heartbeat has told the subscriber at least once that it is up to date. */
     boolean isConfirmedCurrent() {
         return confirmedCurrent;
     }
