--- a/src/main/java/juniperusher/amqp/AmqpConfig.java
+++ b/src/main/java/juniperusher/amqp/AmqpConfig.java
@@ -12,21 +12,28 @@
 import java.util.List;
 
 /**
- * Where the AMQP front listens and which destinations are brokers.
+ * Configuration of the AMQP front and of the brokers that the relay publishes to. Immutable.
  *
- * @param listen       where clients connect, or null for a front that is off
- * @param user         who may connect
- * @param password     with this password
- * @param messageClass class of the messages that name none in their type
- * @param brokers      destinations that are brokers
+ * @param listen       address on which clients connect, or null if the front is disabled
+ * @param user         user name that clients log in with
+ * @param password     password that clients log in with
+ * @param messageClass name of the message class used when a message's type property is empty
+ * @param brokers      destinations that are AMQP brokers
  */
 public record AmqpConfig(
         InetSocketAddress listen, String user, String password, String messageClass, List<Broker> brokers) {
     /**
-     * A destination that is a broker: orders go to the exchange with the routing key.
+     * A destination that is an AMQP broker.
      *
-     * @param name   what clients may use as the routing key, besides the destination's number
-     * @param weight its listed rate in messages a second
+     * @param destination number of the destination
+     * @param name        routing key that clients may use in place of the destination's number, or empty
+     * @param address     where the broker listens
+     * @param user        user name that the relay logs in with
+     * @param password    password that the relay logs in with
+     * @param virtualHost virtual host that the relay opens
+     * @param exchange    exchange that messages are published to
+     * @param routingKey  routing key that messages are published with
+     * @param weight      listed rate in messages per second
      */
     public record Broker(
             int destination,
@@ -39,14 +46,22 @@
             String routingKey,
             double weight) {}
 
-    /** Takes the table of the operator's file, which has been checked. */
+    /**
+     * Builds the configuration from the AMQP table of the operator's settings file.
+     *
+     * @param table the table, already validated against the schema of the settings
+     * @throws IllegalArgumentException if the class is missing or an address is malformed
+     */
     public static AmqpConfig of(JsonObject table) {
         return parse(table);
     }
 
     /**
-     * Reads a JSON file of the older form; an {@link IllegalArgumentException} says in one line what is wrong
-     * with it.
+     * Reads the configuration from a separate JSON file, the older format.
+     *
+     * @throws IllegalArgumentException if the content is invalid; the message names the file and the reason on
+     *     one line
+     * @throws IOException if the file cannot be read
      */
     public static AmqpConfig read(Path file) throws IOException {
         try {
@@ -64,7 +79,7 @@
             brokers.add(new Broker(
                     broker.getInt("destination", 0),
                     broker.getString("name", ""),
-                    address(broker.getString("address", "")),
+                    parseAddress(broker.getString("address", "")),
                     broker.getString("user", "guest"),
                     broker.getString("password", "guest"),
                     broker.getString("virtual_host", "/"),
@@ -75,27 +90,27 @@
         String messageClass = json.getString("class", "");
         if (messageClass.isEmpty()) {
             throw new IllegalArgumentException(
-                    "class is missing: expected the class of the messages that " + "name none in their type");
+                    "class is missing: expected the class of messages that have an empty type");
         }
         String listen = json.getString("listen", "");
         return new AmqpConfig(
-                listen.isEmpty() ? null : address(listen),
+                listen.isEmpty() ? null : parseAddress(listen),
                 json.getString("user", "guest"),
                 json.getString("password", "guest"),
                 messageClass,
                 brokers);
     }
 
-    private static InetSocketAddress address(String text) {
-        int at = text.lastIndexOf(':');
-        if (at < 1 || !text.substring(at + 1).matches("\\d{1,5}")) {
-            throw new IllegalArgumentException("'" + text + "' is no address of the form host:port");
+    private static InetSocketAddress parseAddress(String text) {
+        int colon = text.lastIndexOf(':');
+        if (colon < 1 || !text.substring(colon + 1).matches("\\d{1,5}")) {
+            throw new IllegalArgumentException("'" + text + "' is not an address of the form host:port");
         }
-        return new InetSocketAddress(text.substring(0, at), Integer.parseInt(text.substring(at + 1)));
+        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /** The destination that a routing key names, or -1. */
-    int destination(String routingKey) {
+    /** Returns the destination that a routing key names, by name or by number, or -1 if there is none. */
+    int destinationOf(String routingKey) {
         for (Broker broker : brokers) {
             if (!broker.name().isEmpty() && broker.name().equals(routingKey)) {
                 return broker.destination();
--- a/src/main/java/juniperusher/amqp/AmqpConnection.java
+++ b/src/main/java/juniperusher/amqp/AmqpConnection.java
@@ -11,54 +11,76 @@
 import org.eclipse.jetty.util.BufferUtil;
 import org.eclipse.jetty.util.IteratingCallback;
 
-/** What both sides of an AMQP connection share: frames in and out, heartbeats, closing with a code. */
+/**
+ * Base class of AMQP connections, used by the client side and by the broker side: reads and writes frames,
+ * sends and checks heartbeats, and closes the connection. Frames are handled by one thread at a time;
+ * {@link #send} and {@link #end} may be called from any thread.
+ */
 abstract class AmqpConnection extends AbstractConnection {
-    static final int FRAME_MAX = 128 * 1024;
-    static final int FRAME_MIN = 4096;
-    static final int HEARTBEAT = 10;
-    private static final byte[] BEAT = new Frame(Frame.HEARTBEAT, 0, new byte[0]).bytes();
+    static final int FRAME_MAX_BYTES = 128 * 1024;
+    static final int FRAME_MIN_BYTES = 4096;
+    static final int HEARTBEAT_SECONDS = 10;
+    private static final byte[] HEARTBEAT_FRAME = new Frame(Frame.HEARTBEAT, 0, new byte[0]).toBytes();
 
     private final Network network;
-    private final Deque<Write> writes = new ArrayDeque<>();
-    private final Object writing = new Object();
-    private final Writer writer = new Writer();
-    private ByteBuffer in = BufferUtil.allocate(16 * 1024);
-    private volatile long heardAt = System.nanoTime();
-    private volatile long wroteAt = System.nanoTime();
+    private final Deque<Write> pendingWrites = new ArrayDeque<>();
+    private final Object writeLock = new Object();
+    private final WriteLoop writeLoop = new WriteLoop();
+    private ByteBuffer readBuffer = BufferUtil.allocate(16 * 1024);
+    private volatile long lastReadNanos = System.nanoTime();
+    private volatile long lastWriteNanos = System.nanoTime();
     private volatile boolean ended;
     private volatile boolean closing;
-    private int frameMax = FRAME_MIN;
-    private int heartbeat;
+    private int frameMax = FRAME_MIN_BYTES;
+    private int heartbeatSeconds;
 
     /**
-     * Bytes to write; {@code mayLeave} is asked just before the first of them, and nothing leaves on a no.
+     * One queued write.
+     *
+     * @param mayStart checked immediately before the first byte is written; if false, the write is discarded
      */
-    private record Write(ByteBuffer bytes, java.util.function.BooleanSupplier mayLeave) {}
+    private record Write(ByteBuffer bytes, java.util.function.BooleanSupplier mayStart) {}
 
     AmqpConnection(EndPoint endPoint, Network network) {
         super(endPoint, network.threads());
         this.network = network;
     }
 
-    // ---- what a side adds ----
+    // ---- implemented by each side ----
 
-    /** Takes the protocol header if this side expects one. */
-    abstract boolean expectsProtocol();
+    /** Whether the next bytes from the peer are the protocol header. */
+    abstract boolean awaitsProtocolHeader();
 
-    abstract void protocol(boolean known);
+    /**
+     * Called with the peer's protocol header.
+     *
+     * @param supported whether the header is that of AMQP 0-9-1
+     */
+    abstract void onProtocolHeader(boolean supported);
 
-    abstract void frame(Frame frame);
+    /**
+     * Called for each frame other than a heartbeat.
+     *
+     * @throws AmqpError to close the connection with its reply code
+     */
+    abstract void onFrame(Frame frame);
 
-    /** The connection is over; called once. */
-    abstract void over();
+    /** Called once, when the connection has ended for any reason. */
+    abstract void onEnded();
 
     // ---- tuning ----
 
-    void tuned(int newFrameMax, int seconds) {
-        frameMax = newFrameMax == 0 ? FRAME_MAX : Math.min(FRAME_MAX, newFrameMax);
-        heartbeat = seconds;
-        if (seconds > 0) {
-            beat();
+    /**
+     * Applies the values negotiated by connection.tune and starts the heartbeat.
+     *
+     * @param negotiatedFrameMax largest frame in bytes, 0 for no limit by the peer
+     * @param intervalSeconds    heartbeat interval, 0 to disable heartbeats
+     */
+    void applyTuning(int negotiatedFrameMax, int intervalSeconds) {
+        frameMax = negotiatedFrameMax == 0 ? FRAME_MAX_BYTES : Math.min(FRAME_MAX_BYTES, negotiatedFrameMax);
+        heartbeatSeconds = intervalSeconds;
+        if (intervalSeconds > 0) {
+            checkHeartbeat();
         }
     }
 
@@ -66,54 +88,56 @@
         return frameMax;
     }
 
-    private void beat() {
+    private void checkHeartbeat() {
         if (ended) {
             return;
         }
         long now = System.nanoTime();
-        if (now - heardAt > TimeUnit.SECONDS.toNanos(2L * heartbeat)) {
-            end(); // the specification: two intervals of silence end the connection, without a close
+        if (now - lastReadNanos > TimeUnit.SECONDS.toNanos(2L * heartbeatSeconds)) {
+            end(); // specified: after two intervals without data the connection is dropped without connection.close
             return;
         }
-        if (now - wroteAt > TimeUnit.SECONDS.toNanos(heartbeat) / 2) {
-            send(BEAT);
+        if (now - lastWriteNanos > TimeUnit.SECONDS.toNanos(heartbeatSeconds) / 2) {
+            send(HEARTBEAT_FRAME);
         }
-        network.scheduler().schedule(this::beat, heartbeat * 250L, TimeUnit.MILLISECONDS);
+        network.scheduler().schedule(this::checkHeartbeat, heartbeatSeconds * 250L, TimeUnit.MILLISECONDS);
     }
 
-    // ---- out ----
+    // ---- writing ----
 
+    /** Queues bytes to be written. */
     void send(byte[] bytes) {
         send(bytes, () -> true);
     }
 
-    void send(byte[] bytes, java.util.function.BooleanSupplier mayLeave) {
-        synchronized (writing) {
+    /** Queues bytes to be written, unless {@code mayStart} is false when their turn comes. */
+    void send(byte[] bytes, java.util.function.BooleanSupplier mayStart) {
+        synchronized (writeLock) {
             if (ended) {
                 return;
             }
-            writes.add(new Write(ByteBuffer.wrap(bytes), mayLeave));
+            pendingWrites.add(new Write(ByteBuffer.wrap(bytes), mayStart));
         }
-        writer.iterate();
+        writeLoop.iterate();
     }
 
     /**
-     * Writes what is queued, one after the other. Guards against a write that ends at once and starts the
-     * next from within: a long queue would use up the small stack of the thread that happened to write.
+     * Writes the queue in order. It iterates because a write that completes immediately would otherwise start
+     * the next one recursively, and a long queue would overflow the small stack of the writing thread.
      */
-    private final class Writer extends IteratingCallback {
+    private final class WriteLoop extends IteratingCallback {
         @Override
         protected Action process() {
             Write next;
             do {
-                synchronized (writing) {
-                    next = writes.poll();
+                synchronized (writeLock) {
+                    next = pendingWrites.poll();
                 }
-            } while (next != null && !next.mayLeave().getAsBoolean());
+            } while (next != null && !next.mayStart().getAsBoolean());
             if (next == null) {
                 return Action.IDLE;
             }
-            wroteAt = System.nanoTime();
+            lastWriteNanos = System.nanoTime();
             getEndPoint().write(this, next.bytes());
             return Action.SCHEDULED;
         }
@@ -124,42 +148,48 @@
         }
     }
 
-    /** Closes with a code of the specification; the other side answers with close-ok. */
-    void closeWith(AmqpError error, int method) {
+    /**
+     * Sends connection.close and ends the connection if the peer does not answer with close-ok within 2 s.
+     *
+     * @param methodNumber number of the method that caused the error, or 0
+     */
+    void sendClose(AmqpError error, int methodNumber) {
         if (!closing) {
             closing = true;
             send(new Method.Writer(Method.CLOSE)
-                    .u16(error.code())
-                    .shortText(clip(error.getMessage()))
-                    .u16(method >>> 16)
-                    .u16(method & 0xffff)
-                    .frame(0));
+                    .u16(error.replyCode())
+                    .shortText(clipReplyText(error.getMessage()))
+                    .u16(methodNumber >>> 16)
+                    .u16(methodNumber & 0xffff)
+                    .methodFrame(0));
             network.scheduler().schedule(this::end, 2, TimeUnit.SECONDS);
         }
     }
 
-    static String clip(String text) {
+    /** Shortens a reply text to 120 characters; a short string holds 255 bytes. */
+    static String clipReplyText(String text) {
         return text.length() > 120 ? text.substring(0, 120) : text;
     }
 
+    /** Whether connection.close has been sent. */
     boolean closing() {
         return closing;
     }
 
-    /** Ends the connection at once. */
+    /** Ends the connection immediately and discards queued writes; has no effect if it has ended. */
     void end() {
-        synchronized (writing) {
+        synchronized (writeLock) {
             if (ended) {
                 return;
             }
             ended = true;
-            writes.clear();
+            pendingWrites.clear();
         }
         close();
-        over();
+        onEnded();
     }
 
-    /** Ends it once what is queued has been written. */
+    /** Ends the connection once the writes queued before have completed. */
     void endAfterWrites() {
         send(new byte[0], () -> {
             end();
@@ -167,7 +197,7 @@
         });
     }
 
-    // ---- in ----
+    // ---- reading ----
 
     @Override
     public void onOpen() {
@@ -185,39 +215,39 @@
     public void onFillable() {
         try {
             while (!ended) {
-                int n = getEndPoint().fill(in);
-                if (n < 0) {
+                int bytesRead = getEndPoint().fill(readBuffer);
+                if (bytesRead < 0) {
                     end();
                     return;
                 }
-                if (n == 0) {
+                if (bytesRead == 0) {
                     fillInterested();
                     return;
                 }
-                heardAt = System.nanoTime();
-                take();
+                lastReadNanos = System.nanoTime();
+                readFrames();
                 makeRoom();
             }
         } catch (AmqpError e) {
-            closeWith(e, 0);
-            BufferUtil.clear(in);
+            sendClose(e, 0);
+            BufferUtil.clear(readBuffer);
             fillInterested();
         } catch (IOException | RuntimeException e) {
             end();
         }
     }
 
-    private void take() {
-        if (expectsProtocol()) {
-            if (in.remaining() < Frame.PROTOCOL.length) {
+    private void readFrames() {
+        if (awaitsProtocolHeader()) {
+            if (readBuffer.remaining() < Frame.PROTOCOL_HEADER.length) {
                 return;
             }
-            byte[] header = new byte[Frame.PROTOCOL.length];
-            in.get(header);
-            protocol(java.util.Arrays.equals(header, Frame.PROTOCOL));
+            byte[] header = new byte[Frame.PROTOCOL_HEADER.length];
+            readBuffer.get(header);
+            onProtocolHeader(java.util.Arrays.equals(header, Frame.PROTOCOL_HEADER));
         }
         while (!ended) {
-            Frame next = Frame.read(in, Math.max(frameMax, FRAME_MIN));
+            Frame next = Frame.read(readBuffer, Math.max(frameMax, FRAME_MIN_BYTES));
             if (next == null) {
                 return;
             }
@@ -226,20 +256,22 @@
                     throw new AmqpError(AmqpError.COMMAND_INVALID, "a heartbeat belongs to channel 0");
                 }
             } else {
-                frame(next);
+                onFrame(next);
             }
         }
     }
 
-    /** Guards against a frame larger than the buffer, which would otherwise never become whole. */
+    /** Compacts the read buffer, and doubles it if it is full: a frame larger than the buffer would never complete. */
     private void makeRoom() {
-        if (!in.hasRemaining()) {
-            BufferUtil.clear(in);
-        } else if (BufferUtil.space(in) == 0 || in.position() > 0) {
-            int wanted = BufferUtil.space(in) == 0 && in.position() == 0 ? in.capacity() * 2 : in.capacity();
-            ByteBuffer wider = BufferUtil.allocate(wanted);
-            BufferUtil.append(wider, in);
-            in = wider;
+        if (!readBuffer.hasRemaining()) {
+            BufferUtil.clear(readBuffer);
+        } else if (BufferUtil.space(readBuffer) == 0 || readBuffer.position() > 0) {
+            int capacity = BufferUtil.space(readBuffer) == 0 && readBuffer.position() == 0
+                    ? readBuffer.capacity() * 2
+                    : readBuffer.capacity();
+            ByteBuffer replacement = BufferUtil.allocate(capacity);
+            BufferUtil.append(replacement, readBuffer);
+            readBuffer = replacement;
         }
     }
 }
--- a/src/main/java/juniperusher/amqp/AmqpError.java
+++ b/src/main/java/juniperusher/amqp/AmqpError.java
@@ -1,6 +1,6 @@
 package juniperusher.amqp;
 
-/** A condition that closes a channel or the connection with a reply code of the specification. */
+/** A protocol error that closes a channel or the connection with a reply code of the AMQP 0-9-1 specification. */
 final class AmqpError extends RuntimeException {
     static final int CONTENT_TOO_LARGE = 311;
     static final int NO_ROUTE = 312;
@@ -17,19 +17,23 @@
     static final int NOT_IMPLEMENTED = 540;
     private static final long serialVersionUID = 1L;
 
-    private final int code;
+    private final int replyCode;
 
-    AmqpError(int code, String text) {
+    AmqpError(int replyCode, String text) {
         super(text);
-        this.code = code;
+        this.replyCode = replyCode;
     }
 
-    int code() {
-        return code;
+    /** The reply code, one of the constants of this class. */
+    int replyCode() {
+        return replyCode;
     }
 
-    /** Whether the specification closes only the channel for it. */
-    boolean soft() {
-        return code == CONTENT_TOO_LARGE || code == ACCESS_REFUSED || code == NOT_FOUND || code == PRECONDITION_FAILED;
+    /** Whether this is a channel exception, which leaves the connection open, rather than a connection exception. */
+    boolean closesOnlyChannel() {
+        return replyCode == CONTENT_TOO_LARGE
+                || replyCode == ACCESS_REFUSED
+                || replyCode == NOT_FOUND
+                || replyCode == PRECONDITION_FAILED;
     }
 }
--- a/src/main/java/juniperusher/amqp/AmqpExtension.java
+++ b/src/main/java/juniperusher/amqp/AmqpExtension.java
@@ -10,7 +10,7 @@
 import juniperusher.core.Subchannels;
 import juniperusher.net.Network;
 
-/** The AMQP 0-9-1 front and its brokers as one part of a relay. */
+/** Adds an AMQP 0-9-1 front and AMQP brokers as destinations to a relay. */
 public final class AmqpExtension implements Extension {
     private final AmqpConfig config;
     private final List<String> classNames;
@@ -20,7 +20,14 @@
     private AmqpFront front;
     private Closeable listener;
 
-    /** Made of the file's words and the relay's settings. */
+    /**
+     * Creates the extension without opening any connection.
+     *
+     * @param config     listen address and brokers
+     * @param classNames names of the message classes, in the order of the settings
+     * @param settings   settings of the relay
+     * @param network    network that connections use
+     */
     public AmqpExtension(AmqpConfig config, List<String> classNames, Settings settings, Network network) {
         this.config = config;
         this.classNames = classNames;
@@ -31,8 +38,9 @@
 
     @Override
     public List<Target> targets() {
-        int single = settings.kinds().stream().map(Kind::batch).toList().indexOf(1);
-        return subchannels.targets(Math.max(0, single));
+        int singleMessageKind =
+                settings.kinds().stream().map(Kind::batch).toList().indexOf(1);
+        return subchannels.targets(Math.max(0, singleMessageKind));
     }
 
     @Override
--- a/src/main/java/juniperusher/amqp/AmqpFront.java
+++ b/src/main/java/juniperusher/amqp/AmqpFront.java
@@ -20,12 +20,14 @@
 import juniperusher.net.Network;
 
 /**
- * The AMQP 0-9-1 front. A client publishes an order to the default exchange with its destination as the
- * routing key; its confirm says that the order is taken on, or is not. The end goes to the queue that the
- * order's reply-to names, under the order's correlation id.
+ * The AMQP 0-9-1 front. A client publishes an order to the default exchange with the destination as the
+ * routing key. The publisher confirm says whether the relay accepted the order: ack for accepted, nack for
+ * refused. The outcome is put into the queue named by the order's reply-to, with the order's correlation id.
+ * Thread-safe.
  */
 public final class AmqpFront implements Front {
-    private static final long LONGEST = 86_400_000; // ms, an expiration beyond a day is a mistake
+    // An expiration of more than a day is taken for a mistake of the client.
+    private static final long MAX_EXPIRATION_MILLIS = 86_400_000;
 
     private final AmqpConfig config;
     private final List<String> classNames;
@@ -33,7 +35,13 @@
     private final Relay relay;
     private final Map<String, ReplyQueue> queues = new ConcurrentHashMap<>();
 
-    /** A front for the relay, whose classes have these names in the settings' order. */
+    /**
+     * Creates a front for the relay.
+     *
+     * @param classNames names of the message classes, in the order of {@code classes}
+     * @param classes    message classes of the settings
+     * @throws IllegalArgumentException if the configured default class is not among the names
+     */
     public AmqpFront(AmqpConfig config, List<String> classNames, List<MessageClass> classes, Relay relay) {
         this.config = config;
         this.classNames = classNames;
@@ -44,7 +52,7 @@
         }
     }
 
-    /** Listens where the file says. */
+    /** Opens the configured listen address; closing the result stops listening. */
     public Closeable listen(Network network) throws IOException {
         return network.listen(config.listen(), endPoint -> new AmqpServerConnection(endPoint, network, this));
     }
@@ -63,26 +71,27 @@
         return !end.returnAddress().isEmpty();
     }
 
-    /** An end in its queue is told, whenever its client fetches it. */
+    /** False: an outcome counts as reported once it is in its queue, whenever the client fetches it. */
     @Override
     public boolean overOnceAcknowledged() {
         return false;
     }
 
     @Override
-    public void report(RpcEnd end, boolean again, Runnable acknowledged) {
+    public void report(RpcEnd end, boolean redelivered, Runnable acknowledged) {
         JsonObject address = Json.parse(end.returnAddress()).asObject();
         String queue = address.getString("queue", "");
-        queue(queue)
+        queueFor(queue)
                 .add(new ReplyQueue.Delivery(
                         queue,
-                        reply(end, address.getString("correlation", "")),
-                        again,
+                        outcomeMessage(end, address.getString("correlation", "")),
+                        redelivered,
                         SteadyClock.millis(),
                         acknowledged));
     }
 
-    private static Content reply(RpcEnd end, String correlation) {
+    /** The message that reports an outcome to the client. */
+    private static Content outcomeMessage(RpcEnd end, String correlation) {
         JsonObject json = new JsonObject()
                 .add("message", end.id())
                 .add(
@@ -107,56 +116,67 @@
 
     // ---- queues ----
 
-    ReplyQueue queue(String name) {
+    /** Returns the reply queue of that name and creates it if it does not exist. */
+    ReplyQueue queueFor(String name) {
         return queues.computeIfAbsent(name, key -> new ReplyQueue());
     }
 
-    boolean declared(String name) {
+    boolean isDeclared(String name) {
         return queues.containsKey(name);
     }
 
-    String declare(String name) {
+    /** Creates a queue, with a generated name if the given one is empty, and returns its name. */
+    String declareQueue(String name) {
         String declared = name.isEmpty() ? "amq.gen-" + UUID.randomUUID() : name;
-        queue(declared);
+        queueFor(declared);
         return declared;
     }
 
     // ---- orders ----
 
-    boolean routes(String routingKey) {
-        return config.destination(routingKey) >= 0;
+    /** Whether the routing key names a destination. */
+    boolean isRoutable(String routingKey) {
+        return config.destinationOf(routingKey) >= 0;
     }
 
+    /**
+     * Offers an order to the relay.
+     *
+     * @param routingKey a routing key that names a destination
+     * @param channel    told whether the relay accepts the order
+     * @throws AmqpError if the type or the expiration of the message is invalid
+     */
     void publish(String routingKey, Content content, Channel channel) {
-        int place = classNames.indexOf(content.type().isEmpty() ? config.messageClass() : content.type());
-        if (place < 0) {
+        int classIndex = classNames.indexOf(content.type().isEmpty() ? config.messageClass() : content.type());
+        if (classIndex < 0) {
             throw new AmqpError(AmqpError.PRECONDITION_FAILED, "type '" + content.type() + "' is no class");
         }
-        long left = content.expiration().isEmpty()
-                ? (long) (classes.get(place).deadline() * 1000)
-                : expiration(content.expiration());
-        boolean named = !content.messageId().isEmpty();
-        String id = named ? content.messageId() : UUID.randomUUID().toString();
+        long timeToLiveMillis = content.expiration().isEmpty()
+                ? (long) (classes.get(classIndex).deadline() * 1000)
+                : parseExpiration(content.expiration());
+        boolean hasMessageId = !content.messageId().isEmpty();
+        String id = hasMessageId ? content.messageId() : UUID.randomUUID().toString();
         relay.offer(
                 new RpcRequest(
                         id,
                         name(),
-                        place,
-                        config.destination(routingKey),
-                        SteadyClock.millis() + left,
+                        classIndex,
+                        config.destinationOf(routingKey),
+                        SteadyClock.millis() + timeToLiveMillis,
                         returnAddress(content, id),
-                        named,
+                        hasMessageId,
                         content.body()),
                 channel);
     }
 
-    private static long expiration(String text) {
-        if (!text.matches("\\d{1,9}") || Long.parseLong(text) > LONGEST) {
+    private static long parseExpiration(String text) {
+        if (!text.matches("\\d{1,9}") || Long.parseLong(text) > MAX_EXPIRATION_MILLIS) {
             throw new AmqpError(AmqpError.PRECONDITION_FAILED, "expiration '" + text + "' is no time in ms");
         }
         return Long.parseLong(text);
     }
 
+    /** JSON text with the queue and correlation id for the outcome; empty if no reply-to is set. */
     private static String returnAddress(Content content, String id) {
         return content.replyTo().isEmpty()
                 ? ""
@@ -166,8 +186,8 @@
                         .toString();
     }
 
-    /** Without confirms the refusal of an order can only go where its end would go. */
-    void refusedUnconfirmed(Content content, UnavailableStatus status) {
+    /** Reports the refusal of an order in its reply queue, for a client that does not use publisher confirms. */
+    void returnUnconfirmed(Content content, UnavailableStatus status) {
         String address = returnAddress(content, content.messageId());
         if (!address.isEmpty()) {
             report(
--- a/src/main/java/juniperusher/amqp/AmqpServerConnection.java
+++ b/src/main/java/juniperusher/amqp/AmqpServerConnection.java
@@ -11,18 +11,23 @@
 import juniperusher.net.Network;
 import org.eclipse.jetty.io.EndPoint;
 
-/** A client's connection: the handshake, its channels, what it publishes, and the ends it consumes. */
+/**
+ * A client's connection to the AMQP front: handshake, channels, published orders and consumers of reply
+ * queues.
+ */
 final class AmqpServerConnection extends AmqpConnection implements Inbound.Guest {
-    static final int MOST_BODY = 64 * 1024;
+    static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int CHANNEL_MAX = 255;
-    private static final long HANDSHAKE = 10_000; // ms
+    private static final long HANDSHAKE_TIMEOUT_MILLIS = 10_000;
+    private static final int PROTOCOL_HEADER = -1;
+    private static final int HANDSHAKE_DONE = 0;
 
     private final AmqpFront front;
     private final Inbound inbound;
-    private final long openedAt = System.nanoTime();
+    private final long openedNanos = System.nanoTime();
     private final Map<Integer, ServerChannel> channels = new ConcurrentHashMap<>();
-    // The method that the handshake waits for: -1 the protocol header, 0 none.
-    private volatile int expected = -1;
+    // Number of the method that the handshake waits for, or one of PROTOCOL_HEADER and HANDSHAKE_DONE.
+    private volatile int expectedMethod = PROTOCOL_HEADER;
 
     AmqpServerConnection(EndPoint endPoint, Network network, AmqpFront front) {
         super(endPoint, network);
@@ -31,11 +36,11 @@
         network.scheduler()
                 .schedule(
                         () -> {
-                            if (expected != 0) {
-                                end(); // Guards descriptors against a client that never ends its handshake.
+                            if (expectedMethod != HANDSHAKE_DONE) {
+                                end(); // frees the descriptor of a client that never completes the handshake
                             }
                         },
-                        HANDSHAKE,
+                        HANDSHAKE_TIMEOUT_MILLIS,
                         TimeUnit.MILLISECONDS);
     }
 
@@ -51,15 +56,15 @@
         inbound.remove(this);
     }
 
-    /** Mute until it has logged in; from then on it is never shed, as its consumers wait for ends. */
+    /** Mute until the client has logged in; never shed from then on, because its consumers wait for outcomes. */
     @Override
     public Inbound.Standing standing() {
-        return expected != 0 ? Inbound.Standing.MUTE : Inbound.Standing.SERVED;
+        return expectedMethod != HANDSHAKE_DONE ? Inbound.Standing.MUTE : Inbound.Standing.SERVED;
     }
 
     @Override
     public long since() {
-        return openedAt;
+        return openedNanos;
     }
 
     @Override
@@ -72,143 +77,155 @@
         end();
     }
 
-    /** One channel. Its fields are used by the connection's reader, but for what consumers touch. */
+    /**
+     * A channel opened by the client. Its state belongs to the thread that reads the connection, except for
+     * deliveries and {@code closing}, which are guarded by the channel's monitor.
+     */
     final class ServerChannel {
         private final int number;
-        private boolean confirm;
-        private long published;
+        private boolean confirmMode;
+        private long publishCount;
         private boolean closing;
         private String routingKey;
         private boolean mandatory;
-        private Content head;
-        private long bodySize;
+        private Content properties;
+        private long expectedBodyBytes;
         private ByteArrayOutputStream body;
-        private long delivered;
+        private long lastDeliveryTag;
         private final Map<Long, ReplyQueue.Delivery> unacknowledged = new HashMap<>();
-        private final Map<String, ReplyQueue> consumers = new HashMap<>();
+        private final Map<String, ReplyQueue> consumerQueues = new HashMap<>();
 
         private ServerChannel(int number) {
             this.number = number;
         }
 
-        /** Writes a delivery to the consumer; false if the channel is over. */
-        boolean deliver(String consumer, boolean noAck, ReplyQueue.Delivery delivery) {
+        /** Sends a delivery to the consumer; returns false if the channel is closed. */
+        boolean deliver(String consumerTag, boolean noAck, ReplyQueue.Delivery delivery) {
             synchronized (this) {
                 if (closing) {
                     return false;
                 }
-                delivered++;
+                lastDeliveryTag++;
                 if (!noAck) {
-                    unacknowledged.put(delivered, delivery);
+                    unacknowledged.put(lastDeliveryTag, delivery);
                 }
                 send(delivery.content()
-                        .frames(
+                        .toFrames(
                                 new Method.Writer(Method.DELIVER)
-                                        .shortText(consumer)
-                                        .u64(delivered)
-                                        .u8(delivery.again() ? 1 : 0)
+                                        .shortText(consumerTag)
+                                        .u64(lastDeliveryTag)
+                                        .u8(delivery.redelivered() ? 1 : 0)
                                         .shortText("")
                                         .shortText(delivery.queue()),
                                 number,
                                 frameMax()));
             }
             if (noAck) {
-                delivery.acknowledged().run();
+                delivery.onCompleted().run();
             }
             return true;
         }
 
-        private void acknowledge(long tag, boolean multiple, boolean taken) {
-            Map<Long, ReplyQueue.Delivery> done = new HashMap<>();
+        /**
+         * Settles unacknowledged deliveries.
+         *
+         * @param tag      delivery tag; with {@code multiple}, all tags up to it are settled, or all if it is 0
+         * @param accepted true to complete the deliveries, false to put them back into their queues
+         */
+        private void settle(long tag, boolean multiple, boolean accepted) {
+            Map<Long, ReplyQueue.Delivery> settled = new HashMap<>();
             synchronized (this) {
-                unacknowledged.forEach((at, delivery) -> {
-                    if (at == tag || multiple && (at <= tag || tag == 0)) {
-                        done.put(at, delivery);
+                unacknowledged.forEach((deliveryTag, delivery) -> {
+                    if (deliveryTag == tag || multiple && (deliveryTag <= tag || tag == 0)) {
+                        settled.put(deliveryTag, delivery);
                     }
                 });
-                unacknowledged.keySet().removeAll(done.keySet());
+                unacknowledged.keySet().removeAll(settled.keySet());
             }
-            if (done.isEmpty() && !multiple) {
+            if (settled.isEmpty() && !multiple) {
                 throw new AmqpError(AmqpError.PRECONDITION_FAILED, "delivery tag " + tag + " is unknown");
             }
-            done.values().forEach(delivery -> {
-                if (taken) {
-                    delivery.acknowledged().run();
+            settled.values().forEach(delivery -> {
+                if (accepted) {
+                    delivery.onCompleted().run();
                 } else {
-                    front.queue(delivery.queue()).add(delivery.putBack());
+                    front.queueFor(delivery.queue()).add(delivery.asRedelivered());
                 }
             });
         }
 
-        private void over() {
-            Map<Long, ReplyQueue.Delivery> back;
+        /** Closes the channel, cancels its consumers and puts unacknowledged deliveries back into their queues. */
+        private void closeAndRequeue() {
+            Map<Long, ReplyQueue.Delivery> unsettled;
             synchronized (this) {
                 closing = true;
-                back = new HashMap<>(unacknowledged);
+                unsettled = new HashMap<>(unacknowledged);
                 unacknowledged.clear();
             }
-            consumers.forEach((tag, queue) -> queue.cancel(this, tag));
-            back.values().forEach(delivery -> front.queue(delivery.queue()).add(delivery.putBack()));
+            consumerQueues.forEach((tag, queue) -> queue.removeConsumer(this, tag));
+            unsettled
+                    .values()
+                    .forEach(delivery -> front.queueFor(delivery.queue()).add(delivery.asRedelivered()));
         }
     }
 
     // ---- the handshake ----
 
     @Override
-    boolean expectsProtocol() {
-        return expected == -1;
+    boolean awaitsProtocolHeader() {
+        return expectedMethod == PROTOCOL_HEADER;
     }
 
     @Override
-    void protocol(boolean known) {
-        if (!known) {
-            // The specification: answer with the header that is spoken here, then close.
-            send(Frame.PROTOCOL);
+    void onProtocolHeader(boolean supported) {
+        if (!supported) {
+            // Specified: answer with the supported protocol header, then close.
+            send(Frame.PROTOCOL_HEADER);
             endAfterWrites();
             return;
         }
-        expected = Method.START_OK;
+        expectedMethod = Method.START_OK;
         send(new Method.Writer(Method.START)
                 .u8(0)
                 .u8(9)
-                .capabilities("juniperusher", "publisher_confirms", "basic.nack", "connection.blocked")
+                .peerProperties("juniperusher", "publisher_confirms", "basic.nack", "connection.blocked")
                 .longText("PLAIN")
                 .longText("en_US")
-                .frame(0));
+                .methodFrame(0));
     }
 
     @Override
-    void frame(Frame frame) {
+    void onFrame(Frame frame) {
         if (frame.channel() == 0) {
-            onConnection(frame);
+            onConnectionFrame(frame);
             return;
         }
         if (closing()) {
             return;
         }
-        if (expected != 0) {
+        if (expectedMethod != HANDSHAKE_DONE) {
             throw new AmqpError(AmqpError.COMMAND_INVALID, "a channel before the connection is open");
         }
         ServerChannel channel = channels.get(frame.channel());
         int number = frame.type() == Frame.METHOD ? new Method(frame).number() : 0;
         try {
-            onChannel(frame, channel, number);
+            onChannelFrame(frame, channel, number);
         } catch (AmqpError e) {
-            if (!e.soft() || channel == null) {
-                closeWith(e, number);
+            if (!e.closesOnlyChannel() || channel == null) {
+                sendClose(e, number);
                 return;
             }
-            channel.over();
+            channel.closeAndRequeue();
             send(new Method.Writer(Method.CHANNEL_CLOSE)
-                    .u16(e.code())
-                    .shortText(clip(e.getMessage()))
+                    .u16(e.replyCode())
+                    .shortText(clipReplyText(e.getMessage()))
                     .u16(number >>> 16)
                     .u16(number & 0xffff)
-                    .frame(channel.number));
+                    .methodFrame(channel.number));
         }
     }
 
-    private void onConnection(Frame frame) {
+    private void onConnectionFrame(Frame frame) {
         if (frame.type() != Frame.METHOD) {
             throw new AmqpError(AmqpError.UNEXPECTED_FRAME, "content on channel 0");
         }
@@ -216,59 +233,59 @@
         if (in.number() == Method.CLOSE_OK && closing()) {
             end();
         } else if (in.number() == Method.CLOSE) {
-            send(new Method.Writer(Method.CLOSE_OK).frame(0));
+            send(new Method.Writer(Method.CLOSE_OK).methodFrame(0));
             endAfterWrites();
         } else if (closing()) {
             return;
-        } else if (expected == 0 || in.number() != expected) {
-            closeWith(
+        } else if (expectedMethod == HANDSHAKE_DONE || in.number() != expectedMethod) {
+            sendClose(
                     new AmqpError(
                             in.number() >>> 16 == 10 ? AmqpError.COMMAND_INVALID : AmqpError.NOT_IMPLEMENTED,
-                            "method " + name(in.number()) + " is not expected here"),
+                            "method " + methodName(in.number()) + " is not expected here"),
                     in.number());
         } else {
-            shake(in);
+            continueHandshake(in);
         }
     }
 
-    private void shake(Method in) {
-        if (expected == Method.START_OK) {
+    private void continueHandshake(Method in) {
+        if (expectedMethod == Method.START_OK) {
             in.skipTable();
             String mechanism = in.shortText();
             if (!mechanism.equals("PLAIN")
                     || !in.longText()
                             .equals("\0" + front.config().user() + "\0"
                                     + front.config().password())) {
-                closeWith(new AmqpError(AmqpError.ACCESS_REFUSED, "login was refused"), in.number());
+                sendClose(new AmqpError(AmqpError.ACCESS_REFUSED, "login was refused"), in.number());
                 return;
             }
-            expected = Method.TUNE_OK;
+            expectedMethod = Method.TUNE_OK;
             send(new Method.Writer(Method.TUNE)
                     .u16(CHANNEL_MAX)
-                    .u32(FRAME_MAX)
-                    .u16(HEARTBEAT)
-                    .frame(0));
-        } else if (expected == Method.TUNE_OK) {
+                    .u32(FRAME_MAX_BYTES)
+                    .u16(HEARTBEAT_SECONDS)
+                    .methodFrame(0));
+        } else if (expectedMethod == Method.TUNE_OK) {
             in.u16();
-            int wanted = in.u32();
-            if (wanted != 0 && wanted < FRAME_MIN || wanted > FRAME_MAX) {
-                throw new AmqpError(AmqpError.NOT_ALLOWED, "frame-max " + wanted + " is not allowed");
+            int requestedFrameMax = in.u32();
+            if (requestedFrameMax != 0 && requestedFrameMax < FRAME_MIN_BYTES || requestedFrameMax > FRAME_MAX_BYTES) {
+                throw new AmqpError(AmqpError.NOT_ALLOWED, "frame-max " + requestedFrameMax + " is not allowed");
             }
-            tuned(wanted, in.u16());
-            expected = Method.OPEN;
+            applyTuning(requestedFrameMax, in.u16());
+            expectedMethod = Method.OPEN;
         } else {
             if (!in.shortText().equals("/")) {
-                closeWith(new AmqpError(AmqpError.NOT_ALLOWED, "virtual host is unknown"), in.number());
+                sendClose(new AmqpError(AmqpError.NOT_ALLOWED, "virtual host is unknown"), in.number());
                 return;
             }
-            expected = 0;
-            send(new Method.Writer(Method.OPEN_OK).shortText("").frame(0));
+            expectedMethod = HANDSHAKE_DONE;
+            send(new Method.Writer(Method.OPEN_OK).shortText("").methodFrame(0));
         }
     }
 
-    // ---- a channel ----
+    // ---- methods on a channel ----
 
-    private void onChannel(Frame frame, ServerChannel channel, int number) {
+    private void onChannelFrame(Frame frame, ServerChannel channel, int number) {
         if (channel == null) {
             if (number != Method.CHANNEL_OPEN) {
                 throw new AmqpError(AmqpError.CHANNEL_ERROR, "channel " + frame.channel() + " is not open");
@@ -277,23 +294,23 @@
                 throw new AmqpError(AmqpError.NOT_ALLOWED, "channel " + frame.channel() + " is over the limit");
             }
             channels.put(frame.channel(), new ServerChannel(frame.channel()));
-            send(new Method.Writer(Method.CHANNEL_OPEN_OK).longText("").frame(frame.channel()));
+            send(new Method.Writer(Method.CHANNEL_OPEN_OK).longText("").methodFrame(frame.channel()));
         } else if (channel.closing) {
             if (number == Method.CHANNEL_CLOSE_OK || number == Method.CHANNEL_CLOSE) {
                 channels.remove(channel.number);
             }
         } else if (frame.type() == Frame.HEADER) {
-            header(frame, channel);
+            onContentHeader(frame, channel);
         } else if (frame.type() == Frame.BODY) {
-            body(frame, channel);
+            onContentBody(frame, channel);
         } else if (channel.routingKey != null) {
             throw new AmqpError(AmqpError.UNEXPECTED_FRAME, "a method where content was expected");
         } else {
-            method(new Method(frame), channel);
+            onChannelMethod(new Method(frame), channel);
         }
     }
 
-    private void method(Method in, ServerChannel channel) {
+    private void onChannelMethod(Method in, ServerChannel channel) {
         int number = in.number();
         if (number == Method.PUBLISH) {
             in.u16();
@@ -301,147 +318,155 @@
                 throw new AmqpError(AmqpError.NOT_FOUND, "only the default exchange is here");
             }
             channel.routingKey = in.shortText();
-            int flags = in.u8();
+            int flags = in.u8(); // bit 0: mandatory, bit 1: immediate
             if ((flags & 2) != 0) {
                 throw new AmqpError(AmqpError.NOT_IMPLEMENTED, "immediate is not implemented");
             }
             channel.mandatory = (flags & 1) != 0;
         } else if (number == Method.CONFIRM_SELECT) {
-            channel.confirm = true;
+            channel.confirmMode = true;
             if (in.u8() == 0) {
-                send(new Method.Writer(Method.CONFIRM_SELECT_OK).frame(channel.number));
+                send(new Method.Writer(Method.CONFIRM_SELECT_OK).methodFrame(channel.number));
             }
         } else if (number == Method.QUEUE_DECLARE) {
             in.u16();
-            String queue = front.declare(in.shortText());
-            if ((in.u8() & 16) == 0) {
+            String queue = front.declareQueue(in.shortText());
+            if ((in.u8() & 16) == 0) { // bit 4: no-wait
                 send(new Method.Writer(Method.QUEUE_DECLARE_OK)
                         .shortText(queue)
-                        .u32(front.queue(queue).waiting())
+                        .u32(front.queueFor(queue).pendingCount())
                         .u32(0)
-                        .frame(channel.number));
+                        .methodFrame(channel.number));
             }
         } else if (number == Method.CONSUME) {
-            consume(in, channel);
+            startConsumer(in, channel);
         } else if (number == Method.CANCEL) {
             String tag = in.shortText();
-            ReplyQueue queue = channel.consumers.remove(tag);
+            ReplyQueue queue = channel.consumerQueues.remove(tag);
             if (queue != null) {
-                queue.cancel(channel, tag);
+                queue.removeConsumer(channel, tag);
             }
             if (in.u8() == 0) {
-                send(new Method.Writer(Method.CANCEL_OK).shortText(tag).frame(channel.number));
+                send(new Method.Writer(Method.CANCEL_OK).shortText(tag).methodFrame(channel.number));
             }
         } else if (number == Method.ACK) {
-            channel.acknowledge(in.u64(), in.u8() != 0, true);
+            channel.settle(in.u64(), in.u8() != 0, true);
         } else if (number == Method.NACK || number == Method.REJECT) {
             long tag = in.u64();
-            int flags = in.u8();
-            boolean again = number == Method.REJECT ? (flags & 1) != 0 : (flags & 2) != 0;
-            channel.acknowledge(tag, number == Method.NACK && (flags & 1) != 0, !again);
+            int flags = in.u8(); // reject: bit 0 requeue; nack: bit 0 multiple, bit 1 requeue
+            boolean requeue = number == Method.REJECT ? (flags & 1) != 0 : (flags & 2) != 0;
+            channel.settle(tag, number == Method.NACK && (flags & 1) != 0, !requeue);
         } else if (number == Method.QOS) {
-            send(new Method.Writer(Method.QOS_OK).frame(channel.number));
+            send(new Method.Writer(Method.QOS_OK).methodFrame(channel.number));
         } else if (number == Method.FLOW) {
-            send(new Method.Writer(Method.FLOW_OK).u8(in.u8()).frame(channel.number));
+            send(new Method.Writer(Method.FLOW_OK).u8(in.u8()).methodFrame(channel.number));
         } else if (number == Method.CHANNEL_CLOSE) {
-            channel.over();
+            channel.closeAndRequeue();
             channels.remove(channel.number);
-            send(new Method.Writer(Method.CHANNEL_CLOSE_OK).frame(channel.number));
+            send(new Method.Writer(Method.CHANNEL_CLOSE_OK).methodFrame(channel.number));
         } else if (number == Method.CHANNEL_OPEN) {
             throw new AmqpError(AmqpError.CHANNEL_ERROR, "channel " + channel.number + " is open already");
         } else {
-            throw new AmqpError(AmqpError.NOT_IMPLEMENTED, "method " + name(number) + " is not implemented");
+            throw new AmqpError(AmqpError.NOT_IMPLEMENTED, "method " + methodName(number) + " is not implemented");
         }
     }
 
-    private void consume(Method in, ServerChannel channel) {
+    private void startConsumer(Method in, ServerChannel channel) {
         in.u16();
         String queue = in.shortText();
-        String wanted = in.shortText();
-        int flags = in.u8();
-        String tag = wanted.isEmpty() ? "ctag-" + channel.number + '-' + channel.consumers.size() : wanted;
-        if (!front.declared(queue)) {
+        String requestedTag = in.shortText();
+        int flags = in.u8(); // bit 1: no-ack, bit 3: no-wait
+        String tag =
+                requestedTag.isEmpty() ? "ctag-" + channel.number + '-' + channel.consumerQueues.size() : requestedTag;
+        if (!front.isDeclared(queue)) {
             throw new AmqpError(AmqpError.NOT_FOUND, "queue '" + queue + "' is not declared");
         }
-        if (channel.consumers.containsKey(tag)) {
+        if (channel.consumerQueues.containsKey(tag)) {
             throw new AmqpError(AmqpError.NOT_ALLOWED, "consumer tag '" + tag + "' is taken");
         }
-        channel.consumers.put(tag, front.queue(queue));
+        channel.consumerQueues.put(tag, front.queueFor(queue));
         if ((flags & 8) == 0) {
-            send(new Method.Writer(Method.CONSUME_OK).shortText(tag).frame(channel.number));
+            send(new Method.Writer(Method.CONSUME_OK).shortText(tag).methodFrame(channel.number));
         }
-        front.queue(queue).consume(channel, tag, (flags & 2) != 0);
+        front.queueFor(queue).addConsumer(channel, tag, (flags & 2) != 0);
     }
 
-    static String name(int number) {
+    /** Returns "class.method" for the number of a method. */
+    static String methodName(int number) {
         return (number >>> 16) + "." + (number & 0xffff);
     }
 
-    // ---- what it publishes ----
+    // ---- content of published messages ----
 
-    private void header(Frame frame, ServerChannel channel) {
-        if (channel.routingKey == null || channel.head != null) {
+    private void onContentHeader(Frame frame, ServerChannel channel) {
+        if (channel.routingKey == null || channel.properties != null) {
             throw new AmqpError(AmqpError.UNEXPECTED_FRAME, "a content header that belongs to no method");
         }
         Method in = new Method(frame);
         if (in.number() >>> 16 != 60) {
             throw new AmqpError(AmqpError.FRAME_ERROR, "content of class " + (in.number() >>> 16));
         }
-        channel.bodySize = in.u64();
-        if (channel.bodySize > MOST_BODY || channel.bodySize < 0) {
+        channel.expectedBodyBytes = in.u64();
+        if (channel.expectedBodyBytes > MAX_BODY_BYTES || channel.expectedBodyBytes < 0) {
             throw new AmqpError(
-                    AmqpError.CONTENT_TOO_LARGE, "a body of " + channel.bodySize + " bytes is over " + MOST_BODY);
+                    AmqpError.CONTENT_TOO_LARGE,
+                    "a body of " + channel.expectedBodyBytes + " bytes is over " + MAX_BODY_BYTES);
         }
-        channel.head = Content.properties(in);
+        channel.properties = Content.readProperties(in);
         channel.body = new ByteArrayOutputStream();
-        whole(channel);
+        publishIfComplete(channel);
     }
 
-    private void body(Frame frame, ServerChannel channel) {
-        if (channel.head == null) {
+    private void onContentBody(Frame frame, ServerChannel channel) {
+        if (channel.properties == null) {
             throw new AmqpError(AmqpError.UNEXPECTED_FRAME, "a body that belongs to no content header");
         }
         channel.body.writeBytes(frame.payload());
-        if (channel.body.size() > channel.bodySize) {
+        if (channel.body.size() > channel.expectedBodyBytes) {
             throw new AmqpError(AmqpError.UNEXPECTED_FRAME, "a body that is longer than its header says");
         }
-        whole(channel);
+        publishIfComplete(channel);
     }
 
-    private void whole(ServerChannel channel) {
-        if (channel.body.size() < channel.bodySize) {
+    /** Offers the order to the front once its body is complete. */
+    private void publishIfComplete(ServerChannel channel) {
+        if (channel.body.size() < channel.expectedBodyBytes) {
             return;
         }
-        Content content = channel.head.with(channel.body.toByteArray());
+        Content content = channel.properties.withBody(channel.body.toByteArray());
         String routingKey = channel.routingKey;
         boolean mandatory = channel.mandatory;
         channel.routingKey = null;
-        channel.head = null;
-        long tag = channel.confirm ? ++channel.published : 0;
-        if (!front.routes(routingKey)) {
-            unroutable(channel, tag, routingKey, mandatory, content);
+        channel.properties = null;
+        long tag = channel.confirmMode ? ++channel.publishCount : 0;
+        if (!front.isRoutable(routingKey)) {
+            returnUnroutable(channel, tag, routingKey, mandatory, content);
             return;
         }
         front.publish(routingKey, content, new Channel() {
             @Override
             public void takenOn() {
-                confirm(channel, tag, Method.ACK);
+                sendConfirm(channel, tag, Method.ACK);
             }
 
             @Override
             public void refused(UnavailableStatus status) {
-                confirm(channel, tag, Method.NACK);
+                sendConfirm(channel, tag, Method.NACK);
                 if (tag == 0) {
-                    front.refusedUnconfirmed(content, status);
+                    front.returnUnconfirmed(content, status);
                 }
             }
         });
     }
 
-    /** Guards against an order that vanishes: what goes nowhere is returned and never acknowledged. */
-    private void unroutable(ServerChannel channel, long tag, String routingKey, boolean mandatory, Content content) {
+    /**
+     * Handles an order whose routing key names no destination: returns it if it is mandatory, and answers with a
+     * nack, never with an ack, so that the client knows that the order was not accepted.
+     */
+    private void returnUnroutable(
+            ServerChannel channel, long tag, String routingKey, boolean mandatory, Content content) {
         if (mandatory) {
-            send(content.frames(
+            send(content.toFrames(
                     new Method.Writer(Method.RETURN)
                             .u16(AmqpError.NO_ROUTE)
                             .shortText("NO_ROUTE")
@@ -450,18 +475,18 @@
                     channel.number,
                     frameMax()));
         }
-        confirm(channel, tag, Method.NACK);
+        sendConfirm(channel, tag, Method.NACK);
     }
 
-    private void confirm(ServerChannel channel, long tag, int method) {
+    private void sendConfirm(ServerChannel channel, long tag, int method) {
         if (tag > 0 && !channel.closing) {
-            send(new Method.Writer(method).u64(tag).u8(0).frame(channel.number));
+            send(new Method.Writer(method).u64(tag).u8(0).methodFrame(channel.number));
         }
     }
 
     @Override
-    void over() {
-        channels.values().forEach(ServerChannel::over);
+    void onEnded() {
+        channels.values().forEach(ServerChannel::closeAndRequeue);
         channels.clear();
     }
 }
--- a/src/main/java/juniperusher/amqp/AmqpSubchannels.java
+++ b/src/main/java/juniperusher/amqp/AmqpSubchannels.java
@@ -16,183 +16,196 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 
-/** Destinations that are brokers: an order is a publish, and its confirm is the answer. */
+/**
+ * Calls to destinations that are AMQP brokers. Each RPC is published to the broker as one message, and the
+ * publisher confirm is the answer. Thread-safe.
+ */
 public final class AmqpSubchannels implements Subchannels {
-    /** Numbers of brokers as targets begin here, above those of all endpoints of a list. */
-    public static final int FIRST = 1 << 24;
+    /** Target id of the first broker, above the ids of all endpoints that a resolver lists. */
+    public static final int FIRST_TARGET_ID = 1 << 24;
 
     private final Network network;
     private final List<AmqpConfig.Broker> brokers;
-    private final Map<Integer, Link> links = new HashMap<>();
+    private final Map<Integer, BrokerConnector> connectors = new HashMap<>();
 
-    /** Brokers reached over the network. */
+    /** Creates the subchannels for the configured brokers; connections are opened when first needed. */
     public AmqpSubchannels(AmqpConfig config, Network network) {
         this.network = network;
         brokers = config.brokers();
         for (int i = 0; i < brokers.size(); i++) {
-            links.put(FIRST + i, new Link(brokers.get(i)));
+            connectors.put(FIRST_TARGET_ID + i, new BrokerConnector(brokers.get(i)));
         }
     }
 
-    /** The brokers as targets of the given kind of destination. */
+    /** Returns one ready target per broker, of the given kind of destination. */
     public List<Target> targets(int kind) {
-        List<Target> out = new ArrayList<>();
+        List<Target> targets = new ArrayList<>();
         for (int i = 0; i < brokers.size(); i++) {
-            out.add(new Target(
-                    FIRST + i,
+            targets.add(new Target(
+                    FIRST_TARGET_ID + i,
                     brokers.get(i).destination(),
                     kind,
                     0,
                     brokers.get(i).weight(),
                     Phase.READY));
         }
-        return out;
+        return targets;
     }
 
-    /** Whether the target is one of these brokers. */
-    public boolean has(Target target) {
-        return links.containsKey(target.id());
+    /** Whether the target is one of the configured brokers. */
+    public boolean contains(Target target) {
+        return connectors.containsKey(target.id());
     }
 
     @Override
     public Call call(Target subchannel, List<RpcRequest> rpcs, double timeout, Clearance clearance, Results results) {
-        List<Publish> publishes = new ArrayList<>();
+        List<PendingPublish> publishes = new ArrayList<>();
         for (int i = 0; i < rpcs.size(); i++) {
-            int place = i;
-            publishes.add(new Publish(rpcs.get(i), clearance, end -> results.ended(place, CallResult.of(end))));
+            int index = i;
+            publishes.add(new PendingPublish(rpcs.get(i), clearance, end -> results.ended(index, CallResult.of(end))));
         }
-        publishes.forEach(links.get(subchannel.id())::publish);
-        return why -> publishes.forEach(publish -> publish.abandon(why));
+        publishes.forEach(connectors.get(subchannel.id())::publish);
+        return reason -> publishes.forEach(publish -> publish.abandon(reason));
     }
 
     @Override
     public void probe(Target subchannel, Probed probed) {
-        long from = System.nanoTime();
-        links.get(subchannel.id())
-                .probe((up, blocked) -> probed.probed(up && !blocked, up && blocked, (System.nanoTime() - from) / 1e9));
+        long startNanos = System.nanoTime();
+        connectors
+                .get(subchannel.id())
+                .probe((up, blocked) ->
+                        probed.probed(up && !blocked, up && blocked, (System.nanoTime() - startNanos) / 1e9));
     }
 
     @Override
     public void closeIdle(Target subchannel) {
-        // A broker's connection is never idle: heartbeats keep it.
+        // The connection to a broker stays open; heartbeats keep it alive.
     }
 
-    interface Ended {
+    /** Called once with the end of a publish. */
+    interface EndCallback {
         void ended(CallEnd end);
     }
 
-    interface State {
-        void is(boolean up, boolean blocked);
+    /** Called once with the state of the connection to a broker. */
+    interface ProbeCallback {
+        void probed(boolean up, boolean blocked);
     }
 
-    /** One order on its way to a broker. */
-    static final class Publish {
+    /** An order that is to be published to a broker or that waits for its confirm. Thread-safe. */
+    static final class PendingPublish {
         private final RpcRequest rpc;
         private final Clearance clearance;
-        private final Ended ended;
+        private final EndCallback callback;
         private BrokerConnection connection;
-        private boolean mayBeWhole;
-        private boolean over;
+        private boolean mayBeWritten;
+        private boolean finished;
 
-        Publish(RpcRequest rpc, Clearance clearance, Ended ended) {
+        PendingPublish(RpcRequest rpc, Clearance clearance, EndCallback callback) {
             this.rpc = rpc;
             this.clearance = clearance;
-            this.ended = ended;
+            this.callback = callback;
         }
 
+        /** The message to publish; its expiration is the time left until the deadline of the RPC. */
         Content content() {
-            long left = Math.max(1, rpc.deadline() - SteadyClock.millis());
-            return new Content("", "", "", Long.toString(left), rpc.id(), "", rpc.body());
+            long remainingMillis = Math.max(1, rpc.deadline() - SteadyClock.millis());
+            return new Content("", "", "", Long.toString(remainingMillis), rpc.id(), "", rpc.body());
         }
 
-        synchronized boolean on(BrokerConnection on) {
-            connection = on;
-            return !over;
+        /** Records the connection that publishes the order; returns false if the order has finished. */
+        synchronized boolean attach(BrokerConnection newConnection) {
+            connection = newConnection;
+            return !finished;
         }
 
-        /** Asked just before the first byte: whether the order may leave. From a yes on it may have run. */
-        boolean leaves(boolean blocked) {
-            // A blocked broker refuses nothing, so it is no refusal that the module should pace by: not sent.
+        /** Whether the order may be written; checked just before its first byte. Once this is true, it may have run. */
+        boolean mayWrite(boolean blocked) {
+            // A blocked broker has not refused the order, so the order ends as not sent: a refusal would make the
+            // decision module reduce the rate of the destination.
             if (blocked || !clearance.mayStart()) {
                 finish(CallEnd.HELD_BACK);
                 return false;
             }
             synchronized (this) {
-                mayBeWhole = !over;
-                return mayBeWhole;
+                mayBeWritten = !finished;
+                return mayBeWritten;
             }
         }
 
+        /** Ends the publish, unless it has ended. */
         void finish(CallEnd end) {
             boolean written;
             synchronized (this) {
-                if (over) {
+                if (finished) {
                     return;
                 }
-                over = true;
-                written = mayBeWhole;
+                finished = true;
+                written = mayBeWritten;
             }
-            ended.ended(end.given(written));
+            callback.ended(end.given(written));
         }
 
-        void abandon(CallEnd why) {
-            BrokerConnection on;
+        /** Stops waiting for the confirm, closes the channel of the publish and ends it with {@code reason}. */
+        void abandon(CallEnd reason) {
+            BrokerConnection attached;
             synchronized (this) {
-                on = over ? null : connection;
+                attached = finished ? null : connection;
             }
-            if (on != null) {
-                on.giveUp(this);
+            if (attached != null) {
+                attached.abandon(this);
             }
-            finish(why);
+            finish(reason);
         }
     }
 
-    /** The connection to one broker, opened when it is wanted. */
-    final class Link implements Network.Dial {
+    /** Opens the connection to one broker when it is needed. Publishes and probes wait until it is usable. */
+    final class BrokerConnector implements Network.Dial {
         private final AmqpConfig.Broker broker;
-        private final List<Publish> waiting = new ArrayList<>();
-        private final List<State> probes = new ArrayList<>();
-        private final AtomicInteger dials = new AtomicInteger();
+        private final List<PendingPublish> pendingPublishes = new ArrayList<>();
+        private final List<ProbeCallback> pendingProbes = new ArrayList<>();
+        private final AtomicInteger connectAttempts = new AtomicInteger();
         private BrokerConnection connection;
-        private boolean dialling;
+        private boolean connecting;
 
-        Link(AmqpConfig.Broker broker) {
+        BrokerConnector(AmqpConfig.Broker broker) {
             this.broker = broker;
         }
 
-        void publish(Publish order) {
-            BrokerConnection up = connection(order, null);
-            if (up != null && up.blocked()) {
+        void publish(PendingPublish order) {
+            BrokerConnection usable = connectionOrEnqueue(order, null);
+            if (usable != null && usable.blocked()) {
                 order.finish(CallEnd.HELD_BACK);
-            } else if (up != null) {
-                up.publish(order);
+            } else if (usable != null) {
+                usable.publish(order);
             }
         }
 
-        void probe(State state) {
-            BrokerConnection up = connection(null, state);
-            if (up != null) {
-                state.is(true, up.blocked());
+        void probe(ProbeCallback callback) {
+            BrokerConnection usable = connectionOrEnqueue(null, callback);
+            if (usable != null) {
+                callback.probed(true, usable.blocked());
             }
         }
 
-        private BrokerConnection connection(Publish order, State state) {
+        /** Returns the usable connection, or null after queueing the order or probe until connecting has finished. */
+        private BrokerConnection connectionOrEnqueue(PendingPublish order, ProbeCallback probe) {
             synchronized (this) {
                 if (connection != null && connection.usable()) {
                     return connection;
                 }
                 if (order != null) {
-                    waiting.add(order);
+                    pendingPublishes.add(order);
                 }
-                if (state != null) {
-                    probes.add(state);
+                if (probe != null) {
+                    pendingProbes.add(probe);
                 }
-                if (dialling) {
+                if (connecting) {
                     return null;
                 }
-                dialling = true;
+                connecting = true;
             }
-            dials.incrementAndGet();
+            connectAttempts.incrementAndGet();
             network.connect(broker.address(), this);
             return null;
         }
@@ -203,42 +216,45 @@
         }
 
         @Override
-        public void failed(Throwable why) {
-            settle(null);
+        public void failed(Throwable cause) {
+            finishConnecting(null);
         }
 
-        void up(BrokerConnection made) {
-            settle(made);
+        /** The connection has completed its handshake. */
+        void onOpened(BrokerConnection opened) {
+            finishConnecting(opened);
         }
 
-        void down(BrokerConnection lost) {
-            boolean waited;
+        /** The connection has ended, during its handshake or later. */
+        void onEnded(BrokerConnection ended) {
+            boolean wasConnecting;
             synchronized (this) {
-                waited = dialling;
-                connection = connection == lost ? null : connection;
+                wasConnecting = connecting;
+                connection = connection == ended ? null : connection;
             }
-            if (waited) {
-                settle(null);
+            if (wasConnecting) {
+                finishConnecting(null);
             }
         }
 
-        private void settle(BrokerConnection made) {
-            List<Publish> orders;
-            List<State> states;
+        /** Hands queued publishes and probes to the opened connection, or fails them if it is null. */
+        private void finishConnecting(BrokerConnection opened) {
+            List<PendingPublish> orders;
+            List<ProbeCallback> probes;
             synchronized (this) {
-                dialling = false;
-                connection = made;
-                orders = new ArrayList<>(waiting);
-                states = new ArrayList<>(probes);
-                waiting.clear();
-                probes.clear();
+                connecting = false;
+                connection = opened;
+                orders = new ArrayList<>(pendingPublishes);
+                probes = new ArrayList<>(pendingProbes);
+                pendingPublishes.clear();
+                pendingProbes.clear();
             }
-            states.forEach(state -> state.is(made != null, made != null && made.blocked()));
-            for (Publish order : orders) {
-                if (made == null) {
+            probes.forEach(probe -> probe.probed(opened != null, opened != null && opened.blocked()));
+            for (PendingPublish order : orders) {
+                if (opened == null) {
                     order.finish(CallEnd.NOT_CONNECTED);
                 } else {
-                    made.publish(order);
+                    opened.publish(order);
                 }
             }
         }
--- a/src/main/java/juniperusher/amqp/BrokerConnection.java
+++ b/src/main/java/juniperusher/amqp/BrokerConnection.java
@@ -10,27 +10,29 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * A connection to a broker that orders are published to with confirms. Each order out has a channel of its
- * own, so that giving one up closes its channel and disturbs no other.
+ * A connection to a broker, on which orders are published with publisher confirms. Each order in flight has
+ * its own channel, so an order can be abandoned by closing its channel without affecting other orders.
  */
 final class BrokerConnection extends AmqpConnection {
-    private static final double HANDSHAKE = 2.0; // s, a broker that takes longer is as good as down
+    // A broker that takes longer is treated as unreachable.
+    private static final double HANDSHAKE_TIMEOUT_SECONDS = 2.0;
 
     private final AmqpConfig.Broker broker;
-    private final AmqpSubchannels.Link link;
+    private final AmqpSubchannels.BrokerConnector connector;
     private final Map<Integer, BrokerChannel> channels = new HashMap<>();
-    private final Deque<BrokerChannel> free = new ArrayDeque<>();
-    private int expected = Method.START;
+    private final Deque<BrokerChannel> idleChannels = new ArrayDeque<>();
+    // Number of the method that the handshake waits for, 0 once it is complete.
+    private int expectedMethod = Method.START;
     private int channelMax;
-    private int lastChannel;
+    private int lastChannelNumber;
     private volatile boolean blocked;
-    private volatile boolean open;
+    private volatile boolean opened;
 
-    /** A channel: at most one order is out on it. */
+    /** A channel, with at most one order in flight. */
     private static final class BrokerChannel {
         final int number;
-        AmqpSubchannels.Publish out;
-        long published;
+        AmqpSubchannels.PendingPublish order;
+        long publishCount;
         boolean returned;
         boolean closing;
 
@@ -39,62 +41,65 @@
         }
     }
 
-    BrokerConnection(EndPoint endPoint, Network network, AmqpConfig.Broker broker, AmqpSubchannels.Link link) {
+    BrokerConnection(
+            EndPoint endPoint, Network network, AmqpConfig.Broker broker, AmqpSubchannels.BrokerConnector connector) {
         super(endPoint, network);
         this.broker = broker;
-        this.link = link;
+        this.connector = connector;
         network.scheduler()
                 .schedule(
                         () -> {
-                            if (!open) {
+                            if (!opened) {
                                 end();
                             }
                         },
-                        (long) (HANDSHAKE * 1000),
+                        (long) (HANDSHAKE_TIMEOUT_SECONDS * 1000),
                         TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void onOpen() {
         super.onOpen();
-        send(Frame.PROTOCOL);
+        send(Frame.PROTOCOL_HEADER);
     }
 
+    /** Whether the broker has sent connection.blocked and not yet connection.unblocked. */
     boolean blocked() {
         return blocked;
     }
 
+    /** Whether the handshake is complete and the connection is not closing. */
     boolean usable() {
-        return open && !closing();
+        return opened && !closing();
     }
 
     @Override
-    boolean expectsProtocol() {
+    boolean awaitsProtocolHeader() {
         return false;
     }
 
     @Override
-    void protocol(boolean known) {
+    void onProtocolHeader(boolean supported) {
         throw new AmqpError(AmqpError.UNEXPECTED_FRAME, "a protocol header from a broker");
     }
 
-    // ---- frames in ----
+    // ---- reading ----
 
     @Override
-    void frame(Frame frame) {
+    void onFrame(Frame frame) {
         if (frame.channel() == 0) {
-            onConnection(new Method(frame));
+            onConnectionMethod(new Method(frame));
         } else if (frame.type() == Frame.METHOD) {
-            onChannel(frame.channel(), new Method(frame));
+            onChannelMethod(frame.channel(), new Method(frame));
         }
-        // Content comes only behind basic.return, which has said all there is to know.
+        // Content frames only follow basic.return; the method alone tells that the order was returned.
     }
 
-    private void onConnection(Method in) {
+    private void onConnectionMethod(Method in) {
         int number = in.number();
         if (number == Method.CLOSE) {
-            send(new Method.Writer(Method.CLOSE_OK).frame(0));
-            open = false;
+            send(new Method.Writer(Method.CLOSE_OK).methodFrame(0));
+            opened = false;
             endAfterWrites();
         } else if (number == Method.CLOSE_OK) {
             end();
@@ -102,44 +107,45 @@
             blocked = true;
         } else if (number == Method.UNBLOCKED) {
             blocked = false;
-        } else if (number != expected) {
+        } else if (number != expectedMethod) {
             throw new AmqpError(
-                    AmqpError.COMMAND_INVALID, "method " + AmqpServerConnection.name(number) + " is not expected here");
+                    AmqpError.COMMAND_INVALID,
+                    "method " + AmqpServerConnection.methodName(number) + " is not expected here");
         } else if (number == Method.START) {
-            expected = Method.TUNE;
+            expectedMethod = Method.TUNE;
             send(new Method.Writer(Method.START_OK)
-                    .capabilities("juniperusher", "publisher_confirms", "basic.nack", "connection.blocked")
+                    .peerProperties("juniperusher", "publisher_confirms", "basic.nack", "connection.blocked")
                     .shortText("PLAIN")
                     .longText("\0" + broker.user() + "\0" + broker.password())
                     .shortText("en_US")
-                    .frame(0));
+                    .methodFrame(0));
         } else if (number == Method.TUNE) {
             channelMax = in.u16();
             channelMax = channelMax == 0 ? 65535 : channelMax;
-            int offered = in.u32();
-            int frames = offered == 0 ? FRAME_MAX : Math.min(offered, FRAME_MAX);
-            int beat = in.u16();
-            beat = beat == 0 ? HEARTBEAT : Math.min(beat, HEARTBEAT);
+            int offeredFrameMax = in.u32();
+            int chosenFrameMax = offeredFrameMax == 0 ? FRAME_MAX_BYTES : Math.min(offeredFrameMax, FRAME_MAX_BYTES);
+            int intervalSeconds = in.u16();
+            intervalSeconds = intervalSeconds == 0 ? HEARTBEAT_SECONDS : Math.min(intervalSeconds, HEARTBEAT_SECONDS);
             send(new Method.Writer(Method.TUNE_OK)
                     .u16(channelMax)
-                    .u32(frames)
-                    .u16(beat)
-                    .frame(0));
-            expected = Method.OPEN_OK;
+                    .u32(chosenFrameMax)
+                    .u16(intervalSeconds)
+                    .methodFrame(0));
+            expectedMethod = Method.OPEN_OK;
             send(new Method.Writer(Method.OPEN)
                     .shortText(broker.virtualHost())
                     .shortText("")
                     .u8(0)
-                    .frame(0));
-            tuned(frames, beat);
+                    .methodFrame(0));
+            applyTuning(chosenFrameMax, intervalSeconds);
         } else {
-            expected = 0;
-            open = true;
-            link.up(this);
+            expectedMethod = 0;
+            opened = true;
+            connector.onOpened(this);
         }
     }
 
-    private void onChannel(int channelNumber, Method in) {
+    private void onChannelMethod(int channelNumber, Method in) {
         BrokerChannel channel;
         synchronized (this) {
             channel = channels.get(channelNumber);
@@ -149,75 +155,76 @@
         }
         int number = in.number();
         if (number == Method.CHANNEL_OPEN_OK) {
-            send(new Method.Writer(Method.CONFIRM_SELECT).u8(0).frame(channelNumber));
+            send(new Method.Writer(Method.CONFIRM_SELECT).u8(0).methodFrame(channelNumber));
         } else if (number == Method.CONFIRM_SELECT_OK) {
             publishOn(channel);
         } else if (number == Method.RETURN) {
             channel.returned = true;
         } else if (number == Method.ACK || number == Method.NACK) {
-            confirmed(channel, in.u64(), (in.u8() & 1) != 0, number == Method.ACK);
+            onConfirm(channel, in.u64(), (in.u8() & 1) != 0, number == Method.ACK);
         } else if (number == Method.CHANNEL_CLOSE) {
             int code = in.u16();
             in.shortText();
-            send(new Method.Writer(Method.CHANNEL_CLOSE_OK).frame(channelNumber));
+            send(new Method.Writer(Method.CHANNEL_CLOSE_OK).methodFrame(channelNumber));
             boolean refused = (code == AmqpError.NOT_FOUND
                             || code == AmqpError.ACCESS_REFUSED
                             || code == AmqpError.CONTENT_TOO_LARGE)
                     && (in.u16() << 16 | in.u16()) == Method.PUBLISH;
-            // The order named in the close was refused by it: the broker has put it into no queue.
-            drop(channel, refused || channel.returned ? CallEnd.UNROUTABLE : CallEnd.BROKEN);
+            // A close caused by basic.publish refuses the order: the broker has not put it into any queue.
+            removeChannel(channel, refused || channel.returned ? CallEnd.UNROUTABLE : CallEnd.BROKEN);
         } else if (number == Method.CHANNEL_CLOSE_OK) {
-            drop(channel, CallEnd.BROKEN);
+            removeChannel(channel, CallEnd.BROKEN);
         } else if (number == Method.FLOW) {
-            send(new Method.Writer(Method.FLOW_OK).u8(in.u8()).frame(channelNumber));
+            send(new Method.Writer(Method.FLOW_OK).u8(in.u8()).methodFrame(channelNumber));
         }
     }
 
-    private void confirmed(BrokerChannel channel, long tag, boolean multiple, boolean taken) {
-        AmqpSubchannels.Publish done;
+    /** Ends the order on the channel if the confirm covers its publish. */
+    private void onConfirm(BrokerChannel channel, long tag, boolean multiple, boolean acknowledged) {
+        AmqpSubchannels.PendingPublish order;
         synchronized (this) {
-            if (tag != channel.published && !(multiple && (tag == 0 || tag > channel.published))) {
+            if (tag != channel.publishCount && !(multiple && (tag == 0 || tag > channel.publishCount))) {
                 return;
             }
-            done = channel.out;
-            channel.out = null;
+            order = channel.order;
+            channel.order = null;
         }
-        if (done == null) {
+        if (order == null) {
             return;
         }
-        // A nack only says that the broker does not vouch for the order; some queue may still hold it.
-        done.finish(!taken ? CallEnd.FAILED : channel.returned ? CallEnd.UNROUTABLE : CallEnd.DELIVERED);
+        // A nack does not prove that no queue holds the order, so the order may have run.
+        order.finish(!acknowledged ? CallEnd.FAILED : channel.returned ? CallEnd.UNROUTABLE : CallEnd.DELIVERED);
         release(channel);
     }
 
-    // ---- orders out ----
+    // ---- publishing ----
 
-    /** Publishes the order on a free channel, or on a new one; refuses it when there are no more channels. */
-    void publish(AmqpSubchannels.Publish order) {
+    /** Publishes the order on an idle or a new channel; ends it as not connected if all channels are in use. */
+    void publish(AmqpSubchannels.PendingPublish order) {
         BrokerChannel channel;
-        boolean fresh;
+        boolean isNew;
         synchronized (this) {
-            channel = free.poll();
-            fresh = channel == null;
-            if (fresh && channels.size() < channelMax) {
-                while (channels.containsKey(lastChannel = lastChannel % channelMax + 1)) {
+            channel = idleChannels.poll();
+            isNew = channel == null;
+            if (isNew && channels.size() < channelMax) {
+                while (channels.containsKey(lastChannelNumber = lastChannelNumber % channelMax + 1)) {
                     continue;
                 }
-                channel = new BrokerChannel(lastChannel);
-                channels.put(lastChannel, channel);
+                channel = new BrokerChannel(lastChannelNumber);
+                channels.put(lastChannelNumber, channel);
             }
             if (channel != null) {
-                channel.out = order;
+                channel.order = order;
             }
         }
         if (channel == null) {
             order.finish(CallEnd.NOT_CONNECTED);
             return;
         }
-        if (!order.on(this)) {
-            giveUp(order);
-        } else if (fresh) {
-            send(new Method.Writer(Method.CHANNEL_OPEN).shortText("").frame(channel.number));
+        if (!order.attach(this)) {
+            abandon(order);
+        } else if (isNew) {
+            send(new Method.Writer(Method.CHANNEL_OPEN).shortText("").methodFrame(channel.number));
         } else {
             publishOn(channel);
         }
@@ -226,17 +233,18 @@
         }
     }
 
+    /** Publishes the order assigned to the channel, or releases the channel if the order was abandoned. */
     private void publishOn(BrokerChannel channel) {
-        AmqpSubchannels.Publish order;
+        AmqpSubchannels.PendingPublish order;
         synchronized (this) {
-            order = channel.out;
+            order = channel.order;
         }
         if (order == null) {
             release(channel);
             return;
         }
         byte[] bytes = order.content()
-                .frames(
+                .toFrames(
                         new Method.Writer(Method.PUBLISH)
                                 .u16(0)
                                 .shortText(broker.exchange())
@@ -245,71 +253,75 @@
                         channel.number,
                         frameMax());
         send(bytes, () -> {
-            if (!order.leaves(blocked)) {
+            if (!order.mayWrite(blocked)) {
                 synchronized (this) {
-                    channel.out = null;
+                    channel.order = null;
                 }
                 release(channel);
                 return false;
             }
             synchronized (this) {
-                channel.published++;
+                channel.publishCount++;
                 channel.returned = false;
             }
             return true;
         });
     }
 
+    /** Makes the channel available to the next order. */
     private synchronized void release(BrokerChannel channel) {
-        if (!channel.closing && channels.get(channel.number) == channel && !free.contains(channel)) {
-            free.add(channel);
+        if (!channel.closing && channels.get(channel.number) == channel && !idleChannels.contains(channel)) {
+            idleChannels.add(channel);
         }
     }
 
-    /** Closes the channel of an order that nobody waits for any more: it is no longer out. */
-    void giveUp(AmqpSubchannels.Publish order) {
-        BrokerChannel used = null;
+    /** Closes the channel of an order whose confirm is no longer awaited. */
+    void abandon(AmqpSubchannels.PendingPublish order) {
+        BrokerChannel abandoned = null;
         synchronized (this) {
             for (BrokerChannel channel : channels.values()) {
-                if (channel.out == order) {
-                    used = channel;
-                    channel.out = null;
+                if (channel.order == order) {
+                    abandoned = channel;
+                    channel.order = null;
                     channel.closing = true;
                 }
             }
         }
-        if (used != null) {
+        if (abandoned != null) {
             send(new Method.Writer(Method.CHANNEL_CLOSE)
                     .u16(200)
                     .shortText("given up")
                     .u16(0)
                     .u16(0)
-                    .frame(used.number));
+                    .methodFrame(abandoned.number));
         }
     }
 
-    private void drop(BrokerChannel channel, CallEnd why) {
-        AmqpSubchannels.Publish cut;
+    /** Removes a closed channel and ends the order in flight on it. */
+    private void removeChannel(BrokerChannel channel, CallEnd end) {
+        AmqpSubchannels.PendingPublish unfinished;
         synchronized (this) {
             channels.remove(channel.number);
-            free.remove(channel);
+            idleChannels.remove(channel);
             channel.closing = true;
-            cut = channel.out;
-            channel.out = null;
+            unfinished = channel.order;
+            channel.order = null;
         }
-        if (cut != null) {
-            cut.finish(why);
+        if (unfinished != null) {
+            unfinished.finish(end);
         }
     }
 
     @Override
-    void over() {
-        open = false;
-        link.down(this);
-        Map<Integer, BrokerChannel> left;
+    void onEnded() {
+        opened = false;
+        connector.onEnded(this);
+        Map<Integer, BrokerChannel> remaining;
         synchronized (this) {
-            left = new HashMap<>(channels);
+            remaining = new HashMap<>(channels);
         }
-        left.values().forEach(channel -> drop(channel, channel.returned ? CallEnd.UNROUTABLE : CallEnd.BROKEN));
+        remaining
+                .values()
+                .forEach(channel -> removeChannel(channel, channel.returned ? CallEnd.UNROUTABLE : CallEnd.BROKEN));
     }
 }
--- a/src/main/java/juniperusher/amqp/Method.java
+++ b/src/main/java/juniperusher/amqp/Method.java
@@ -5,7 +5,11 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** A method's fields, read one after the other; the number is its class id and method id in one. */
+/**
+ * Reads the fields of a method or a content header in order. The number of a method is its class id in the
+ * upper and its method id in the lower 16 bits; a content header has its weight field in place of the method
+ * id. Reading past the end throws an {@link AmqpError}.
+ */
 final class Method {
     static final int START = id(10, 10);
     static final int START_OK = id(10, 11);
@@ -52,6 +56,7 @@
         return classId << 16 | methodId;
     }
 
+    /** The class id and method id in one number, as in the constants of this class. */
     int number() {
         return number;
     }
@@ -80,10 +85,12 @@
         return read(in::getLong);
     }
 
+    /** Reads a short string, with a length of one octet. */
     String shortText() {
         return text(u8());
     }
 
+    /** Reads a long string, with a length of four octets. */
     String longText() {
         return text(u32());
     }
@@ -97,11 +104,12 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
+    /** Skips a field table, which has a length of four octets like a long string. */
     void skipTable() {
         longText();
     }
 
-    /** Builds a method or a content header. */
+    /** Encodes a method or a content header. */
     static final class Writer {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
@@ -126,6 +134,11 @@
             return u32((int) (value >>> 32)).u32((int) value);
         }
 
+        /**
+         * Adds a short string.
+         *
+         * @throws IllegalArgumentException if the text is longer than 255 bytes of UTF-8
+         */
         Writer shortText(String text) {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
             if (bytes.length > 255) {
@@ -143,36 +156,44 @@
             return this;
         }
 
-        /** A table of flags that are all true, at the path given for nested ones. */
-        Writer capabilities(String product, String... flags) {
-            Writer inner = new Writer(0);
-            for (String flag : flags) {
-                inner.shortText(flag).u8('t').u8(1);
+        /** Adds the peer properties: a table with the product name and a nested table of capabilities, all true. */
+        Writer peerProperties(String product, String... capabilities) {
+            Writer capabilityTable = new Writer(0);
+            for (String capability : capabilities) {
+                capabilityTable.shortText(capability).u8('t').u8(1);
             }
-            byte[] table = inner.fields();
-            Writer all = new Writer(0);
-            all.shortText("product").u8('S').longText(product);
-            all.shortText("capabilities").u8('F').u32(table.length).raw(table);
-            byte[] outer = all.fields();
-            return u32(outer.length).raw(outer);
+            byte[] capabilityBytes = capabilityTable.bytesWithoutNumber();
+            Writer properties = new Writer(0);
+            properties.shortText("product").u8('S').longText(product);
+            properties
+                    .shortText("capabilities")
+                    .u8('F')
+                    .u32(capabilityBytes.length)
+                    .raw(capabilityBytes);
+            byte[] propertyBytes = properties.bytesWithoutNumber();
+            return u32(propertyBytes.length).raw(propertyBytes);
         }
 
+        /** Adds bytes that are encoded already. */
         Writer raw(byte[] bytes) {
             out.writeBytes(bytes);
             return this;
         }
 
-        private byte[] fields() {
+        /** The encoded fields without the leading method number, for use as the content of a table. */
+        private byte[] bytesWithoutNumber() {
             byte[] all = out.toByteArray();
             return java.util.Arrays.copyOfRange(all, 4, all.length);
         }
 
-        byte[] frame(int channel) {
-            return new Frame(Frame.METHOD, channel, out.toByteArray()).bytes();
+        /** Returns the encoded fields as a method frame. */
+        byte[] methodFrame(int channel) {
+            return new Frame(Frame.METHOD, channel, out.toByteArray()).toBytes();
         }
 
-        byte[] header(int channel) {
-            return new Frame(Frame.HEADER, channel, out.toByteArray()).bytes();
+        /** Returns the encoded fields as a content header frame. */
+        byte[] headerFrame(int channel) {
+            return new Frame(Frame.HEADER, channel, out.toByteArray()).toBytes();
         }
     }
 }
--- a/src/main/java/juniperusher/amqp/ReplyQueue.java
+++ b/src/main/java/juniperusher/amqp/ReplyQueue.java
@@ -6,54 +6,67 @@
 import java.util.List;
 import juniperusher.clock.SteadyClock;
 
-/** Ends that wait for the client that asked for them, under the name of its reply-to. */
+/** A queue of outcomes that wait for a client to consume them. Its name is the reply-to of the orders. Thread-safe. */
 final class ReplyQueue {
-    private static final long KEPT = 600_000; // ms for which an end waits for its client
+    private static final long RETENTION_MILLIS = 600_000;
 
-    private final Deque<Delivery> waiting = new ArrayDeque<>();
+    private final Deque<Delivery> pending = new ArrayDeque<>();
     private final List<Consumer> consumers = new ArrayList<>();
-    private int turn;
-    private long keptMillis = KEPT;
+    private int deliveryCount;
+    private long retentionMillis = RETENTION_MILLIS;
 
-    /** An end as a message; {@code acknowledged} runs once the client has it. */
-    record Delivery(String queue, Content content, boolean again, long since, Runnable acknowledged) {
-        Delivery putBack() {
-            return new Delivery(queue, content, true, since, acknowledged);
+    /**
+     * An outcome to be delivered to a client.
+     *
+     * @param queue         name of the queue
+     * @param content       the message
+     * @param redelivered   whether the client may have received it before
+     * @param createdMillis when the outcome was first queued, by {@link SteadyClock}
+     * @param onCompleted   run when the client has acknowledged it, when it was sent to a consumer without
+     *     acknowledgements, or when it has expired
+     */
+    record Delivery(String queue, Content content, boolean redelivered, long createdMillis, Runnable onCompleted) {
+        /** Returns a copy marked as redelivered. */
+        Delivery asRedelivered() {
+            return new Delivery(queue, content, true, createdMillis, onCompleted);
         }
     }
 
     private record Consumer(AmqpServerConnection.ServerChannel channel, String tag, boolean noAck) {}
 
-    /** Keeps ends for another time than the usual one. */
-    synchronized void keep(long millis) {
-        keptMillis = millis;
+    /** Changes how long an outcome waits to be consumed, 10 minutes by default. */
+    synchronized void setRetention(long millis) {
+        retentionMillis = millis;
     }
 
-    synchronized int waiting() {
-        return waiting.size();
+    synchronized int pendingCount() {
+        return pending.size();
     }
 
+    /** Adds an outcome, drops expired ones and delivers what it can. */
     void add(Delivery delivery) {
-        Deque<Delivery> old = new ArrayDeque<>();
+        Deque<Delivery> expired = new ArrayDeque<>();
         synchronized (this) {
-            waiting.add(delivery);
-            // Guards against ends that nobody fetches: they would fill the journal until nothing is taken on.
-            while (SteadyClock.millis() - waiting.peek().since() > keptMillis) {
-                old.add(waiting.poll());
+            pending.add(delivery);
+            // Outcomes that no client consumes expire: they would fill the journal until the relay accepts no RPC.
+            while (SteadyClock.millis() - pending.peek().createdMillis() > retentionMillis) {
+                expired.add(pending.poll());
             }
         }
-        old.forEach(each -> each.acknowledged().run());
+        expired.forEach(each -> each.onCompleted().run());
         deliver();
     }
 
-    void consume(AmqpServerConnection.ServerChannel channel, String tag, boolean noAck) {
+    /** Adds a consumer; outcomes are distributed to consumers in turn. */
+    void addConsumer(AmqpServerConnection.ServerChannel channel, String tag, boolean noAck) {
         synchronized (this) {
             consumers.add(new Consumer(channel, tag, noAck));
         }
         deliver();
     }
 
-    synchronized void cancel(AmqpServerConnection.ServerChannel channel, String tag) {
+    /** Removes a consumer; what it has not acknowledged stays with its channel. */
+    synchronized void removeConsumer(AmqpServerConnection.ServerChannel channel, String tag) {
         consumers.removeIf(
                 consumer -> consumer.channel() == channel && consumer.tag().equals(tag));
     }
@@ -63,16 +76,16 @@
             Delivery next;
             Consumer consumer;
             synchronized (this) {
-                if (waiting.isEmpty() || consumers.isEmpty()) {
+                if (pending.isEmpty() || consumers.isEmpty()) {
                     return;
                 }
-                next = waiting.poll();
-                consumer = consumers.get(turn++ % consumers.size());
+                next = pending.poll();
+                consumer = consumers.get(deliveryCount++ % consumers.size());
             }
             if (!consumer.channel().deliver(consumer.tag(), consumer.noAck(), next)) {
-                cancel(consumer.channel(), consumer.tag());
+                removeConsumer(consumer.channel(), consumer.tag());
                 synchronized (this) {
-                    waiting.addFirst(next);
+                    pending.addFirst(next);
                 }
             }
         }
--- a/src/main/java/juniperusher/sim/Host.java
+++ b/src/main/java/juniperusher/sim/BatchServer.java
@@ -28,17 +28,17 @@
 import juniperusher.Protocol.Woken;
 
 /** Hosts many instances of the decision module behind the simulator's wire; translates and nothing else. */
-final class Host {
-    private static final int HEADER = 16;
+final class BatchServer {
+    private static final int HEADER_BYTES = 16;
 
     private final Map<Integer, Instance> instances = new LinkedHashMap<>();
-    private final Map<Integer, List<Target>> lists = new LinkedHashMap<>();
+    private final Map<Integer, List<Target>> targetLists = new LinkedHashMap<>();
 
     /** One instance and the events of the batch in hand. */
     private static final class Instance {
         private final Control control;
         private final SettingsParser.Parsed parsed;
-        private final List<Event> events = new ArrayList<>();
+        private final List<Event> pendingEvents = new ArrayList<>();
 
         private Instance(SettingsParser.Parsed parsed, long seed) {
             this.parsed = parsed;
@@ -49,7 +49,7 @@
     /** Answers batches until the input ends between two frames. */
     void serve(InputStream in, OutputStream out) throws IOException {
         for (byte[] frame = readFrame(in); frame != null; frame = readFrame(in)) {
-            answer(frame).writeTo(out);
+            handleBatch(frame).writeTo(out);
         }
     }
 
@@ -62,7 +62,7 @@
             throw new WireException("frame cut short in its length: " + size.length + " bytes of 4");
         }
         int length = ByteBuffer.wrap(size).getInt();
-        if (length < HEADER) {
+        if (length < HEADER_BYTES) {
             throw new WireException("frame of " + (length & 0xffffffffL) + " bytes is no batch");
         }
         byte[] rest = in.readNBytes(length - 4);
@@ -75,89 +75,90 @@
         return frame;
     }
 
-    ReplyWriter answer(byte[] frame) {
+    ReplyWriter handleBatch(byte[] frame) {
         FrameReader in = new FrameReader(frame);
         in.u32();
         double now = in.f64();
         long records = in.u32();
-        Set<Integer> touched = new LinkedHashSet<>();
-        int current = -1;
+        Set<Integer> instancesToRun = new LinkedHashSet<>();
+        int currentInstance = -1;
         for (long i = 0; i < records; i++) {
-            int at = in.at();
+            int recordStart = in.position();
             int code = in.u8();
-            String name = "record " + i + " (code " + code + ", byte " + at + ")";
-            in.enter(in.u32(), name);
+            String recordName = "record " + i + " (code " + code + ", byte " + recordStart + ")";
+            in.beginRecord(in.u32(), recordName);
             if (code == 8) {
-                current = in.id();
+                currentInstance = in.id();
             } else if (code == 7) {
-                readList(in);
+                readTargetList(in);
             } else if (code == 1) {
                 long seed = in.u64();
-                instances.put(current, new Instance(SettingsParser.parse(in.text(in.u32())), seed));
-                touched.add(current);
+                instances.put(currentInstance, new Instance(SettingsParser.parse(in.text(in.u32())), seed));
+                instancesToRun.add(currentInstance);
             } else if (code == 10) {
-                instances.remove(current);
-                touched.remove(current);
+                instances.remove(currentInstance);
+                instancesToRun.remove(currentInstance);
             } else {
-                Instance instance = instances.get(current);
+                Instance instance = instances.get(currentInstance);
                 if (instance == null) {
-                    throw new WireException(name + ": instance " + current + " was not started");
+                    throw new WireException(recordName + ": instance " + currentInstance + " was not started");
                 }
-                instance.events.add(event(in, code, instance, name));
-                touched.add(current);
+                instance.pendingEvents.add(readEvent(in, code, instance, recordName));
+                instancesToRun.add(currentInstance);
             }
-            in.leave(name);
+            in.endRecord(recordName);
         }
         if (!in.atEnd()) {
-            throw new WireException("frame has bytes after its last record, at byte " + in.at());
+            throw new WireException("frame has bytes after its last record, at byte " + in.position());
         }
-        return decide(now, touched);
+        return decide(now, instancesToRun);
     }
 
-    private ReplyWriter decide(double now, Set<Integer> touched) {
+    private ReplyWriter decide(double now, Set<Integer> instancesToRun) {
         ReplyWriter reply = new ReplyWriter();
-        for (int id : touched) {
+        for (int id : instancesToRun) {
             Instance instance = instances.get(id);
             try {
-                reply.actions(id, instance.control.decide(now, instance.events));
+                reply.addActions(id, instance.control.decide(now, instance.pendingEvents));
             } catch (RuntimeException | StackOverflowError e) {
                 StackTraceElement[] trace = e.getStackTrace();
-                reply.fault(id, e + (trace.length > 0 ? " at " + trace[0] : ""));
+                reply.addFault(id, e + (trace.length > 0 ? " at " + trace[0] : ""));
             }
-            instance.events.clear();
+            instance.pendingEvents.clear();
         }
         return reply;
     }
 
-    private void readList(FrameReader in) {
-        int number = in.u16();
+    private void readTargetList(FrameReader in) {
+        int listNumber = in.u16();
         long count = in.u32();
         List<Target> targets = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             int kind = in.u8();
             int id = in.id();
             double weight = in.f32();
-            int phase = in.u8();
+            int phaseCode = in.u8();
             int zone = in.u8();
             in.f64();
             int destination = in.u16();
-            Phase known =
-                    switch (phase) {
+            Phase phase =
+                    switch (phaseCode) {
                         case 0 -> Phase.GONE;
                         case 1 -> Phase.READY;
                         case 2 -> Phase.DRAINING;
-                        default -> throw new WireException("byte " + in.at() + ": phase " + phase + " is unknown");
+                        default ->
+                            throw new WireException("byte " + in.position() + ": phase " + phaseCode + " is unknown");
                     };
-            targets.add(new Target(id, destination, kind, zone, weight, known));
+            targets.add(new Target(id, destination, kind, zone, weight, phase));
         }
-        lists.put(number, targets);
+        targetLists.put(listNumber, targets);
     }
 
-    private Event event(FrameReader in, int code, Instance instance, String name) {
+    private Event readEvent(FrameReader in, int code, Instance instance, String recordName) {
         return switch (code) {
-            case 11 -> members(in);
-            case 4 -> arrived(in);
-            case 12 -> ended(in, instance.parsed);
+            case 11 -> readListEvent(in);
+            case 4 -> readArrived(in);
+            case 12 -> readEnded(in, instance.parsed);
             case 6 -> {
                 int message = in.id();
                 int attempt = in.u16();
@@ -169,7 +170,7 @@
                 int target = in.id();
                 int status = in.u16();
                 double elapsed = in.f64();
-                report(in, instance.parsed);
+                readReport(in, instance.parsed);
                 yield new Probed(target, status == 10, status == 30, elapsed);
             }
             case 3 -> new Woken(in.u64());
@@ -178,37 +179,37 @@
                 int from = in.u16();
                 yield new Noted(from, in.bytes(in.u16()));
             }
-            default -> throw new WireException(name + ": unknown code");
+            default -> throw new WireException(recordName + ": unknown code");
         };
     }
 
-    private Event members(FrameReader in) {
-        int number = in.u16();
+    private Event readListEvent(FrameReader in) {
+        int listNumber = in.u16();
         in.u32();
-        int how = in.u8();
-        if (how == 3) {
+        int status = in.u8();
+        if (status == 3) {
             return new ListFailed();
         }
-        List<Target> targets = lists.get(number);
+        List<Target> targets = targetLists.get(listNumber);
         if (targets == null) {
-            throw new WireException("byte " + in.at() + ": list " + number + " has not come");
+            throw new WireException("byte " + in.position() + ": list " + listNumber + " has not come");
         }
-        return new TargetList(how != 0, targets);
+        return new TargetList(status != 0, targets);
     }
 
-    private static Event arrived(FrameReader in) {
+    private static Event readArrived(FrameReader in) {
         int id = in.id();
         int messageClass = in.u16();
         int tenant = (int) in.u32();
         long key = in.u64();
-        double left = in.f64();
+        double remainingSeconds = in.f64();
         in.f64();
         int destination = Math.round(in.f32());
         in.u8();
-        return new Arrived(new Message(id, messageClass, tenant, destination, key, left));
+        return new Arrived(new Message(id, messageClass, tenant, destination, key, remainingSeconds));
     }
 
-    private static Event ended(FrameReader in, SettingsParser.Parsed parsed) {
+    private static Event readEnded(FrameReader in, SettingsParser.Parsed parsed) {
         int message = in.id();
         int attempt = in.u16();
         int target = in.id();
@@ -226,23 +227,23 @@
                     case 60 -> Outcome.RESET;
                     case 70 -> Outcome.CANCELLED;
                     case 80 -> Outcome.NOT_SENT;
-                    default -> throw new WireException("byte " + in.at() + ": outcome " + status + " is unknown");
+                    default -> throw new WireException("byte " + in.position() + ": outcome " + status + " is unknown");
                 };
-        double wait = outcome == Outcome.FULL ? note / 1000.0 : 0;
-        return new Ended(message, attempt, target, outcome, elapsed, over, wait, report(in, parsed));
+        double retryAfterSeconds = outcome == Outcome.FULL ? note / 1000.0 : 0;
+        return new Ended(message, attempt, target, outcome, elapsed, over, retryAfterSeconds, readReport(in, parsed));
     }
 
-    private static Report report(FrameReader in, SettingsParser.Parsed parsed) {
-        int n = in.u8();
-        double[] values = new double[n];
-        for (int i = 0; i < n; i++) {
+    private static Report readReport(FrameReader in, SettingsParser.Parsed parsed) {
+        int count = in.u8();
+        double[] values = new double[count];
+        for (int i = 0; i < count; i++) {
             values[i] = in.f32();
         }
-        int limit = parsed.limitField();
-        int left = parsed.leftField();
-        if (limit < 0 || limit >= n) {
+        int limitField = parsed.limitField();
+        int leftField = parsed.leftField();
+        if (limitField < 0 || limitField >= count) {
             return null;
         }
-        return new Report(values[limit], left >= 0 && left < n ? values[left] : 0);
+        return new Report(values[limitField], leftField >= 0 && leftField < count ? values[leftField] : 0);
     }
 }
--- a/src/main/java/juniperusher/sim/SettingsParser.java
+++ b/src/main/java/juniperusher/sim/SettingsParser.java
@@ -19,9 +19,11 @@
 
     private SettingsParser(String text) {
         for (String line : text.split("\n")) {
-            int at = line.indexOf('=');
-            if (at > 0) {
-                values.put(line.substring(0, at).strip(), line.substring(at + 1).strip());
+            int equalsSign = line.indexOf('=');
+            if (equalsSign > 0) {
+                values.put(
+                        line.substring(0, equalsSign).strip(),
+                        line.substring(equalsSign + 1).strip());
             } else if (!line.isBlank()) {
                 throw new WireException("settings: no '=' in line '" + line + "'");
             }
@@ -32,11 +34,11 @@
     public record Parsed(Settings settings, int leftField, int limitField) {}
 
     public static Parsed parse(String text) {
-        SettingsParser p = new SettingsParser(text);
+        SettingsParser parser = new SettingsParser(text);
         try {
             List<String> fields =
-                    List.of(p.values.getOrDefault("loadReport.fields", "").split(","));
-            return new Parsed(p.settings(), fields.indexOf("x0"), fields.indexOf("x1"));
+                    List.of(parser.values.getOrDefault("loadReport.fields", "").split(","));
+            return new Parsed(parser.settings(), fields.indexOf("x0"), fields.indexOf("x1"));
         } catch (IllegalArgumentException e) {
             throw new WireException("settings: " + e.getMessage());
         }
@@ -44,33 +46,33 @@
 
     private Settings settings() {
         Rules rules = new Rules(
-                number("obligations.drainGraceS"),
-                number("obligations.coldFrom"),
-                number("obligations.warmWithinS"),
-                number("obligations.tipMultiple"),
-                number("obligations.tipAfterS"),
-                number("obligations.keyQuietS", 0),
-                number("obligations.askWithinS", 0));
+                doubleSetting("obligations.drainGraceS"),
+                doubleSetting("obligations.coldFrom"),
+                doubleSetting("obligations.warmWithinS"),
+                doubleSetting("obligations.tipMultiple"),
+                doubleSetting("obligations.tipAfterS"),
+                doubleSetting("obligations.keyQuietS", 0),
+                doubleSetting("obligations.askWithinS", 0));
         Allowed allowed = new Allowed(
-                whole("allowed.maxAttempts"),
-                whole("allowed.mostHeld"),
-                whole("familyInfo.maxCalls"),
-                flag("allowed.mayCancel"),
-                flag("allowed.parallelTries"),
-                flag("allowed.probes"),
-                flag("allowed.peerMessages"),
-                flag("allowed.retryAfter"),
-                number("allowed.maxRetryAfterS", 0),
-                number("allowed.dialTimeoutS"),
-                number("allowed.keepaliveS", 0));
+                intSetting("allowed.maxAttempts"),
+                intSetting("allowed.mostHeld"),
+                intSetting("familyInfo.maxCalls"),
+                booleanSetting("allowed.mayCancel"),
+                booleanSetting("allowed.parallelTries"),
+                booleanSetting("allowed.probes"),
+                booleanSetting("allowed.peerMessages"),
+                booleanSetting("allowed.retryAfter"),
+                doubleSetting("allowed.maxRetryAfterS", 0),
+                doubleSetting("allowed.dialTimeoutS"),
+                doubleSetting("allowed.keepaliveS", 0));
         return new Settings(
-                whole("peersTotal"),
-                (int) number("locality", 0),
-                required("membershipMode").equals("ask"),
+                intSetting("peersTotal"),
+                (int) doubleSetting("locality", 0),
+                requiredSetting("membershipMode").equals("ask"),
                 weight(),
-                number("overShareWorth", 1),
+                doubleSetting("overShareWorth", 1),
                 values.getOrDefault("familyInfo.late", "").equals("halving"),
-                number("fees.crossZone", 0),
+                doubleSetting("fees.crossZone", 0),
                 routeFees(),
                 rules,
                 allowed,
@@ -80,67 +82,68 @@
     }
 
     private List<MessageClass> classes() {
-        List<MessageClass> out = new ArrayList<>();
-        for (int i = 0; i < whole("requestClasses.count"); i++) {
-            String c = "requestClasses." + i + ".";
+        List<MessageClass> classes = new ArrayList<>();
+        for (int i = 0; i < intSetting("requestClasses.count"); i++) {
+            String prefix = "requestClasses." + i + ".";
             Effect effect =
-                    switch (required(c + "effect")) {
+                    switch (requiredSetting(prefix + "effect")) {
                         case "idempotent" -> Effect.SAFE;
                         case "deduplicated" -> Effect.KEYED;
                         case "at_most_once" -> Effect.UNSAFE;
-                        default -> throw unreadable(c + "effect");
+                        default -> throw unreadableSetting(prefix + "effect");
                     };
-            out.add(new MessageClass(
-                    values.getOrDefault(c + "name", ""),
+            classes.add(new MessageClass(
+                    values.getOrDefault(prefix + "name", ""),
                     effect,
-                    "zone".equals(values.get(c + "group")),
-                    number(c + "keyTtlS", 0),
-                    flag(c + "sequential", false),
-                    number(c + "objectiveS"),
-                    number(c + "deadlineS"),
-                    number(c + "worth"),
-                    number(c + "lateValue", 0)));
+                    "zone".equals(values.get(prefix + "group")),
+                    doubleSetting(prefix + "keyTtlS", 0),
+                    booleanSetting(prefix + "sequential", false),
+                    doubleSetting(prefix + "objectiveS"),
+                    doubleSetting(prefix + "deadlineS"),
+                    doubleSetting(prefix + "worth"),
+                    doubleSetting(prefix + "lateValue", 0)));
         }
-        return out;
+        return classes;
     }
 
     private List<Kind> kinds() {
         String[] batches = values.getOrDefault("familyInfo.batchByKind", "").split(",");
-        String[] aparts = values.getOrDefault("familyInfo.kindApart", "").split(",");
-        List<Kind> out = new ArrayList<>();
-        for (int i = 0; i < Math.max(batches.length, aparts.length); i++) {
+        String[] apartFlags = values.getOrDefault("familyInfo.kindApart", "").split(",");
+        List<Kind> kinds = new ArrayList<>();
+        for (int i = 0; i < Math.max(batches.length, apartFlags.length); i++) {
             String batch = i < batches.length && !batches[i].isEmpty() ? batches[i] : "1";
             try {
-                out.add(new Kind((int) Double.parseDouble(batch), i < aparts.length && aparts[i].equals("true")));
+                kinds.add(new Kind(
+                        (int) Double.parseDouble(batch), i < apartFlags.length && apartFlags[i].equals("true")));
             } catch (NumberFormatException e) {
-                throw unreadable("familyInfo.batchByKind");
+                throw unreadableSetting("familyInfo.batchByKind");
             }
         }
-        return out;
+        return kinds;
     }
 
     private List<Double> routeFees() {
-        List<Double> out = new ArrayList<>();
+        List<Double> fees = new ArrayList<>();
         for (String fee : values.getOrDefault("familyInfo.feeByZone", "").split(",")) {
             try {
-                out.add(fee.isEmpty() ? 0 : Double.parseDouble(fee));
+                fees.add(fee.isEmpty() ? 0 : Double.parseDouble(fee));
             } catch (NumberFormatException e) {
-                throw unreadable("familyInfo.feeByZone");
+                throw unreadableSetting("familyInfo.feeByZone");
             }
         }
-        return out;
+        return fees;
     }
 
     private List<Tenant> tenants() {
-        List<Tenant> out = new ArrayList<>();
-        for (int i = 0; i < number("tenants.count", 0); i++) {
-            String tenant = "tenants." + i + ".";
-            out.add(new Tenant(values.getOrDefault(tenant + "name", ""), number(tenant + "quotaPerS", 0)));
+        List<Tenant> tenants = new ArrayList<>();
+        for (int i = 0; i < doubleSetting("tenants.count", 0); i++) {
+            String prefix = "tenants." + i + ".";
+            tenants.add(new Tenant(values.getOrDefault(prefix + "name", ""), doubleSetting(prefix + "quotaPerS", 0)));
         }
-        if (!out.isEmpty()) {
-            out.add(new Tenant("", 0)); // whoever is not named has no share: all that it sends is beyond it
+        if (!tenants.isEmpty()) {
+            tenants.add(new Tenant("", 0)); // whoever is not named has no share: all that it sends is beyond it
         }
-        return out;
+        return tenants;
     }
 
     private Weight weight() {
@@ -151,7 +154,7 @@
         };
     }
 
-    private String required(String key) {
+    private String requiredSetting(String key) {
         String value = values.get(key);
         if (value == null) {
             throw new WireException("settings: " + key + " is missing");
@@ -159,35 +162,35 @@
         return value;
     }
 
-    private double number(String key) {
+    private double doubleSetting(String key) {
         try {
-            return Double.parseDouble(required(key));
+            return Double.parseDouble(requiredSetting(key));
         } catch (NumberFormatException e) {
-            throw unreadable(key);
+            throw unreadableSetting(key);
         }
     }
 
-    private double number(String key, double absent) {
-        return values.containsKey(key) ? number(key) : absent;
+    private double doubleSetting(String key, double defaultValue) {
+        return values.containsKey(key) ? doubleSetting(key) : defaultValue;
     }
 
-    private int whole(String key) {
-        return (int) number(key);
+    private int intSetting(String key) {
+        return (int) doubleSetting(key);
     }
 
-    private boolean flag(String key) {
-        return switch (required(key)) {
+    private boolean booleanSetting(String key) {
+        return switch (requiredSetting(key)) {
             case "true" -> true;
             case "false" -> false;
-            default -> throw unreadable(key);
+            default -> throw unreadableSetting(key);
         };
     }
 
-    private boolean flag(String key, boolean absent) {
-        return values.containsKey(key) ? flag(key) : absent;
+    private boolean booleanSetting(String key, boolean defaultValue) {
+        return values.containsKey(key) ? booleanSetting(key) : defaultValue;
     }
 
-    private WireException unreadable(String key) {
+    private WireException unreadableSetting(String key) {
         return new WireException("settings: " + key + " is unreadable: '" + values.get(key) + "'");
     }
 }
--- a/src/main/java/juniperusher/sim/SimHost.java
+++ b/src/main/java/juniperusher/sim/SimHost.java
@@ -12,7 +12,7 @@
     /** Answers batches until the input ends; 0, or 1 after a line about input that cannot be read. */
     public static int run(InputStream in, OutputStream out) throws IOException {
         try {
-            new Host().serve(new BufferedInputStream(in, 1 << 16), out);
+            new BatchServer().serve(new BufferedInputStream(in, 1 << 16), out);
             return 0;
         } catch (WireException e) {
             System.err.println("simhost: " + e.getMessage());
--- a/src/test/java/juniperusher/amqp/BrokerStandIn.java
+++ b/src/test/java/juniperusher/amqp/FakeBroker.java
@@ -19,16 +19,16 @@
  * A broker made from the public specification of AMQP 0-9-1 and its confirms. It counts how often each
  * message id takes effect, and spoils confirms in the shares that a test names, from a fixed seed.
  */
-final class BrokerStandIn implements AutoCloseable {
+final class FakeBroker implements AutoCloseable {
     final Map<String, AtomicInteger> applied = new ConcurrentHashMap<>();
-    final Map<String, AtomicInteger> spoiled = new ConcurrentHashMap<>();
+    final Map<String, AtomicInteger> injectedFaults = new ConcurrentHashMap<>();
     private final ServerSocket server;
     private final Random random;
-    private final double share;
+    private final double faultShare;
     private volatile long blockedUntil;
 
     /** What happens to a publish. */
-    private enum Fate {
+    private enum PublishOutcome {
         ACK,
         SILENT,
         CHANNEL_CLOSED,
@@ -40,11 +40,11 @@
     }
 
     /** Spoils this share of the publishes. */
-    BrokerStandIn(long seed, double share) throws IOException {
+    FakeBroker(long seed, double faultShare) throws IOException {
         random = new Random(seed);
-        this.share = share;
+        this.faultShare = faultShare;
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        daemon(this::accept);
+        startDaemon(this::accept);
     }
 
     InetSocketAddress address() {
@@ -56,7 +56,7 @@
         blockedUntil = System.currentTimeMillis() + millis;
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
@@ -67,39 +67,43 @@
             while (true) {
                 Socket socket = server.accept();
                 socket.setTcpNoDelay(true);
-                daemon(() -> serve(socket));
+                startDaemon(() -> serve(socket));
             }
         } catch (IOException e) {
             // closed: the test is over
         }
     }
 
-    private synchronized Fate fate() {
-        if (random.nextDouble() >= share) {
-            return Fate.ACK;
+    private synchronized PublishOutcome nextOutcome() {
+        if (random.nextDouble() >= faultShare) {
+            return PublishOutcome.ACK;
         }
-        Fate fate = Fate.values()[1 + random.nextInt(Fate.values().length - 1)];
+        PublishOutcome outcome = PublishOutcome.values()[1 + random.nextInt(PublishOutcome.values().length - 1)];
         // A cut takes the confirms of all that is out on the connection with it, and silence holds a slot
         // to the time-out, so both are met more seldom than a confirm lost with its channel.
-        if ((fate == Fate.CONNECTION_CUT || fate == Fate.CUT_BEFORE || fate == Fate.SILENT)
+        if ((outcome == PublishOutcome.CONNECTION_CUT
+                        || outcome == PublishOutcome.CUT_BEFORE
+                        || outcome == PublishOutcome.SILENT)
                 && random.nextDouble() < 0.9) {
-            fate = Fate.CHANNEL_CLOSED;
+            outcome = PublishOutcome.CHANNEL_CLOSED;
         }
-        spoiled.computeIfAbsent(fate.name(), key -> new AtomicInteger()).incrementAndGet();
-        return fate;
+        injectedFaults
+                .computeIfAbsent(outcome.name(), key -> new AtomicInteger())
+                .incrementAndGet();
+        return outcome;
     }
 
-    private static final class Side {
-        final Map<Integer, Long> tags = new HashMap<>();
-        final Map<Integer, byte[]> methods = new HashMap<>();
-        boolean toldBlocked;
+    private static final class ConnectionState {
+        final Map<Integer, Long> lastTags = new HashMap<>();
+        final Map<Integer, byte[]> publishMethods = new HashMap<>();
+        boolean announcedBlocked;
     }
 
     private void serve(Socket socket) {
         try (socket) {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             OutputStream out = socket.getOutputStream();
-            in.readNBytes(Frame.PROTOCOL.length);
+            in.readNBytes(Frame.PROTOCOL_HEADER.length);
             write(
                     out,
                     new Method.Writer(Method.START)
@@ -108,15 +112,15 @@
                             .u32(0)
                             .longText("PLAIN")
                             .longText("en_US")
-                            .frame(0));
-            Side side = new Side();
-            daemon(() -> tellBlocked(socket, out, side));
+                            .methodFrame(0));
+            ConnectionState state = new ConnectionState();
+            startDaemon(() -> announceBlocked(socket, out, state));
             while (true) {
                 Frame frame = read(in);
-                if (frame.type() == Frame.METHOD && !onMethod(frame, side, out)) {
+                if (frame.type() == Frame.METHOD && !onMethod(frame, state, out)) {
                     return;
                 }
-                if (frame.type() == Frame.HEADER && !publish(frame, side, out)) {
+                if (frame.type() == Frame.HEADER && !answerPublish(frame, state, out)) {
                     return;
                 }
             }
@@ -127,19 +131,19 @@
         }
     }
 
-    private void tellBlocked(Socket socket, OutputStream out, Side side) {
+    private void announceBlocked(Socket socket, OutputStream out, ConnectionState state) {
         try {
             while (!socket.isClosed()) {
                 boolean blocked = System.currentTimeMillis() < blockedUntil;
-                if (blocked != side.toldBlocked) {
-                    side.toldBlocked = blocked;
+                if (blocked != state.announcedBlocked) {
+                    state.announcedBlocked = blocked;
                     write(
                             out,
                             blocked
                                     ? new Method.Writer(Method.BLOCKED)
                                             .shortText("low on memory")
-                                            .frame(0)
-                                    : new Method.Writer(Method.UNBLOCKED).frame(0));
+                                            .methodFrame(0)
+                                    : new Method.Writer(Method.UNBLOCKED).methodFrame(0));
                 }
                 Thread.sleep(5);
             }
@@ -159,58 +163,60 @@
         int channel = in.readUnsignedShort();
         byte[] payload = new byte[in.readInt()];
         in.readFully(payload);
-        if (in.readUnsignedByte() != Frame.END) {
+        if (in.readUnsignedByte() != Frame.END_OCTET) {
             throw new IOException("no frame end");
         }
         return new Frame(type, channel, payload);
     }
 
-    private boolean onMethod(Frame frame, Side side, OutputStream out) throws IOException {
+    private boolean onMethod(Frame frame, ConnectionState state, OutputStream out) throws IOException {
         int number = ByteBuffer.wrap(frame.payload()).getInt();
         int channel = frame.channel();
         if (number == Method.START_OK) {
             write(
                     out,
-                    new Method.Writer(Method.TUNE).u16(2047).u32(131072).u16(60).frame(0));
+                    new Method.Writer(Method.TUNE).u16(2047).u32(131072).u16(60).methodFrame(0));
         } else if (number == Method.OPEN) {
-            write(out, new Method.Writer(Method.OPEN_OK).shortText("").frame(0));
+            write(out, new Method.Writer(Method.OPEN_OK).shortText("").methodFrame(0));
         } else if (number == Method.CHANNEL_OPEN) {
-            side.tags.put(channel, 0L);
-            write(out, new Method.Writer(Method.CHANNEL_OPEN_OK).longText("").frame(channel));
+            state.lastTags.put(channel, 0L);
+            write(out, new Method.Writer(Method.CHANNEL_OPEN_OK).longText("").methodFrame(channel));
         } else if (number == Method.CONFIRM_SELECT) {
-            write(out, new Method.Writer(Method.CONFIRM_SELECT_OK).frame(channel));
+            write(out, new Method.Writer(Method.CONFIRM_SELECT_OK).methodFrame(channel));
         } else if (number == Method.CHANNEL_CLOSE) {
-            side.tags.remove(channel);
-            write(out, new Method.Writer(Method.CHANNEL_CLOSE_OK).frame(channel));
+            state.lastTags.remove(channel);
+            write(out, new Method.Writer(Method.CHANNEL_CLOSE_OK).methodFrame(channel));
         } else if (number == Method.CLOSE) {
-            write(out, new Method.Writer(Method.CLOSE_OK).frame(0));
+            write(out, new Method.Writer(Method.CLOSE_OK).methodFrame(0));
             return false;
         } else if (number == Method.PUBLISH) {
-            side.methods.put(channel, frame.payload());
+            state.publishMethods.put(channel, frame.payload());
         }
         return true;
     }
 
     /** Settles a publish at its content header; false if the connection is to be cut. */
-    private boolean publish(Frame header, Side side, OutputStream out) throws IOException {
+    private boolean answerPublish(Frame header, ConnectionState state, OutputStream out) throws IOException {
         int channel = header.channel();
         Method fields = new Method(header);
         fields.u64();
-        String id = Content.properties(fields).messageId();
-        if (!side.tags.containsKey(channel)) {
+        String id = Content.readProperties(fields).messageId();
+        if (!state.lastTags.containsKey(channel)) {
             return true;
         }
-        long tag = side.tags.merge(channel, 1L, Long::sum);
-        Fate fate = fate();
-        if (fate != Fate.CUT_BEFORE && fate != Fate.NACK && fate != Fate.RETURNED) {
+        long tag = state.lastTags.merge(channel, 1L, Long::sum);
+        PublishOutcome outcome = nextOutcome();
+        if (outcome != PublishOutcome.CUT_BEFORE
+                && outcome != PublishOutcome.NACK
+                && outcome != PublishOutcome.RETURNED) {
             applied.computeIfAbsent(id, key -> new AtomicInteger()).incrementAndGet();
         }
-        switch (fate) {
-            case ACK -> write(out, new Method.Writer(Method.ACK).u64(tag).u8(0).frame(channel));
+        switch (outcome) {
+            case ACK -> write(out, new Method.Writer(Method.ACK).u64(tag).u8(0).methodFrame(channel));
             case NACK, NACK_APPLIED ->
-                write(out, new Method.Writer(Method.NACK).u64(tag).u8(0).frame(channel));
+                write(out, new Method.Writer(Method.NACK).u64(tag).u8(0).methodFrame(channel));
             case CHANNEL_CLOSED -> {
-                side.tags.remove(channel);
+                state.lastTags.remove(channel);
                 write(
                         out,
                         new Method.Writer(Method.CHANNEL_CLOSE)
@@ -218,13 +224,13 @@
                                 .shortText("lost")
                                 .u16(0)
                                 .u16(0)
-                                .frame(channel));
+                                .methodFrame(channel));
             }
             case RETURNED -> {
                 write(
                         out,
                         new Content("", "", "", "", id, "", new byte[0])
-                                .frames(
+                                .toFrames(
                                         new Method.Writer(Method.RETURN)
                                                 .u16(312)
                                                 .shortText("NO_ROUTE")
@@ -232,11 +238,11 @@
                                                 .shortText("builds"),
                                         channel,
                                         4096));
-                write(out, new Method.Writer(Method.ACK).u64(tag).u8(0).frame(channel));
+                write(out, new Method.Writer(Method.ACK).u64(tag).u8(0).methodFrame(channel));
             }
             default -> {}
         }
-        return fate != Fate.CONNECTION_CUT && fate != Fate.CUT_BEFORE;
+        return outcome != PublishOutcome.CONNECTION_CUT && outcome != PublishOutcome.CUT_BEFORE;
     }
 
     @Override
--- a/src/test/java/juniperusher/amqp/ReplyQueueTest.java
+++ b/src/test/java/juniperusher/amqp/ReplyQueueTest.java
@@ -12,17 +12,17 @@
     private static final Content END = new Content("", "", "", "", "", "", new byte[0]);
 
     @Test
-    public void anEndThatNobodyFetchesIsDroppedInTheEnd() throws Exception {
+    public void unfetchedEndIsDroppedAfterRetention() throws Exception {
         List<String> dropped = new ArrayList<>();
         ReplyQueue queue = new ReplyQueue();
-        queue.keep(30);
+        queue.setRetention(30);
         long now = SteadyClock.millis();
         queue.add(new ReplyQueue.Delivery("q", END, false, now, () -> dropped.add("one")));
         assertEquals(dropped, List.of());
-        assertEquals(queue.waiting(), 1);
+        assertEquals(queue.pendingCount(), 1);
         Thread.sleep(60);
         queue.add(new ReplyQueue.Delivery("q", END, false, SteadyClock.millis(), () -> dropped.add("two")));
         assertEquals(dropped, List.of("one"), "the older one, once");
-        assertEquals(queue.waiting(), 1);
+        assertEquals(queue.pendingCount(), 1);
     }
 }
--- a/src/test/java/juniperusher/amqp/TenThousandOrdersTest.java
+++ b/src/test/java/juniperusher/amqp/TenThousandOrdersTest.java
@@ -28,61 +28,62 @@
  */
 public class TenThousandOrdersTest {
     private static final int ORDERS = 10_000;
-    private static final int OPEN = 500;
+    private static final int MAX_IN_FLIGHT = 500;
     // The module rests a destination for about a second after a failure, so many share the orders.
     private static final int DESTINATIONS = 50;
-    private static final int FIRST = 1001;
+    private static final int FIRST_DESTINATION = 1001;
     private static final long SEED = 20_261_201L;
 
-    private final Map<String, List<ClientStandIn.End>> ends = new ConcurrentHashMap<>();
+    private final Map<String, List<TestClient.End>> ends = new ConcurrentHashMap<>();
 
     @Test
     public void noOrderIsAppliedTwiceAndEachHasOneEnd() throws Exception {
         Path folder = Files.createTempDirectory("orders");
-        InetSocketAddress listen = unused();
-        try (BrokerStandIn broker = new BrokerStandIn(SEED, 0.08)) {
-            configure(folder, listen, broker.address());
-            Process program = start(folder);
+        InetSocketAddress listen = unusedAddress();
+        try (FakeBroker broker = new FakeBroker(SEED, 0.08)) {
+            writeConfig(folder, listen, broker.address());
+            Process program = startRelay(folder);
             try {
-                ClientStandIn client = connect(listen, program);
+                TestClient client = connect(listen, program);
                 long deadline = System.currentTimeMillis() + 180_000;
-                Deque<String> toSend = new ArrayDeque<>();
+                Deque<String> pending = new ArrayDeque<>();
                 for (int i = 0; i < ORDERS; i++) {
-                    toSend.add("o-" + i);
+                    pending.add("o-" + i);
                 }
-                ConcurrentHashMap<String, Boolean> out = new ConcurrentHashMap<>();
+                ConcurrentHashMap<String, Boolean> inFlight = new ConcurrentHashMap<>();
                 boolean killed = false;
-                int blocks = 0;
+                int blockCount = 0;
                 while (ends.size() < ORDERS) {
                     assertTrue(
                             System.currentTimeMillis() < deadline,
-                            "only " + ends.size() + " of " + ORDERS + " orders have ended; spoiled " + broker.spoiled);
-                    out.keySet().removeIf(id -> ends.containsKey(id));
-                    for (String id : out.keySet()) {
-                        if (Boolean.FALSE.equals(client.confirmed.remove(id))) {
-                            out.remove(id); // refused before it was taken on: handed in again
-                            toSend.add(id);
+                            "only " + ends.size() + " of " + ORDERS + " orders have ended; spoiled "
+                                    + broker.injectedFaults);
+                    inFlight.keySet().removeIf(id -> ends.containsKey(id));
+                    for (String id : inFlight.keySet()) {
+                        if (Boolean.FALSE.equals(client.confirms.remove(id))) {
+                            inFlight.remove(id); // refused before it was taken on: handed in again
+                            pending.add(id);
                         }
                     }
-                    while (out.size() < OPEN && !toSend.isEmpty()) {
-                        String id = toSend.poll();
-                        out.put(id, true);
+                    while (inFlight.size() < MAX_IN_FLIGHT && !pending.isEmpty()) {
+                        String id = pending.poll();
+                        inFlight.put(id, true);
                         client.publish(id, destination(id));
                     }
-                    if (blocks < 4 && ends.size() > (blocks + 1) * ORDERS / 5) {
-                        blocks++;
+                    if (blockCount < 4 && ends.size() > (blockCount + 1) * ORDERS / 5) {
+                        blockCount++;
                         broker.block(400);
                     }
                     if (!killed && ends.size() > ORDERS / 2) {
                         killed = true;
                         program.destroyForcibly().waitFor();
                         client.close();
-                        program = start(folder);
-                        ClientStandIn old = client;
+                        program = startRelay(folder);
+                        TestClient previousClient = client;
                         client = connect(listen, program);
                         Thread.sleep(500);
-                        for (String id : out.keySet()) {
-                            if (!ends.containsKey(id) && !old.confirmed.containsKey(id)) {
+                        for (String id : inFlight.keySet()) {
+                            if (!ends.containsKey(id) && !previousClient.confirms.containsKey(id)) {
                                 client.publish(id, destination(id)); // its confirm was lost with the process
                             }
                         }
@@ -91,7 +92,7 @@
                 }
                 Thread.sleep(1_000); // an answer too many would come now
                 client.close();
-                check(broker, blocks);
+                checkOutcomes(broker, blockCount);
             } finally {
                 program.destroy();
                 assertTrue(program.waitFor(10, TimeUnit.SECONDS), "the program does not end on SIGTERM");
@@ -100,53 +101,54 @@
     }
 
     private static String destination(String id) {
-        return Integer.toString(FIRST + Integer.parseInt(id.substring(2)) % DESTINATIONS);
+        return Integer.toString(FIRST_DESTINATION + Integer.parseInt(id.substring(2)) % DESTINATIONS);
     }
 
-    private void check(BrokerStandIn broker, int blocks) {
-        assertEquals(blocks, 4, "blocked connections");
-        assertEquals(broker.spoiled.size(), 7, "each way to spoil a confirm was met: " + broker.spoiled);
+    private void checkOutcomes(FakeBroker broker, int blockCount) {
+        assertEquals(blockCount, 4, "blocked connections");
+        assertEquals(broker.injectedFaults.size(), 7, "each way to spoil a confirm was met: " + broker.injectedFaults);
         broker.applied.forEach((id, times) -> assertEquals(times.get(), 1, id + " took effect twice"));
         assertEquals(ends.size(), ORDERS);
         int delivered = 0;
-        for (Map.Entry<String, List<ClientStandIn.End>> entry : ends.entrySet()) {
+        for (Map.Entry<String, List<TestClient.End>> entry : ends.entrySet()) {
             String id = entry.getKey();
-            List<ClientStandIn.End> told = entry.getValue();
+            List<TestClient.End> received = entry.getValue();
             assertEquals(
-                    told.stream().map(ClientStandIn.End::outcome).distinct().count(), 1L, id + " " + told);
-            assertTrue(told.stream().filter(end -> !end.redelivered()).count() <= 1, id + " " + told);
-            String outcome = told.get(0).outcome();
+                    received.stream().map(TestClient.End::outcome).distinct().count(), 1L, id + " " + received);
+            assertTrue(received.stream().filter(end -> !end.redelivered()).count() <= 1, id + " " + received);
+            String outcome = received.get(0).outcome();
             assertTrue(!outcome.equals("delivered") || broker.applied.containsKey(id), id + " never ran");
             assertTrue(!outcome.equals("handed_back") || !broker.applied.containsKey(id), id + " has run");
             delivered += outcome.equals("delivered") ? 1 : 0;
         }
         assertTrue(delivered > ORDERS * 8 / 10, "only " + delivered + " delivered");
-        System.out.println("orders: " + delivered + " delivered of " + ORDERS + "; spoiled " + broker.spoiled);
+        System.out.println("orders: " + delivered + " delivered of " + ORDERS + "; spoiled " + broker.injectedFaults);
     }
 
-    private static InetSocketAddress unused() throws IOException {
+    private static InetSocketAddress unusedAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return new InetSocketAddress("127.0.0.1", socket.getLocalPort());
         }
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getHostString() + ':' + address.getPort();
     }
 
-    private static void configure(Path folder, InetSocketAddress listen, InetSocketAddress broker) throws IOException {
+    private static void writeConfig(Path folder, InetSocketAddress listen, InetSocketAddress broker)
+            throws IOException {
         JsonObject config = Json.parse(Files.readString(Path.of("src/main/resources/selftest.json")))
                 .asObject();
-        config.set("listen", text(unused())).set("discovery", text(unused()));
+        config.set("listen", hostAndPort(unusedAddress())).set("discovery", hostAndPort(unusedAddress()));
         Files.writeString(folder.resolve("relay.json"), config.toString());
         JsonObject amqp = Json.parse(Files.readString(Path.of("src/test/resources/amqp.json")))
                 .asObject();
-        amqp.set("listen", text(listen));
+        amqp.set("listen", hostAndPort(listen));
         JsonArray brokers = new JsonArray();
         for (int i = 0; i < DESTINATIONS; i++) {
             brokers.add(new JsonObject()
-                    .add("destination", FIRST + i)
-                    .add("address", text(broker))
+                    .add("destination", FIRST_DESTINATION + i)
+                    .add("address", hostAndPort(broker))
                     .add("routing_key", "builds-" + i)
                     .add("weight", 200));
         }
@@ -154,7 +156,7 @@
         Files.writeString(folder.resolve("amqp.json"), amqp.toString());
     }
 
-    private static Process start(Path folder) throws IOException {
+    private static Process startRelay(Path folder) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
@@ -171,11 +173,11 @@
         return builder.start();
     }
 
-    private ClientStandIn connect(InetSocketAddress listen, Process program) throws Exception {
+    private TestClient connect(InetSocketAddress listen, Process program) throws Exception {
         for (int i = 0; i < 200; i++) {
             assertTrue(program.isAlive(), "the program has ended");
             try (Socket probe = new Socket(listen.getAddress(), listen.getPort())) {
-                return new ClientStandIn(listen, ends);
+                return new TestClient(listen, ends);
             } catch (IOException e) {
                 Thread.sleep(50);
             }
--- a/src/test/java/juniperusher/amqp/ClientStandIn.java
+++ b/src/test/java/juniperusher/amqp/TestClient.java
@@ -13,54 +13,54 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** A client made from the public specification: publishes orders with confirms and consumes their ends. */
-final class ClientStandIn implements AutoCloseable {
+final class TestClient implements AutoCloseable {
     /** An end as it came. */
     record End(String outcome, boolean redelivered) {}
 
     final Map<String, List<End>> ends;
-    final Map<String, Boolean> confirmed = new ConcurrentHashMap<>();
-    private final Map<Long, String> published = new ConcurrentHashMap<>();
+    final Map<String, Boolean> confirms = new ConcurrentHashMap<>();
+    private final Map<Long, String> publishedIds = new ConcurrentHashMap<>();
     private final Socket socket;
     private final DataInputStream in;
     private final OutputStream out;
-    private long tag;
-    private boolean again;
-    private long delivery;
-    volatile boolean over;
+    private long lastTag;
+    private boolean redelivered;
+    private long deliveryTag;
+    volatile boolean disconnected;
 
-    ClientStandIn(InetSocketAddress address, Map<String, List<End>> ends) throws IOException {
+    TestClient(InetSocketAddress address, Map<String, List<End>> ends) throws IOException {
         this.ends = ends;
         socket = new Socket(address.getAddress(), address.getPort());
         socket.setTcpNoDelay(true);
         in = new DataInputStream(socket.getInputStream());
         out = socket.getOutputStream();
-        write(Frame.PROTOCOL);
-        BrokerStandIn.read(in);
+        write(Frame.PROTOCOL_HEADER);
+        FakeBroker.read(in);
         write(new Method.Writer(Method.START_OK)
                 .u32(0)
                 .shortText("PLAIN")
                 .longText("\0guest\0guest")
                 .shortText("en_US")
-                .frame(0));
-        BrokerStandIn.read(in);
-        write(new Method.Writer(Method.TUNE_OK).u16(0).u32(131072).u16(0).frame(0));
-        write(new Method.Writer(Method.OPEN).shortText("/").shortText("").u8(0).frame(0));
-        BrokerStandIn.read(in);
-        write(new Method.Writer(Method.CHANNEL_OPEN).shortText("").frame(1));
-        write(new Method.Writer(Method.CONFIRM_SELECT).u8(0).frame(1));
+                .methodFrame(0));
+        FakeBroker.read(in);
+        write(new Method.Writer(Method.TUNE_OK).u16(0).u32(131072).u16(0).methodFrame(0));
+        write(new Method.Writer(Method.OPEN).shortText("/").shortText("").u8(0).methodFrame(0));
+        FakeBroker.read(in);
+        write(new Method.Writer(Method.CHANNEL_OPEN).shortText("").methodFrame(1));
+        write(new Method.Writer(Method.CONFIRM_SELECT).u8(0).methodFrame(1));
         write(new Method.Writer(Method.QUEUE_DECLARE)
                 .u16(0)
                 .shortText("ends")
                 .u8(0)
                 .u32(0)
-                .frame(1));
+                .methodFrame(1));
         write(new Method.Writer(Method.CONSUME)
                 .u16(0)
                 .shortText("ends")
                 .shortText("c")
                 .u8(0)
                 .u32(0)
-                .frame(1));
+                .methodFrame(1));
         Thread reader = new Thread(this::readAll);
         reader.setDaemon(true);
         reader.start();
@@ -73,9 +73,9 @@
     }
 
     synchronized void publish(String id, String destination) throws IOException {
-        published.put(++tag, id);
+        publishedIds.put(++lastTag, id);
         write(new Content("", "c-" + id, "ends", "", id, "ordem-build", new byte[] {1, 2, 3})
-                .frames(
+                .toFrames(
                         new Method.Writer(Method.PUBLISH)
                                 .u16(0)
                                 .shortText("")
@@ -88,15 +88,15 @@
     private void readAll() {
         try {
             while (true) {
-                Frame frame = BrokerStandIn.read(in);
+                Frame frame = FakeBroker.read(in);
                 if (frame.type() == Frame.METHOD) {
                     Method method = new Method(frame);
                     if (method.number() == Method.ACK || method.number() == Method.NACK) {
-                        confirmed.put(published.get(method.u64()), method.number() == Method.ACK);
+                        confirms.put(publishedIds.get(method.u64()), method.number() == Method.ACK);
                     } else if (method.number() == Method.DELIVER) {
                         method.shortText();
-                        delivery = method.u64();
-                        again = method.u8() != 0;
+                        deliveryTag = method.u64();
+                        redelivered = method.u8() != 0;
                     } else if (method.number() == Method.CLOSE || method.number() == Method.CHANNEL_CLOSE) {
                         throw new IOException("closed: " + method.u16() + ' ' + method.shortText());
                     }
@@ -104,12 +104,12 @@
                     var json = Json.parse(new String(frame.payload(), StandardCharsets.UTF_8))
                             .asObject();
                     ends.computeIfAbsent(json.getString("message", ""), key -> new CopyOnWriteArrayList<>())
-                            .add(new End(json.getString("outcome", ""), again));
-                    write(new Method.Writer(Method.ACK).u64(delivery).u8(0).frame(1));
+                            .add(new End(json.getString("outcome", ""), redelivered));
+                    write(new Method.Writer(Method.ACK).u64(deliveryTag).u8(0).methodFrame(1));
                 }
             }
         } catch (IOException e) {
-            over = true;
+            disconnected = true;
         }
     }
 
--- a/src/test/java/juniperusher/sim/WireTest.java
+++ b/src/test/java/juniperusher/sim/WireTest.java
@@ -27,7 +27,7 @@
 
 /** Bytes laid out by hand from the wire's description. */
 class WireTest {
-    private static final String CLOCK = "4020d3126e978d50";
+    private static final String BATCH_TIME = "4020d3126e978d50";
     private static final String SETTINGS = """
             allowed.dialTimeoutS=1.5
             allowed.keepaliveS=10.0
@@ -66,25 +66,25 @@
     }
 
     private static String batch(int records, String body) {
-        return u32(16 + hex(body).length) + CLOCK + u32(records) + body;
+        return u32(16 + hex(body).length) + BATCH_TIME + u32(records) + body;
     }
 
-    private static String to(int instance) {
+    private static String selectInstance(int instance) {
         return "08 00000004 " + u32(instance);
     }
 
-    private static String provision(String settings) {
+    private static String startInstance(String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return "01" + u32(12 + text.length) + "00000000000000ff" + u32(text.length)
                 + HexFormat.of().formatHex(text);
     }
 
-    private static final String POOL = """
+    private static final String TARGET_LIST = """
             07 00000030 0000 00000002
             00 03124a07 3f800000 01 00 0000000000000000 0039
             00 2c9011f2 3fc00000 01 00 4018666666666666 0039""";
-    private static final String MEMBERS = "0b 00000007 0000 00000029 02";
-    private static final String JOB_IN = """
+    private static final String LIST_EVENT = "0b 00000007 0000 00000029 02";
+    private static final String ARRIVED = """
             04 00000027 5d3a91c4 0000 00000000 91f03b7c55d20a64 3fceb851eb851eb8 3f889374bc6a7efa
             42640000 01""";
     private static final String ENDED = """
@@ -92,32 +92,32 @@
 
     private static byte[] serve(String... frames) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Host().serve(new ByteArrayInputStream(hex(String.join("", frames))), out);
+        new BatchServer().serve(new ByteArrayInputStream(hex(String.join("", frames))), out);
         return out.toByteArray();
     }
 
-    private static String error(String... frames) {
+    private static String errorOf(String... frames) {
         return assertThrows(WireException.class, () -> serve(frames)).getMessage();
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
-        assertArrayEquals(hex("00000004"), serve("00000010" + CLOCK + "00000000"));
+    void emptyBatchGetsEmptyReply() throws IOException {
+        assertArrayEquals(hex("00000004"), serve("00000010" + BATCH_TIME + "00000000"));
     }
 
     @Test
-    void endOfInputBetweenFramesIsTheEnd() throws IOException {
+    void serveReturnsWhenInputEndsBetweenFrames() throws IOException {
         assertEquals(0, serve("").length);
     }
 
     @Test
-    void aMessageIsSentToATargetOfItsDestinationAndItsOutcomeTaken() throws IOException {
+    void messageIsSentOnceToTargetOfItsDestination() throws IOException {
         byte[] reply = serve(
-                batch(5, to(3) + provision(SETTINGS) + POOL + MEMBERS + JOB_IN),
-                batch(2, to(3) + ENDED),
+                batch(5, selectInstance(3) + startInstance(SETTINGS) + TARGET_LIST + LIST_EVENT + ARRIVED),
+                batch(2, selectInstance(3) + ENDED),
                 batch(
                         7,
-                        to(3) + "03 00000008 000000000000004d" + "05 00000004 0e6f2b19"
+                        selectInstance(3) + "03 00000008 000000000000004d" + "05 00000004 0e6f2b19"
                                 + "09 0000000f 2c9011f2 000a 3f56f0068db8bac7 00" + "02 00000008 0002 0004 68692037"
                                 + "06 00000012 5d3a91c4 0000 03124a07 3f82f1a9fbe76c8b" + "0a 00000000"));
         String text = HexFormat.of().formatHex(reply);
@@ -127,9 +127,9 @@
     }
 
     @Test
-    void actionsHaveTheirBytes() throws IOException {
+    void actionsAreEncodedAsSpecified() throws IOException {
         ReplyWriter reply = new ReplyWriter();
-        reply.actions(
+        reply.addActions(
                 3,
                 List.of(
                         new Send(0x5d3a91c4, 0x03124a07, Double.longBitsToDouble(0x3fb47ae147ae147bL)),
@@ -142,9 +142,9 @@
                         new Probe(0x2c9011f2),
                         new Fail(0x0e6f2b19),
                         new Note(-1, new byte[] {0x68, 0x69, 0x20, 0x37})));
-        reply.actions(5, List.of(new Log("two servers known")));
-        reply.actions(6, List.of());
-        reply.fault(3, "index out of range");
+        reply.addActions(5, List.of(new Log("two servers known")));
+        reply.addActions(6, List.of());
+        reply.addFault(3, "index out of range");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         reply.writeTo(out);
         String body = """
@@ -169,25 +169,30 @@
     }
 
     @Test
-    void badInputIsNamedPlainly() {
-        assertTrue(error("00000010" + CLOCK).contains("cut short"));
-        assertTrue(error("0000").contains("cut short"));
-        assertTrue(error(u32(4)).contains("no batch"));
-        assertTrue(error(batch(2, to(3) + JOB_IN)).contains("instance 3 was not started"));
-        assertTrue(error(batch(1, "08 00000009 00000003")).contains("frame ends"));
-        assertTrue(error(batch(1, "08 00000005 00000003 00")).contains("too many"));
-        assertTrue(error(batch(1, "07 00000006 0000 00000002")).contains("wanted"));
-        assertTrue(error(batch(2, to(3) + provision(SETTINGS.replace("allowed.mostHeld=271", ""))))
+    void malformedInputIsRejectedWithSpecificMessage() {
+        assertTrue(errorOf("00000010" + BATCH_TIME).contains("cut short"));
+        assertTrue(errorOf("0000").contains("cut short"));
+        assertTrue(errorOf(u32(4)).contains("no batch"));
+        assertTrue(errorOf(batch(2, selectInstance(3) + ARRIVED)).contains("instance 3 was not started"));
+        assertTrue(errorOf(batch(1, "08 00000009 00000003")).contains("frame ends"));
+        assertTrue(errorOf(batch(1, "08 00000005 00000003 00")).contains("too many"));
+        assertTrue(errorOf(batch(1, "07 00000006 0000 00000002")).contains("wanted"));
+        assertTrue(errorOf(batch(2, selectInstance(3) + startInstance(SETTINGS.replace("allowed.mostHeld=271", ""))))
                 .contains("allowed.mostHeld is missing"));
-        assertTrue(error(batch(2, to(3) + provision(SETTINGS.replace("271", "many"))))
+        assertTrue(errorOf(batch(2, selectInstance(3) + startInstance(SETTINGS.replace("271", "many"))))
                 .contains("unreadable"));
-        assertTrue(error(batch(3, to(3) + provision(SETTINGS) + "63 00000000")).contains("unknown code"));
+        assertTrue(errorOf(batch(3, selectInstance(3) + startInstance(SETTINGS) + "63 00000000"))
+                .contains("unknown code"));
     }
 
     @Test
-    void aCrashOfTheDecisionCodeIsReported() throws IOException {
-        ReplyWriter reply = new Host()
-                .answer(hex(batch(3, to(3) + provision(SETTINGS) + JOB_IN.replace("5d3a91c4 0000", "5d3a91c4 0009"))));
+    void exceptionInDecisionCodeIsReportedAsFault() throws IOException {
+        ReplyWriter reply = new BatchServer()
+                .handleBatch(hex(batch(
+                        3,
+                        selectInstance(3)
+                                + startInstance(SETTINGS)
+                                + ARRIVED.replace("5d3a91c4 0000", "5d3a91c4 0009"))));
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         reply.writeTo(out);
         String text = HexFormat.of().formatHex(out.toByteArray());
@@ -195,7 +200,7 @@
     }
 
     @Test
-    void settingsKeepTheirMeaning() {
+    void settingsAreParsed() {
         SettingsParser.Parsed parsed = SettingsParser.parse(SETTINGS);
         assertEquals(271, parsed.settings().allowed().held());
         assertEquals(10, parsed.settings().kinds().get(0).batch());
@@ -206,12 +211,12 @@
     }
 
     @Test
-    void feesOfRoutesAndIdleTimeOfConnectionsArePassedOn() {
+    void routeFeesAndKeepAliveAreParsed() {
         Settings settings = SettingsParser.parse(SETTINGS + "familyInfo.feeByZone=0.01,0.04\n")
                 .settings();
         assertEquals(List.of(0.01, 0.04), settings.routeFees());
         assertEquals(10.0, settings.allowed().keepAlive());
-        assertTrue(error(batch(2, to(3) + provision(SETTINGS + "familyInfo.feeByZone=dear\n")))
+        assertTrue(errorOf(batch(2, selectInstance(3) + startInstance(SETTINGS + "familyInfo.feeByZone=dear\n")))
                 .contains("familyInfo.feeByZone is unreadable"));
     }
 }
