--- a/src/main/java/juniperusher/sim/BatchServer.java
+++ b/src/main/java/juniperusher/sim/BatchServer.java
@@ -27,14 +27,33 @@
 import juniperusher.Protocol.Withdrawn;
 import juniperusher.Protocol.Woken;
 
-/** Hosts many instances of the decision module behind the simulator's wire; translates and nothing else. */
+/**
+ * Runs instances of the decision module for the simulator. A frame from the simulator is a batch: the current
+ * time and a list of records, most of them events of one instance. The reply holds the actions of each instance
+ * that the batch addressed. Not thread-safe.
+ */
 final class BatchServer {
+    /** Length of the frame, time and number of records. */
     private static final int HEADER_BYTES = 16;
 
+    // Record codes of a batch.
+    private static final int START_INSTANCE = 1;
+    private static final int NOTED = 2;
+    private static final int WOKEN = 3;
+    private static final int ARRIVED = 4;
+    private static final int WITHDRAWN = 5;
+    private static final int STREAMING = 6;
+    private static final int TARGET_LIST = 7;
+    private static final int SELECT_INSTANCE = 8;
+    private static final int PROBED = 9;
+    private static final int STOP_INSTANCE = 10;
+    private static final int LIST_EVENT = 11;
+    private static final int ENDED = 12;
+
     private final Map<Integer, Instance> instances = new LinkedHashMap<>();
     private final Map<Integer, List<Target>> targetLists = new LinkedHashMap<>();
 
-    /** One instance and the events of the batch in hand. */
+    /** An instance and its events in the current batch. */
     private static final class Instance {
         private final Control control;
         private final SettingsParser.Parsed parsed;
@@ -46,13 +65,18 @@
         }
     }
 
-    /** Answers batches until the input ends between two frames. */
+    /**
+     * Reads batches and writes a reply to each until the input ends between two frames.
+     *
+     * @throws WireException if the input is malformed
+     */
     void serve(InputStream in, OutputStream out) throws IOException {
         for (byte[] frame = readFrame(in); frame != null; frame = readFrame(in)) {
             handleBatch(frame).writeTo(out);
         }
     }
 
+    /** Returns the next frame with its length field, or null at the end of the input. */
     private static byte[] readFrame(InputStream in) throws IOException {
         byte[] size = in.readNBytes(4);
         if (size.length == 0) {
@@ -75,27 +99,28 @@
         return frame;
     }
 
+    /** Reads the records of a batch, then runs the instances that they address. */
     ReplyWriter handleBatch(byte[] frame) {
         FrameReader in = new FrameReader(frame);
-        in.u32();
-        double now = in.f64();
-        long records = in.u32();
+        in.u32(); // length of the frame
+        double nowSeconds = in.f64();
+        long recordCount = in.u32();
         Set<Integer> instancesToRun = new LinkedHashSet<>();
         int currentInstance = -1;
-        for (long i = 0; i < records; i++) {
+        for (long i = 0; i < recordCount; i++) {
             int recordStart = in.position();
             int code = in.u8();
             String recordName = "record " + i + " (code " + code + ", byte " + recordStart + ")";
             in.beginRecord(in.u32(), recordName);
-            if (code == 8) {
+            if (code == SELECT_INSTANCE) {
                 currentInstance = in.id();
-            } else if (code == 7) {
+            } else if (code == TARGET_LIST) {
                 readTargetList(in);
-            } else if (code == 1) {
+            } else if (code == START_INSTANCE) {
                 long seed = in.u64();
                 instances.put(currentInstance, new Instance(SettingsParser.parse(in.text(in.u32())), seed));
                 instancesToRun.add(currentInstance);
-            } else if (code == 10) {
+            } else if (code == STOP_INSTANCE) {
                 instances.remove(currentInstance);
                 instancesToRun.remove(currentInstance);
             } else {
@@ -111,15 +136,16 @@
         if (!in.atEnd()) {
             throw new WireException("frame has bytes after its last record, at byte " + in.position());
         }
-        return decide(now, instancesToRun);
+        return decide(nowSeconds, instancesToRun);
     }
 
-    private ReplyWriter decide(double now, Set<Integer> instancesToRun) {
+    /** Passes each instance its events. An exception of the decision module is reported as a fault of the instance. */
+    private ReplyWriter decide(double nowSeconds, Set<Integer> instancesToRun) {
         ReplyWriter reply = new ReplyWriter();
         for (int id : instancesToRun) {
             Instance instance = instances.get(id);
             try {
-                reply.addActions(id, instance.control.decide(now, instance.pendingEvents));
+                reply.addActions(id, instance.control.decide(nowSeconds, instance.pendingEvents));
             } catch (RuntimeException | StackOverflowError e) {
                 StackTraceElement[] trace = e.getStackTrace();
                 reply.addFault(id, e + (trace.length > 0 ? " at " + trace[0] : ""));
@@ -129,6 +155,7 @@
         return reply;
     }
 
+    /** Reads a list of targets, to which later list events refer by its number. */
     private void readTargetList(FrameReader in) {
         int listNumber = in.u16();
         long count = in.u32();
@@ -139,7 +166,7 @@
             double weight = in.f32();
             int phaseCode = in.u8();
             int zone = in.u8();
-            in.f64();
+            in.f64(); // not used
             int destination = in.u16();
             Phase phase =
                     switch (phaseCode) {
@@ -156,26 +183,26 @@
 
     private Event readEvent(FrameReader in, int code, Instance instance, String recordName) {
         return switch (code) {
-            case 11 -> readListEvent(in);
-            case 4 -> readArrived(in);
-            case 12 -> readEnded(in, instance.parsed);
-            case 6 -> {
+            case LIST_EVENT -> readListEvent(in);
+            case ARRIVED -> readArrived(in);
+            case ENDED -> readEnded(in, instance.parsed);
+            case STREAMING -> {
                 int message = in.id();
                 int attempt = in.u16();
-                in.id();
-                in.f64();
+                in.id(); // target, not used
+                in.f64(); // not used
                 yield new Streaming(message, attempt);
             }
-            case 9 -> {
+            case PROBED -> {
                 int target = in.id();
                 int status = in.u16();
                 double elapsed = in.f64();
-                readReport(in, instance.parsed);
-                yield new Probed(target, status == 10, status == 30, elapsed);
+                readReport(in, instance.parsed); // not used
+                yield new Probed(target, status == 10, status == 30, elapsed); // status as in readEnded
             }
-            case 3 -> new Woken(in.u64());
-            case 5 -> new Withdrawn(in.id());
-            case 2 -> {
+            case WOKEN -> new Woken(in.u64());
+            case WITHDRAWN -> new Withdrawn(in.id());
+            case NOTED -> {
                 int from = in.u16();
                 yield new Noted(from, in.bytes(in.u16()));
             }
@@ -185,14 +212,14 @@
 
     private Event readListEvent(FrameReader in) {
         int listNumber = in.u16();
-        in.u32();
-        int status = in.u8();
+        in.u32(); // not used
+        int status = in.u8(); // 0: only changed targets, 3: the list could not be read, else: the whole list
         if (status == 3) {
             return new ListFailed();
         }
         List<Target> targets = targetLists.get(listNumber);
         if (targets == null) {
-            throw new WireException("byte " + in.position() + ": list " + listNumber + " has not come");
+            throw new WireException("byte " + in.position() + ": list " + listNumber + " was not received");
         }
         return new TargetList(status != 0, targets);
     }
@@ -203,9 +230,9 @@
         int tenant = (int) in.u32();
         long key = in.u64();
         double remainingSeconds = in.f64();
-        in.f64();
+        in.f64(); // not used
         int destination = Math.round(in.f32());
-        in.u8();
+        in.u8(); // not used
         return new Arrived(new Message(id, messageClass, tenant, destination, key, remainingSeconds));
     }
 
@@ -215,8 +242,8 @@
         int target = in.id();
         int status = in.u16();
         double elapsed = in.f64();
-        boolean over = in.u8() != 0;
-        long note = in.u32();
+        boolean finished = in.u8() != 0;
+        long retryAfterMillis = in.u32(); // a delay only if the outcome is FULL
         Outcome outcome =
                 switch (status) {
                     case 10 -> Outcome.DELIVERED;
@@ -229,10 +256,12 @@
                     case 80 -> Outcome.NOT_SENT;
                     default -> throw new WireException("byte " + in.position() + ": outcome " + status + " is unknown");
                 };
-        double retryAfterSeconds = outcome == Outcome.FULL ? note / 1000.0 : 0;
-        return new Ended(message, attempt, target, outcome, elapsed, over, retryAfterSeconds, readReport(in, parsed));
+        double retryAfterSeconds = outcome == Outcome.FULL ? retryAfterMillis / 1000.0 : 0;
+        return new Ended(
+                message, attempt, target, outcome, elapsed, finished, retryAfterSeconds, readReport(in, parsed));
     }
 
+    /** Reads a load report; returns null if it has no limit. */
     private static Report readReport(FrameReader in, SettingsParser.Parsed parsed) {
         int count = in.u8();
         double[] values = new double[count];
--- a/src/main/java/juniperusher/sim/FrameReader.java
+++ b/src/main/java/juniperusher/sim/FrameReader.java
@@ -3,7 +3,10 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Reads fields from a frame; a field past the end of its record or frame is a {@link WireException}. */
+/**
+ * Reads the fields of a frame in order; integers are big-endian. Reading past the end of the current record or of
+ * the frame throws a {@link WireException}. Not thread-safe.
+ */
 final class FrameReader {
     private final ByteBuffer in;
     private final int frameEnd;
@@ -13,15 +16,21 @@
         frameEnd = frame.length;
     }
 
+    /** Offset of the next byte in the frame. */
     int position() {
         return in.position();
     }
 
+    /** Whether the whole frame has been read. */
     boolean atEnd() {
         return in.position() == frameEnd;
     }
 
-    /** Bounds reading to the next {@code size} bytes. */
+    /**
+     * Limits reading to a record of the next {@code size} bytes.
+     *
+     * @param record name of the record for error messages
+     */
     void beginRecord(long size, String record) {
         if (size > frameEnd - in.position()) {
             throw new WireException(record + " at byte " + in.position() + ": " + size
@@ -30,7 +39,7 @@
         in.limit(in.position() + (int) size);
     }
 
-    /** Checks that the record was read to its end and lifts the bound. */
+    /** Checks that the record was read completely and removes its limit. */
     void endRecord(String record) {
         if (in.hasRemaining()) {
             throw new WireException(
@@ -54,7 +63,7 @@
         return in.getInt() & 0xffffffffL;
     }
 
-    /** An id: 32 bits, kept as they are. */
+    /** Reads an id of 32 bits, without conversion to an unsigned value. */
     int id() {
         requireBytes(4);
         return in.getInt();
@@ -82,6 +91,7 @@
         return out;
     }
 
+    /** Reads UTF-8 text of {@code length} bytes. */
     String text(long length) {
         return new String(bytes(length), StandardCharsets.UTF_8);
     }
--- a/src/main/java/juniperusher/sim/ReplyWriter.java
+++ b/src/main/java/juniperusher/sim/ReplyWriter.java
@@ -22,18 +22,34 @@
 import juniperusher.Protocol.WakeAt;
 import juniperusher.Protocol.Watch;
 
-/** Gathers the reply to a batch and writes it in one piece. */
+/** Collects the reply to a batch and writes it as one frame. Not thread-safe. */
 final class ReplyWriter {
     private static final int HEADER_BYTES = 4;
+    private static final int MAX_TEXT_BYTES = 0xffff;
+
+    // Record codes of a reply.
+    private static final int RELOAD = 65;
+    private static final int WATCH = 66;
+    private static final int NOTE = 67;
+    private static final int WAKE_AT = 68;
+    private static final int PROBE = 69;
+    private static final int LOG = 70;
+    private static final int FAIL = 71;
+    private static final int SEND = 72;
+    private static final int INSTANCE = 73;
+    private static final int CANCEL = 74;
+    private static final int REFUSE = 75;
+    private static final int FAULT = 76;
+    private static final int CLOSE_IDLE = 77;
 
     private final ByteArrayOutputStream frameBytes = new ByteArrayOutputStream();
-    private final DataOutputStream out = new DataOutputStream(frameBytes);
+    private final DataOutputStream recordOutput = new DataOutputStream(frameBytes);
 
     ReplyWriter() {
-        unchecked(() -> out.writeInt(0));
+        unchecked(() -> recordOutput.writeInt(0));
     }
 
-    /** The actions of an instance, if it has any. */
+    /** Adds the actions of an instance; adds nothing if there are none. */
     void addActions(int instance, List<Action> actions) {
         if (!actions.isEmpty()) {
             addInstance(instance);
@@ -41,12 +57,13 @@
         }
     }
 
-    /** A crash of an instance's decision code. */
+    /** Adds a report that the decision module threw an exception for this instance. */
     void addFault(int instance, String text) {
         addInstance(instance);
-        unchecked(() -> writeText(76, text));
+        unchecked(() -> writeText(FAULT, text));
     }
 
+    /** Fills in the length of the frame, writes the frame and flushes. */
     void writeTo(OutputStream to) throws IOException {
         byte[] frame = frameBytes.toByteArray();
         ByteBuffer.wrap(frame, 0, HEADER_BYTES).putInt(frame.length);
@@ -54,72 +71,75 @@
         to.flush();
     }
 
+    /** Names the instance that the following records belong to. */
     private void addInstance(int instance) {
         unchecked(() -> {
-            writeRecordHeader(73, 4);
-            out.writeInt(instance);
+            writeRecordHeader(INSTANCE, 4);
+            recordOutput.writeInt(instance);
         });
     }
 
     private void writeAction(Action action) throws IOException {
         if (action instanceof Send a) {
-            writeRecordHeader(72, 16);
-            out.writeInt(a.message());
-            out.writeInt(a.target());
-            out.writeDouble(a.timeout());
+            writeRecordHeader(SEND, 16);
+            recordOutput.writeInt(a.message());
+            recordOutput.writeInt(a.target());
+            recordOutput.writeDouble(a.timeout());
         } else if (action instanceof Refuse a) {
-            writeRecordHeader(75, 12);
-            out.writeInt(a.message());
-            out.writeDouble(a.after());
+            writeRecordHeader(REFUSE, 12);
+            recordOutput.writeInt(a.message());
+            recordOutput.writeDouble(a.after());
         } else if (action instanceof Fail a) {
-            writeRecordHeader(71, 4);
-            out.writeInt(a.message());
+            writeRecordHeader(FAIL, 4);
+            recordOutput.writeInt(a.message());
         } else if (action instanceof WakeAt a) {
-            writeRecordHeader(68, 16);
-            out.writeDouble(a.time());
-            out.writeLong(a.token());
+            writeRecordHeader(WAKE_AT, 16);
+            recordOutput.writeDouble(a.time());
+            recordOutput.writeLong(a.token());
         } else if (action instanceof Cancel a) {
-            writeRecordHeader(74, 6);
-            out.writeInt(a.message());
-            out.writeShort(a.attempt());
+            writeRecordHeader(CANCEL, 6);
+            recordOutput.writeInt(a.message());
+            recordOutput.writeShort(a.attempt());
         } else if (action instanceof Watch a) {
-            writeRecordHeader(66, 1);
-            out.writeByte(a.on() ? 1 : 0);
+            writeRecordHeader(WATCH, 1);
+            recordOutput.writeByte(a.on() ? 1 : 0);
         } else if (action instanceof Reload) {
-            writeRecordHeader(65, 0);
+            writeRecordHeader(RELOAD, 0);
         } else if (action instanceof Probe a) {
-            writeRecordHeader(69, 4);
-            out.writeInt(a.target());
+            writeRecordHeader(PROBE, 4);
+            recordOutput.writeInt(a.target());
         } else if (action instanceof CloseIdle a) {
-            writeRecordHeader(77, 4);
-            out.writeInt(a.target());
+            writeRecordHeader(CLOSE_IDLE, 4);
+            recordOutput.writeInt(a.target());
         } else if (action instanceof Note a) {
-            writeRecordHeader(67, 6 + a.note().length);
-            out.writeInt(a.to());
-            out.writeShort(a.note().length);
-            out.write(a.note());
+            writeRecordHeader(NOTE, 6 + a.note().length);
+            recordOutput.writeInt(a.to());
+            recordOutput.writeShort(a.note().length);
+            recordOutput.write(a.note());
         } else if (action instanceof Log a) {
-            writeText(70, a.line());
+            writeText(LOG, a.line());
         }
     }
 
+    /** Writes a record of UTF-8 text, cut to {@link #MAX_TEXT_BYTES}. */
     private void writeText(int code, String text) throws IOException {
         byte[] utf8 = text.getBytes(StandardCharsets.UTF_8);
-        byte[] clipped = Arrays.copyOf(utf8, Math.min(utf8.length, 0xffff));
+        byte[] clipped = Arrays.copyOf(utf8, Math.min(utf8.length, MAX_TEXT_BYTES));
         writeRecordHeader(code, 2 + clipped.length);
-        out.writeShort(clipped.length);
-        out.write(clipped);
+        recordOutput.writeShort(clipped.length);
+        recordOutput.write(clipped);
     }
 
     private void writeRecordHeader(int code, int size) throws IOException {
-        out.writeByte(code);
-        out.writeInt(size);
+        recordOutput.writeByte(code);
+        recordOutput.writeInt(size);
     }
 
     private interface WriteStep {
         void run() throws IOException;
     }
 
+    /** Runs a step that writes to memory and so does not fail with an IOException. */
     private static void unchecked(WriteStep step) {
         try {
             step.run();
--- a/src/main/java/juniperusher/sim/SettingsParser.java
+++ b/src/main/java/juniperusher/sim/SettingsParser.java
@@ -13,7 +13,7 @@
 import juniperusher.Protocol.Tenant;
 import juniperusher.Protocol.Weight;
 
-/** Reads the start-up settings: path=value, one a line. Unknown keys are ignored. */
+/** Parses the start-up settings: one path=value per line. Unknown keys are ignored. */
 public final class SettingsParser {
     private final Map<String, String> values = new HashMap<>();
 
@@ -30,9 +30,21 @@
         }
     }
 
-    /** The settings and the places of the report values x0 and x1 (-1 where not reported). */
+    /**
+     * Parsed settings.
+     *
+     * @param settings   settings of the decision module
+     * @param leftField  index of the value x0 in load reports, the share of the limit that is left; -1 if not
+     *     reported
+     * @param limitField index of the value x1 in load reports, the limit in calls per second; -1 if not reported
+     */
     public record Parsed(Settings settings, int leftField, int limitField) {}
 
+    /**
+     * Parses the settings.
+     *
+     * @throws WireException if a line is malformed, or a required setting is missing or invalid
+     */
     public static Parsed parse(String text) {
         SettingsParser parser = new SettingsParser(text);
         try {
@@ -141,7 +153,7 @@
             tenants.add(new Tenant(values.getOrDefault(prefix + "name", ""), doubleSetting(prefix + "quotaPerS", 0)));
         }
         if (!tenants.isEmpty()) {
-            tenants.add(new Tenant("", 0)); // whoever is not named has no share: all that it sends is beyond it
+            tenants.add(new Tenant("", 0)); // clients not listed have a quota of 0: all their messages exceed it
         }
         return tenants;
     }
--- a/src/main/java/juniperusher/sim/WireException.java
+++ b/src/main/java/juniperusher/sim/WireException.java
@@ -1,10 +1,10 @@
 package juniperusher.sim;
 
-/** Input that does not keep to the wire; the message says what and where. */
+/** Malformed input from the simulator, or malformed settings; the message says what is wrong and where. */
 public final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** An error with the given plain description. */
+    /** Creates the exception with a description for the operator. */
     public WireException(String message) {
         super(message);
     }
--- a/src/test/java/juniperusher/amqp/FakeBroker.java
+++ b/src/test/java/juniperusher/amqp/FakeBroker.java
@@ -16,8 +16,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A broker made from the public specification of AMQP 0-9-1 and its confirms. It counts how often each
- * message id takes effect, and spoils confirms in the shares that a test names, from a fixed seed.
+ * A fake broker, written from the public specification of AMQP 0-9-1 and of publisher confirms. It counts how
+ * often each message id takes effect, and injects faults into a given share of the publishes, reproducibly from
+ * a seed.
  */
 final class FakeBroker implements AutoCloseable {
     final Map<String, AtomicInteger> applied = new ConcurrentHashMap<>();
@@ -27,7 +28,7 @@
     private final double faultShare;
     private volatile long blockedUntil;
 
-    /** What happens to a publish. */
+    /** How the broker answers a publish. */
     private enum PublishOutcome {
         ACK,
         SILENT,
@@ -39,7 +40,7 @@
         RETURNED
     }
 
-    /** Spoils this share of the publishes. */
+    /** Starts a broker that injects faults into {@code faultShare} of the publishes, a number from 0 to 1. */
     FakeBroker(long seed, double faultShare) throws IOException {
         random = new Random(seed);
         this.faultShare = faultShare;
@@ -51,7 +52,7 @@
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    /** Tells all connections that it is blocked, for so long. */
+    /** Sends connection.blocked to all connections, and connection.unblocked after {@code millis}. */
     void block(long millis) {
         blockedUntil = System.currentTimeMillis() + millis;
     }
@@ -70,7 +71,7 @@
                 startDaemon(() -> serve(socket));
             }
         } catch (IOException e) {
-            // closed: the test is over
+            // the server socket was closed at the end of the test
         }
     }
 
@@ -79,8 +80,8 @@
             return PublishOutcome.ACK;
         }
         PublishOutcome outcome = PublishOutcome.values()[1 + random.nextInt(PublishOutcome.values().length - 1)];
-        // A cut takes the confirms of all that is out on the connection with it, and silence holds a slot
-        // to the time-out, so both are met more seldom than a confirm lost with its channel.
+        // A cut connection loses the confirms of all orders in flight on it, and a missing confirm occupies a slot
+        // until the timeout, so both are injected less often than a confirm lost with its channel.
         if ((outcome == PublishOutcome.CONNECTION_CUT
                         || outcome == PublishOutcome.CUT_BEFORE
                         || outcome == PublishOutcome.SILENT)
@@ -125,9 +126,9 @@
                 }
             }
         } catch (EOFException e) {
-            // the other side has gone
+            // the relay closed the connection
         } catch (IOException e) {
-            // or was cut off
+            // the connection broke
         }
     }
 
@@ -148,7 +149,7 @@
                 Thread.sleep(5);
             }
         } catch (IOException | InterruptedException e) {
-            // the connection is over
+            // the connection has ended
         }
     }
 
@@ -195,7 +196,7 @@
         return true;
     }
 
-    /** Settles a publish at its content header; false if the connection is to be cut. */
+    /** Answers a publish when its content header arrives; returns false if the connection is to be cut. */
     private boolean answerPublish(Frame header, ConnectionState state, OutputStream out) throws IOException {
         int channel = header.channel();
         Method fields = new Method(header);
--- a/src/test/java/juniperusher/amqp/TestClient.java
+++ b/src/test/java/juniperusher/amqp/FakeClient.java
@@ -12,12 +12,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A client made from the public specification: publishes orders with confirms and consumes their ends. */
-final class TestClient implements AutoCloseable {
-    /** An end as it came. */
-    record End(String outcome, boolean redelivered) {}
+/**
+ * A client written from the public specification of AMQP 0-9-1. It publishes orders with confirms and consumes
+ * their outcomes.
+ */
+final class FakeClient implements AutoCloseable {
+    /** An outcome received from the relay. */
+    record Outcome(String outcome, boolean redelivered) {}
 
-    final Map<String, List<End>> ends;
+    final Map<String, List<Outcome>> outcomes;
     final Map<String, Boolean> confirms = new ConcurrentHashMap<>();
     private final Map<Long, String> publishedIds = new ConcurrentHashMap<>();
     private final Socket socket;
@@ -28,8 +31,8 @@
     private long deliveryTag;
     volatile boolean disconnected;
 
-    TestClient(InetSocketAddress address, Map<String, List<End>> ends) throws IOException {
-        this.ends = ends;
+    FakeClient(InetSocketAddress address, Map<String, List<Outcome>> outcomes) throws IOException {
+        this.outcomes = outcomes;
         socket = new Socket(address.getAddress(), address.getPort());
         socket.setTcpNoDelay(true);
         in = new DataInputStream(socket.getInputStream());
@@ -103,8 +106,8 @@
                 } else if (frame.type() == Frame.BODY) {
                     var json = Json.parse(new String(frame.payload(), StandardCharsets.UTF_8))
                             .asObject();
-                    ends.computeIfAbsent(json.getString("message", ""), key -> new CopyOnWriteArrayList<>())
-                            .add(new End(json.getString("outcome", ""), redelivered));
+                    outcomes.computeIfAbsent(json.getString("message", ""), key -> new CopyOnWriteArrayList<>())
+                            .add(new Outcome(json.getString("outcome", ""), redelivered));
                     write(new Method.Writer(Method.ACK).u64(deliveryTag).u8(0).methodFrame(1));
                 }
             }
--- a/src/test/java/juniperusher/amqp/ReplyQueueTest.java
+++ b/src/test/java/juniperusher/amqp/ReplyQueueTest.java
@@ -7,9 +7,9 @@
 import juniperusher.clock.SteadyClock;
 import org.testng.annotations.Test;
 
-/** Ends that wait for a client that may never come. */
+/** Outcomes in a reply queue that no client consumes. */
 public class ReplyQueueTest {
-    private static final Content END = new Content("", "", "", "", "", "", new byte[0]);
+    private static final Content OUTCOME = new Content("", "", "", "", "", "", new byte[0]);
 
     @Test
     public void unfetchedEndIsDroppedAfterRetention() throws Exception {
@@ -17,11 +17,11 @@
         ReplyQueue queue = new ReplyQueue();
         queue.setRetention(30);
         long now = SteadyClock.millis();
-        queue.add(new ReplyQueue.Delivery("q", END, false, now, () -> dropped.add("one")));
+        queue.add(new ReplyQueue.Delivery("q", OUTCOME, false, now, () -> dropped.add("one")));
         assertEquals(dropped, List.of());
         assertEquals(queue.pendingCount(), 1);
         Thread.sleep(60);
-        queue.add(new ReplyQueue.Delivery("q", END, false, SteadyClock.millis(), () -> dropped.add("two")));
+        queue.add(new ReplyQueue.Delivery("q", OUTCOME, false, SteadyClock.millis(), () -> dropped.add("two")));
         assertEquals(dropped, List.of("one"), "the older one, once");
         assertEquals(queue.pendingCount(), 1);
     }
--- a/src/test/java/juniperusher/amqp/TenThousandOrdersTest.java
+++ b/src/test/java/juniperusher/amqp/TenThousandOrdersTest.java
@@ -22,29 +22,29 @@
 import org.testng.annotations.Test;
 
 /**
- * The program as it is started, between a client and a broker that drops confirms at random: 10,000 orders,
- * with blocked connections and a SIGKILL midway. None may take effect twice, each has exactly one final
- * answer.
+ * Runs the program as a process between a client and a broker that loses confirms at random, with 10,000 orders,
+ * blocked connections and a SIGKILL halfway. Guards against an order that takes effect twice because it is
+ * repeated after a lost confirm, and against an order with no outcome or with different ones.
  */
 public class TenThousandOrdersTest {
     private static final int ORDERS = 10_000;
     private static final int MAX_IN_FLIGHT = 500;
-    // The module rests a destination for about a second after a failure, so many share the orders.
+    // The decision module pauses a destination for about a second after a failure, so the orders are spread over many.
     private static final int DESTINATIONS = 50;
     private static final int FIRST_DESTINATION = 1001;
     private static final long SEED = 20_261_201L;
 
-    private final Map<String, List<TestClient.End>> ends = new ConcurrentHashMap<>();
+    private final Map<String, List<FakeClient.Outcome>> outcomes = new ConcurrentHashMap<>();
 
     @Test
-    public void noOrderIsAppliedTwiceAndEachHasOneEnd() throws Exception {
+    public void noOrderIsAppliedTwiceAndEachHasOneOutcome() throws Exception {
         Path folder = Files.createTempDirectory("orders");
         InetSocketAddress listen = unusedAddress();
         try (FakeBroker broker = new FakeBroker(SEED, 0.08)) {
             writeConfig(folder, listen, broker.address());
             Process program = startRelay(folder);
             try {
-                TestClient client = connect(listen, program);
+                FakeClient client = connect(listen, program);
                 long deadline = System.currentTimeMillis() + 180_000;
                 Deque<String> pending = new ArrayDeque<>();
                 for (int i = 0; i < ORDERS; i++) {
@@ -53,15 +53,15 @@
                 ConcurrentHashMap<String, Boolean> inFlight = new ConcurrentHashMap<>();
                 boolean killed = false;
                 int blockCount = 0;
-                while (ends.size() < ORDERS) {
+                while (outcomes.size() < ORDERS) {
                     assertTrue(
                             System.currentTimeMillis() < deadline,
-                            "only " + ends.size() + " of " + ORDERS + " orders have ended; spoiled "
+                            "only " + outcomes.size() + " of " + ORDERS + " orders have ended; injected faults "
                                     + broker.injectedFaults);
-                    inFlight.keySet().removeIf(id -> ends.containsKey(id));
+                    inFlight.keySet().removeIf(id -> outcomes.containsKey(id));
                     for (String id : inFlight.keySet()) {
                         if (Boolean.FALSE.equals(client.confirms.remove(id))) {
-                            inFlight.remove(id); // refused before it was taken on: handed in again
+                            inFlight.remove(id); // refused, not accepted: submitted again
                             pending.add(id);
                         }
                     }
@@ -70,27 +70,27 @@
                         inFlight.put(id, true);
                         client.publish(id, destination(id));
                     }
-                    if (blockCount < 4 && ends.size() > (blockCount + 1) * ORDERS / 5) {
+                    if (blockCount < 4 && outcomes.size() > (blockCount + 1) * ORDERS / 5) {
                         blockCount++;
                         broker.block(400);
                     }
-                    if (!killed && ends.size() > ORDERS / 2) {
+                    if (!killed && outcomes.size() > ORDERS / 2) {
                         killed = true;
                         program.destroyForcibly().waitFor();
                         client.close();
                         program = startRelay(folder);
-                        TestClient previousClient = client;
+                        FakeClient previousClient = client;
                         client = connect(listen, program);
                         Thread.sleep(500);
                         for (String id : inFlight.keySet()) {
-                            if (!ends.containsKey(id) && !previousClient.confirms.containsKey(id)) {
-                                client.publish(id, destination(id)); // its confirm was lost with the process
+                            if (!outcomes.containsKey(id) && !previousClient.confirms.containsKey(id)) {
+                                client.publish(id, destination(id)); // its confirm was lost when the process was killed
                             }
                         }
                     }
                     Thread.sleep(2);
                 }
-                Thread.sleep(1_000); // an answer too many would come now
+                Thread.sleep(1_000); // a duplicate outcome would arrive now
                 client.close();
                 checkOutcomes(broker, blockCount);
             } finally {
@@ -106,23 +106,29 @@
 
     private void checkOutcomes(FakeBroker broker, int blockCount) {
         assertEquals(blockCount, 4, "blocked connections");
-        assertEquals(broker.injectedFaults.size(), 7, "each way to spoil a confirm was met: " + broker.injectedFaults);
+        assertEquals(broker.injectedFaults.size(), 7, "each kind of fault was injected: " + broker.injectedFaults);
         broker.applied.forEach((id, times) -> assertEquals(times.get(), 1, id + " took effect twice"));
-        assertEquals(ends.size(), ORDERS);
+        assertEquals(outcomes.size(), ORDERS);
         int delivered = 0;
-        for (Map.Entry<String, List<TestClient.End>> entry : ends.entrySet()) {
+        for (Map.Entry<String, List<FakeClient.Outcome>> entry : outcomes.entrySet()) {
             String id = entry.getKey();
-            List<TestClient.End> received = entry.getValue();
+            List<FakeClient.Outcome> received = entry.getValue();
             assertEquals(
-                    received.stream().map(TestClient.End::outcome).distinct().count(), 1L, id + " " + received);
-            assertTrue(received.stream().filter(end -> !end.redelivered()).count() <= 1, id + " " + received);
+                    received.stream()
+                            .map(FakeClient.Outcome::outcome)
+                            .distinct()
+                            .count(),
+                    1L,
+                    id + " " + received);
+            assertTrue(received.stream().filter(each -> !each.redelivered()).count() <= 1, id + " " + received);
             String outcome = received.get(0).outcome();
             assertTrue(!outcome.equals("delivered") || broker.applied.containsKey(id), id + " never ran");
             assertTrue(!outcome.equals("handed_back") || !broker.applied.containsKey(id), id + " has run");
             delivered += outcome.equals("delivered") ? 1 : 0;
         }
         assertTrue(delivered > ORDERS * 8 / 10, "only " + delivered + " delivered");
-        System.out.println("orders: " + delivered + " delivered of " + ORDERS + "; spoiled " + broker.injectedFaults);
+        System.out.println(
+                "orders: " + delivered + " delivered of " + ORDERS + "; injected faults " + broker.injectedFaults);
     }
 
     private static InetSocketAddress unusedAddress() throws IOException {
@@ -173,11 +179,11 @@
         return builder.start();
     }
 
-    private TestClient connect(InetSocketAddress listen, Process program) throws Exception {
+    private FakeClient connect(InetSocketAddress listen, Process program) throws Exception {
         for (int i = 0; i < 200; i++) {
             assertTrue(program.isAlive(), "the program has ended");
             try (Socket probe = new Socket(listen.getAddress(), listen.getPort())) {
-                return new TestClient(listen, ends);
+                return new FakeClient(listen, outcomes);
             } catch (IOException e) {
                 Thread.sleep(50);
             }
--- a/src/test/java/juniperusher/sim/WireTest.java
+++ b/src/test/java/juniperusher/sim/WireTest.java
@@ -25,7 +25,7 @@
 import juniperusher.Protocol.Watch;
 import org.junit.jupiter.api.Test;
 
-/** Bytes laid out by hand from the wire's description. */
+/** Compares the adapter's encoding with bytes written by hand from the description of the simulator's protocol. */
 class WireTest {
     private static final String BATCH_TIME = "4020d3126e978d50";
     private static final String SETTINGS = """
