--- a/src/main/java/juniperusher/amqp/AmqpExtension.java
+++ b/src/main/java/juniperusher/amqp/AmqpExtension.java
@@ -38,6 +38,7 @@
 
     @Override
     public List<Target> targets() {
+        // Brokers are targets of the first kind that takes one message per call.
         int singleMessageKind =
                 settings.kinds().stream().map(Kind::batch).toList().indexOf(1);
         return subchannels.targets(Math.max(0, singleMessageKind));
--- a/src/main/java/juniperusher/amqp/AmqpFront.java
+++ b/src/main/java/juniperusher/amqp/AmqpFront.java
@@ -26,7 +26,7 @@
  * Thread-safe.
  */
 public final class AmqpFront implements Front {
-    // An expiration of more than a day is taken for a mistake of the client.
+    // An expiration of more than a day is refused as a mistake of the client.
     private static final long MAX_EXPIRATION_MILLIS = 86_400_000;
 
     private final AmqpConfig config;
@@ -143,7 +143,7 @@
      * Offers an order to the relay.
      *
      * @param routingKey a routing key that names a destination
-     * @param channel    told whether the relay accepts the order
+     * @param channel    notified whether the relay accepts the order
      * @throws AmqpError if the type or the expiration of the message is invalid
      */
     void publish(String routingKey, Content content, Channel channel) {
--- a/src/main/java/juniperusher/amqp/AmqpServerConnection.java
+++ b/src/main/java/juniperusher/amqp/AmqpServerConnection.java
@@ -266,7 +266,7 @@
                     .u16(HEARTBEAT_SECONDS)
                     .methodFrame(0));
         } else if (expectedMethod == Method.TUNE_OK) {
-            in.u16();
+            in.u16(); // channel-max, not stored: a channel number above CHANNEL_MAX is refused when it is opened
             int requestedFrameMax = in.u32();
             if (requestedFrameMax != 0 && requestedFrameMax < FRAME_MIN_BYTES || requestedFrameMax > FRAME_MAX_BYTES) {
                 throw new AmqpError(AmqpError.NOT_ALLOWED, "frame-max " + requestedFrameMax + " is not allowed");
@@ -313,7 +313,7 @@
     private void onChannelMethod(Method in, ServerChannel channel) {
         int number = in.number();
         if (number == Method.PUBLISH) {
-            in.u16();
+            in.u16(); // reserved
             if (!in.shortText().isEmpty()) {
                 throw new AmqpError(AmqpError.NOT_FOUND, "only the default exchange is here");
             }
@@ -329,7 +329,7 @@
                 send(new Method.Writer(Method.CONFIRM_SELECT_OK).methodFrame(channel.number));
             }
         } else if (number == Method.QUEUE_DECLARE) {
-            in.u16();
+            in.u16(); // reserved
             String queue = front.declareQueue(in.shortText());
             if ((in.u8() & 16) == 0) { // bit 4: no-wait
                 send(new Method.Writer(Method.QUEUE_DECLARE_OK)
@@ -372,7 +372,7 @@
     }
 
     private void startConsumer(Method in, ServerChannel channel) {
-        in.u16();
+        in.u16(); // reserved
         String queue = in.shortText();
         String requestedTag = in.shortText();
         int flags = in.u8(); // bit 1: no-ack, bit 3: no-wait
--- a/src/main/java/juniperusher/amqp/AmqpSubchannels.java
+++ b/src/main/java/juniperusher/amqp/AmqpSubchannels.java
@@ -133,7 +133,10 @@
             }
         }
 
-        /** Ends the publish, unless it has ended. */
+        /**
+         * Ends the publish, unless it has ended. An end that loses the answer becomes "not connected" if nothing was
+         * written, because the order has then not run.
+         */
         void finish(CallEnd end) {
             boolean written;
             synchronized (this) {
@@ -172,6 +175,7 @@
             this.broker = broker;
         }
 
+        /** Publishes the order once a connection is usable; ends it as held back if the broker is blocked. */
         void publish(PendingPublish order) {
             BrokerConnection usable = connectionOrEnqueue(order, null);
             if (usable != null && usable.blocked()) {
@@ -181,6 +185,7 @@
             }
         }
 
+        /** Reports the state of the connection, after connecting if necessary. */
         void probe(ProbeCallback callback) {
             BrokerConnection usable = connectionOrEnqueue(null, callback);
             if (usable != null) {
--- a/src/main/java/juniperusher/amqp/BrokerConnection.java
+++ b/src/main/java/juniperusher/amqp/BrokerConnection.java
@@ -163,12 +163,12 @@
         } else if (number == Method.ACK || number == Method.NACK) {
             onConfirm(channel, in.u64(), (in.u8() & 1) != 0, number == Method.ACK);
         } else if (number == Method.CHANNEL_CLOSE) {
-            int code = in.u16();
+            int replyCode = in.u16();
             in.shortText();
             send(new Method.Writer(Method.CHANNEL_CLOSE_OK).methodFrame(channelNumber));
-            boolean refused = (code == AmqpError.NOT_FOUND
-                            || code == AmqpError.ACCESS_REFUSED
-                            || code == AmqpError.CONTENT_TOO_LARGE)
+            boolean refused = (replyCode == AmqpError.NOT_FOUND
+                            || replyCode == AmqpError.ACCESS_REFUSED
+                            || replyCode == AmqpError.CONTENT_TOO_LARGE)
                     && (in.u16() << 16 | in.u16()) == Method.PUBLISH;
             // A close caused by basic.publish refuses the order: the broker has not put it into any queue.
             removeChannel(channel, refused || channel.returned ? CallEnd.UNROUTABLE : CallEnd.BROKEN);
@@ -228,6 +228,7 @@
         } else {
             publishOn(channel);
         }
+        // The connection may have ended before the order was assigned to its channel.
         if (!usable()) {
             order.finish(CallEnd.BROKEN);
         }
