--- a/src/main/java/juniperusher/fleet/Connection.java
+++ b/src/main/java/juniperusher/fleet/Connection.java
@@ -13,51 +13,52 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A non-blocking TCP connection with bounded input and output. Used on the thread of its {@link EventLoop} alone.
- * What its peer does not read waits in a queue of at most {@code maxOutput} bytes; {@link #send} refuses what
- * goes beyond. What its handler does not consume is kept up to {@code maxInput} bytes; more closes the connection.
+ * A non-blocking TCP connection with bounded input and output buffers. It is used only on the thread of its
+ * {@link EventLoop}. Output that the peer has not read waits in a queue of at most {@code maxOutput} bytes, and
+ * {@link #send} rejects bytes beyond that limit. Input that the handler has not consumed is kept; more than
+ * {@code maxInput} bytes of it close the connection.
  */
 public final class Connection {
     private static final Logger LOG = LoggerFactory.getLogger(Connection.class);
-    private static final int GATHER = 16; // buffers in one write
+    private static final int MAX_BUFFERS_PER_WRITE = 16;
 
     private final EventLoop loop;
     private final Handler handler;
     private final int maxInput;
     private final int maxOutput;
-    private final Runnable whenClosed;
+    private final Runnable onClosed;
     private final Deque<ByteBuffer> output = new ArrayDeque<>();
     private SocketChannel channel;
     private SelectionKey key;
     private EventLoop.Timer connectTimeout;
-    private byte[] rest = new byte[0]; // input that the handler has not consumed
-    private long queued; // bytes in the output
+    private byte[] unconsumedInput = new byte[0];
+    private long queuedBytes; // remaining bytes in output
     private boolean readPaused;
     private boolean closed;
     private long bytesIn;
     private long bytesOut;
 
-    /** What a connection tells its owner, on the loop's thread. */
+    /** Receives events of a connection, on the loop's thread. */
     public interface Handler {
-        /** The connection is up. */
+        /** The connection is established. */
         void opened(Connection connection);
 
-        /** Input has come; what is not consumed is offered again together with what follows. */
+        /** Input has arrived. Bytes that are left in the buffer are passed again, followed by the next input. */
         void received(ByteBuffer input);
 
-        /** All output has been handed to the kernel. */
-        default void drained() {}
+        /** Queued output has been written to the socket completely. Not called if {@link #send} wrote it at once. */
+        default void outputWritten() {}
 
-        /** The connection has ended or never came up. Called once. */
+        /** The connection was closed or could not be established. Called once. */
         void closed(String reason);
     }
 
-    Connection(EventLoop loop, Handler handler, int maxInput, int maxOutput, Runnable whenClosed) {
+    Connection(EventLoop loop, Handler handler, int maxInput, int maxOutput, Runnable onClosed) {
         this.loop = loop;
         this.handler = handler;
         this.maxInput = maxInput;
         this.maxOutput = maxOutput;
-        this.whenClosed = whenClosed;
+        this.onClosed = onClosed;
     }
 
     void register(SocketChannel socket, Selector selector, int interest) throws IOException {
@@ -65,32 +66,32 @@
         key = socket.register(selector, interest, this);
     }
 
-    void timeout(EventLoop.Timer timer) {
+    void setConnectTimeout(EventLoop.Timer timer) {
         connectTimeout = timer;
     }
 
-    void connected() {
+    void notifyOpened() {
         if (!closed) {
-            guarded(() -> handler.opened(this));
+            runHandler(() -> handler.opened(this));
         }
     }
 
-    /** Bytes read so far. */
+    /** Number of bytes read so far. */
     public long bytesIn() {
         return bytesIn;
     }
 
-    /** Bytes handed to the kernel so far. */
+    /** Number of bytes written to the socket so far. */
     public long bytesOut() {
         return bytesOut;
     }
 
-    /** Bytes that wait for the peer. */
-    public long queued() {
-        return queued;
+    /** Number of bytes that are queued for output. */
+    public long queuedBytes() {
+        return queuedBytes;
     }
 
-    /** Whether it has ended. */
+    /** Whether the connection is closed. */
     public boolean isClosed() {
         return closed;
     }
@@ -105,42 +106,42 @@
         }
     }
 
-    /** Stops reading until {@link #resumeReading}: the kernel's buffers then hold the peer back. */
+    /** Stops reading until {@link #resumeReading}; TCP flow control then stops the peer once the buffers are full. */
     public void pauseReading() {
         readPaused = true;
         updateInterest();
     }
 
-    /** Reads again. */
+    /** Resumes reading after {@link #pauseReading}. */
     public void resumeReading() {
         readPaused = false;
         updateInterest();
     }
 
     /**
-     * Sends the bytes in order. The buffer must not be changed afterwards, but may be shared with others: its
-     * content is not copied.
+     * Sends the buffer's remaining bytes after those of earlier calls. The content is not copied: it must not change
+     * afterwards, but the same buffer may be sent on several connections.
      *
-     * @return false if they do not fit into the bound or the connection has ended; nothing is sent then
+     * @return false if the bytes do not fit into the output queue or the connection is closed; nothing is sent then
      */
     public boolean send(ByteBuffer bytes) {
-        if (closed || queued + bytes.remaining() > maxOutput) {
+        if (closed || queuedBytes + bytes.remaining() > maxOutput) {
             return false;
         }
         if (bytes.hasRemaining()) {
-            queued += bytes.remaining();
+            queuedBytes += bytes.remaining();
             output.add(bytes.duplicate());
             flush();
         }
         return !closed;
     }
 
-    /** Closes the connection in a later turn, for callers that are in the middle of their own work. */
+    /** Closes the connection after this call has returned, for callers that must not be re-entered by the handler. */
     public void closeLater(String reason) {
         loop.schedule(0, () -> close(reason));
     }
 
-    /** Closes the connection; output that waits is dropped. */
+    /** Closes the connection; queued output is dropped. */
     public void close(String reason) {
         if (closed) {
             return;
@@ -151,18 +152,18 @@
         }
         EventLoop.closeQuietly(channel);
         output.clear();
-        queued = 0;
-        rest = new byte[0];
-        loop.released();
-        whenClosed.run();
+        queuedBytes = 0;
+        unconsumedInput = new byte[0];
+        loop.connectionClosed();
+        onClosed.run();
         try {
             handler.closed(reason);
         } catch (RuntimeException e) {
-            LOG.atError().setCause(e).log("the handler of a closed connection failed");
+            LOG.atError().setCause(e).log("connection handler failed on close");
         }
     }
 
-    void ready(ByteBuffer readBuffer) {
+    void handleReady(ByteBuffer readBuffer) {
         if (key.isConnectable()) {
             finishConnect();
         }
@@ -172,7 +173,7 @@
         if (!closed && key.isValid() && key.isWritable()) {
             flush();
             if (!closed && output.isEmpty()) {
-                guarded(handler::drained);
+                runHandler(handler::outputWritten);
             }
         }
     }
@@ -191,7 +192,7 @@
             connectTimeout = null;
         }
         key.interestOps(SelectionKey.OP_READ);
-        connected();
+        notifyOpened();
     }
 
     private void read(ByteBuffer readBuffer) {
@@ -209,29 +210,29 @@
         }
         bytesIn += count;
         readBuffer.flip();
-        ByteBuffer input = joined(readBuffer);
-        guarded(() -> handler.received(input));
+        ByteBuffer input = withUnconsumedInput(readBuffer);
+        runHandler(() -> handler.received(input));
         if (!closed) {
-            keep(input);
+            keepUnconsumed(input);
         }
     }
 
-    private ByteBuffer joined(ByteBuffer fresh) {
-        if (rest.length == 0) {
-            return fresh;
+    private ByteBuffer withUnconsumedInput(ByteBuffer received) {
+        if (unconsumedInput.length == 0) {
+            return received;
         }
-        ByteBuffer all = ByteBuffer.allocate(rest.length + fresh.remaining());
-        all.put(rest).put(fresh).flip();
+        ByteBuffer all = ByteBuffer.allocate(unconsumedInput.length + received.remaining());
+        all.put(unconsumedInput).put(received).flip();
         return all;
     }
 
-    private void keep(ByteBuffer input) {
+    private void keepUnconsumed(ByteBuffer input) {
         if (input.remaining() > maxInput) {
-            close("more than " + maxInput + " bytes of unfinished input");
+            close("more than " + maxInput + " bytes of unconsumed input");
             return;
         }
-        rest = new byte[input.remaining()];
-        input.get(rest);
+        unconsumedInput = new byte[input.remaining()];
+        input.get(unconsumedInput);
     }
 
     private void flush() {
@@ -242,7 +243,7 @@
             while (!output.isEmpty()) {
                 long written = channel.write(nextBuffers());
                 bytesOut += written;
-                queued -= written;
+                queuedBytes -= written;
                 while (!output.isEmpty() && !output.peek().hasRemaining()) {
                     output.remove();
                 }
@@ -252,7 +253,7 @@
             }
         } catch (IOException e) {
             output.clear();
-            queued = 0;
+            queuedBytes = 0;
             closeLater(e.getMessage());
             return;
         }
@@ -260,7 +261,7 @@
     }
 
     private ByteBuffer[] nextBuffers() {
-        ByteBuffer[] buffers = new ByteBuffer[Math.min(GATHER, output.size())];
+        ByteBuffer[] buffers = new ByteBuffer[Math.min(MAX_BUFFERS_PER_WRITE, output.size())];
         Iterator<ByteBuffer> waiting = output.iterator();
         for (int i = 0; i < buffers.length; i++) {
             buffers[i] = waiting.next();
@@ -278,12 +279,12 @@
         }
     }
 
-    private void guarded(Runnable step) {
+    private void runHandler(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
-            LOG.atWarn().addKeyValue("peer", peer()).setCause(e).log("a connection's handler failed");
-            close("its handler failed: " + e);
+            LOG.atWarn().addKeyValue("peer", peer()).setCause(e).log("connection handler failed");
+            close("connection handler failed: " + e);
         }
     }
 }
--- a/src/main/java/juniperusher/fleet/ControlClient.java
+++ b/src/main/java/juniperusher/fleet/ControlClient.java
@@ -10,8 +10,8 @@
 import juniperusher.shard.ShardMap;
 
 /**
- * A relay's subscription to the shard map. It is made and used on the thread of its {@link EventLoop};
- * {@link #status} may be asked by any thread.
+ * A relay's subscription to the shard map. A client is created and used only on the thread of its {@link EventLoop},
+ * except for {@link #status}, which any thread may call.
  */
 public final class ControlClient {
     private final EventLoop loop;
@@ -21,76 +21,87 @@
     private final Listener listener;
     private volatile Status status = new Status(Version.NONE, null, Double.NEGATIVE_INFINITY, null, 0);
 
-    /** What a client tells its owner, on the loop's thread. */
+    /** Receives events of a client, on the loop's thread. */
     public interface Listener {
-        /** The map of that version is in force. */
+        /** The client has activated the map of that version. */
         void inForce(Version version, ShardMap map);
 
-        /** A map or a change was refused whole; what was in force stays so. */
-        default void refused(Version version, String reason) {}
+        /** The client has refused a map or a change as a whole; the previous map stays active. */
+        default void mapRefused(Version version, String reason) {}
     }
 
     /**
-     * How the subscription stands.
+     * The state of the subscription.
      *
-     * @param map the map in force, or null
-     * @param currentAt when it was last known to be current, by the loop's clock; negative infinity for never
-     * @param source the control process that it is subscribed to, or null
-     * @param refused maps and changes that were refused
+     * @param version of the active map
+     * @param map the active map, or null
+     * @param currentAt when the map was last known to be current, in seconds of the loop's clock; negative infinity for
+     *     never
+     * @param source host:port of the control process that the client is subscribed to, or null
+     * @param refused number of maps and changes that were refused
      */
     public record Status(Version version, ShardMap map, double currentAt, String source, long refused) {}
 
-    /** A client that follows nobody yet. */
+    /**
+     * Creates a client without a subscription.
+     *
+     * @param name of the relay, unique in the fleet
+     * @param seed of the random delays
+     */
     public ControlClient(
             EventLoop loop, Dialer dialer, String name, Timing timing, int maxMapBytes, long seed, Listener listener) {
         this.loop = loop;
         this.listener = listener;
         subscriber = new Subscriber<>(name, timing, maxMapBytes, new ShardMapState(), seed);
-        link = new UpstreamLink(loop, dialer, new Events(), this::tell);
+        link = new UpstreamLink(loop, dialer, new UpstreamEvents(), this::notifyListener);
         timer = new DueTimer(loop, () -> step(() -> subscriber.tick(loop.now())));
     }
 
-    /** A map from elsewhere, such as the relay's folder, before it starts. */
+    /**
+     * Sets a saved map as the active one. Call it before {@link #start}.
+     *
+     * @param knownCurrentAt when the map was last known to be current, in seconds of the loop's clock
+     */
     public void resume(Version version, ShardMap map, double knownCurrentAt) {
         subscriber.resume(version, map, knownCurrentAt);
         publishStatus();
     }
 
-    /** Follows one of these control processes, the first ones first. */
+    /** Starts to subscribe to one of these control processes (host:port), listed in order of preference. */
     public void start(List<String> sources) {
         step(() -> subscriber.start(sources, loop.now()));
     }
 
-    /** Follows nobody any more; the map stays. */
+    /** Ends the subscription; the active map is kept. */
     public void stop() {
         step(() -> subscriber.stop(loop.now()));
         timer.cancel();
         link.close("stopped");
     }
 
-    /** How the subscription stands. Any thread. */
+    /** The state of the subscription. Any thread may call it. */
     public Status status() {
         return status;
     }
 
-    /** What has gone over its connections. */
+    /** Traffic counters of the connections to control processes. */
     public Traffic traffic() {
         return link.traffic();
     }
 
-    /** Reads on, or lets what comes wait in the kernel, as a slow reader does. */
+    /** Resumes or stops reading from the current and all later connections, to simulate a slow reader in lab runs. */
     public void reading(boolean on) {
-        link.reading(on);
+        link.setReading(on);
     }
 
-    /** Reads nothing more from the present connection, as where a network is cut. */
+    /** Stops reading from the current connection, to simulate a network partition in lab runs. */
     public void freeze() {
-        link.freeze();
+        link.pauseCurrentConnection();
     }
 
     private void step(Supplier<List<SubscriberStep<ShardMap>>> call) {
         link.carryOut(call.get());
-        timer.at(subscriber.due());
+        timer.setDue(subscriber.due());
         publishStatus();
     }
 
@@ -103,30 +114,30 @@
                 subscriber.refused());
     }
 
-    private void tell(SubscriberStep<ShardMap> step) {
+    private void notifyListener(SubscriberStep<ShardMap> step) {
         if (step instanceof SubscriberStep.Replaced<ShardMap> replaced) {
             listener.inForce(replaced.version(), replaced.state());
         } else if (step instanceof SubscriberStep.Advanced<ShardMap> advanced) {
             listener.inForce(advanced.to(), advanced.state());
         } else if (step instanceof SubscriberStep.Refused<ShardMap> refused) {
-            listener.refused(refused.version(), refused.why());
+            listener.mapRefused(refused.version(), refused.why());
         }
     }
 
-    private final class Events implements UpstreamLink.Machine {
+    private final class UpstreamEvents implements UpstreamLink.Events {
         @Override
-        public void connected(long connection) {
-            step(() -> subscriber.connected(connection, loop.now()));
+        public void connected(long connectionId) {
+            step(() -> subscriber.connected(connectionId, loop.now()));
         }
 
         @Override
-        public void disconnected(long connection) {
-            step(() -> subscriber.disconnected(connection, loop.now()));
+        public void disconnected(long connectionId) {
+            step(() -> subscriber.disconnected(connectionId, loop.now()));
         }
 
         @Override
-        public void received(long connection, ControlMessage message) {
-            step(() -> subscriber.received(connection, message, loop.now()));
+        public void received(long connectionId, ControlMessage message) {
+            step(() -> subscriber.received(connectionId, message, loop.now()));
         }
     }
 }
--- a/src/main/java/juniperusher/fleet/ControlServer.java
+++ b/src/main/java/juniperusher/fleet/ControlServer.java
@@ -23,14 +23,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A control process on sockets: takes subscribers in and leads, or follows another control process. Made and used on
- * the thread of its {@link EventLoop}. Connections are bounded in number; one that does not subscribe in time is
- * closed.
+ * The network side of a control process. It accepts subscribers, and either leads or follows another control process.
+ * The number of connections is limited, and a connection that does not subscribe in time is closed. A server is created
+ * and used only on the thread of its {@link EventLoop}.
  */
 public final class ControlServer {
     private static final Logger LOG = LoggerFactory.getLogger(ControlServer.class);
-    private static final double HELLO_SECONDS = 5; // from the connection to its subscription
-    private static final double ROOM = 1.2; // connections over subscribers: for those that are told to come again
+
+    /** Time for a new connection to subscribe, and for a peer to read the remaining output before it is closed. */
+    private static final double PEER_TIMEOUT_SECONDS = 5;
+
+    /** Above 1, so that clients beyond the subscriber limit can still connect and be told when to retry. */
+    private static final double CONNECTIONS_PER_SUBSCRIBER = 1.2;
 
     private final EventLoop loop;
     private final ControlProcess<ShardMap> process;
@@ -38,26 +42,33 @@
     private final DueTimer timer;
     private final Listener listener;
     private final Limits limits;
-    private final Traffic downstream = new Traffic();
-    private final Map<Long, Subscription> subscriptions = new HashMap<>();
+    private final Traffic downstreamTraffic = new Traffic();
+    private final Map<Long, SubscriberConnection> subscriberConnections = new HashMap<>();
     private EventLoop.Listener acceptor;
-    private long lastConnection;
-    private ControlMessage lastMessage; // of which lastFrame is the frame: one message often goes to many
+    private long lastConnectionId;
+
+    // The last message and its encoded frame: one message often goes to many subscribers and is encoded only once.
+    private ControlMessage lastMessage;
     private ByteBuffer lastFrame;
 
-    /** What a server tells its owner, on the loop's thread. */
+    /** Receives events of a server, on the loop's thread. */
     public interface Listener {
-        /** As a follower: the map of that version is in force. */
-        default void inForce(Version version, ShardMap map) {}
+        /** The server, as a follower, has activated the map of that version. */
+        default void mapActivated(Version version, ShardMap map) {}
 
-        /** As a follower: a map or a change was refused whole. */
-        default void refused(Version version, String reason) {}
+        /** The server, as a follower, has refused a map or a change; the previous map stays active. */
+        default void mapRefused(Version version, String reason) {}
 
-        /** As the leader: a newer term leads. */
-        default void deposed(long term) {}
+        /** The server was the leader until it learned of the newer term {@code term}. */
+        default void leadershipLost(long term) {}
     }
 
-    /** A server that neither listens nor follows nor leads yet. */
+    /**
+     * Creates a server that does not listen, follow or lead yet.
+     *
+     * @param name the name under which it subscribes to other control processes
+     * @param seed of the random delays
+     */
     public ControlServer(
             EventLoop loop, Dialer dialer, String name, Timing timing, Limits limits, long seed, Listener listener) {
         this.loop = loop;
@@ -67,81 +78,86 @@
         process = new ControlProcess<>(
                 new Subscriber<>(name, timing, limits.stateBytes(), codec, seed),
                 new Publisher<>(timing, limits, codec, seed + 1));
-        upstream = new UpstreamLink(loop, dialer, new Events(), this::tell);
+        upstream = new UpstreamLink(loop, dialer, new UpstreamEvents(), this::notifyListener);
         timer = new DueTimer(loop, () -> step(() -> process.tick(loop.now())));
     }
 
-    /** Takes subscribers in at that address; the address that it is bound to. */
+    /** Starts to accept subscribers at the address and returns the address that the socket is bound to. */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         acceptor = loop.listen(
                 address,
                 this::accept,
-                (int) (limits.subscribers() * ROOM) + 1,
-                MessageChannel.MAX_INPUT,
-                MessageChannel.MAX_OUTPUT);
+                (int) (limits.subscribers() * CONNECTIONS_PER_SUBSCRIBER) + 1,
+                MessageChannel.MAX_INPUT_BYTES,
+                MessageChannel.MAX_OUTPUT_BYTES);
         return acceptor.address();
     }
 
-    /** A map from the process's folder or its settings. */
+    /**
+     * Sets the map to start from, which comes from the process's folder or its settings.
+     *
+     * @param knownCurrentAt when the map was last known to be current, in seconds of the loop's clock
+     */
     public void resume(Version version, ShardMap map, double knownCurrentAt) {
         step(() -> process.resume(version, map, knownCurrentAt, loop.now()));
     }
 
-    /** Leads from now on under that term. */
+    /** Starts to lead under that term. */
     public void lead(long term) {
         step(() -> process.lead(term, loop.now()));
     }
 
-    /** Follows one of these control processes, the first ones first. */
+    /** Starts to follow one of these control processes (host:port), which are listed in order of preference. */
     public void follow(List<String> sources) {
         step(() -> process.follow(sources, loop.now()));
     }
 
-    /** Publishes changes of the map, all or none; only as the leader. */
+    /** Publishes changes of the map, all of them or none. Only the leader may call it. */
     public void publish(List<byte[]> deltas) throws DamagedStateException {
         carryOut(process.publish(deltas, loop.now()));
-        timer.at(process.due());
+        timer.setDue(process.due());
     }
 
-    /** The state machines, for what is to be shown. */
+    /** The state machines of the process, for status and metrics. */
     public ControlProcess<ShardMap> process() {
         return process;
     }
 
-    /** What has gone over the connection towards the leader. */
+    /** Traffic counters of the upstream connections. */
     public Traffic upstreamTraffic() {
         return upstream.traffic();
     }
 
-    /** What has gone over the subscribers' connections. */
+    /** Traffic counters of the subscribers' connections. */
     public Traffic downstreamTraffic() {
-        return downstream;
+        return downstreamTraffic;
     }
 
-    /** Connections of subscribers that are open. */
+    /** Number of accepted connections that are open. */
     public int connections() {
-        return subscriptions.size();
+        return subscriberConnections.size();
     }
 
-    /** Reads nothing more from the present connection towards the leader, as where a network is cut. */
+    /** Stops reading from the current upstream connection, to simulate a network partition in lab runs. */
     public void freezeUpstream() {
-        upstream.freeze();
+        upstream.pauseCurrentConnection();
     }
 
-    /** Stops listening, following and serving. */
+    /** Stops listening and closes all connections. */
     public void close() {
         timer.cancel();
         if (acceptor != null) {
             acceptor.close();
         }
-        upstream.close("this process ends");
-        List.copyOf(subscriptions.values()).forEach(subscription -> subscription.channel.close("this process ends"));
-        subscriptions.clear();
+        upstream.close("process is shutting down");
+        List.copyOf(subscriberConnections.values())
+                .forEach(subscription -> subscription.channel.close("process is shutting down"));
+        subscriberConnections.clear();
     }
 
     private void step(Supplier<ControlProcess.Steps<ShardMap>> call) {
         carryOut(call.get());
-        timer.at(process.due());
+        timer.setDue(process.due());
     }
 
     private void carryOut(ControlProcess.Steps<ShardMap> steps) {
@@ -153,13 +169,13 @@
                 close(close.connection());
             } else if (step instanceof PublisherStep.Deposed deposed) {
                 LOG.atWarn().addKeyValue("term", deposed.term()).log("a newer term leads: this process does not");
-                listener.deposed(deposed.term());
+                listener.leadershipLost(deposed.term());
             }
         }
     }
 
-    private void send(long connection, ControlMessage message) {
-        Subscription subscription = subscriptions.get(connection);
+    private void send(long connectionId, ControlMessage message) {
+        SubscriberConnection subscription = subscriberConnections.get(connectionId);
         if (subscription == null || !subscription.channel.isOpen()) {
             return;
         }
@@ -170,83 +186,85 @@
         subscription.channel.send(lastFrame.duplicate());
     }
 
-    private void close(long connection) {
-        Subscription subscription = subscriptions.remove(connection);
+    private void close(long connectionId) {
+        SubscriberConnection subscription = subscriberConnections.remove(connectionId);
         if (subscription != null) {
-            subscription.channel.closeOnceSent();
-            // Guards against a peer that never reads what is left.
-            loop.schedule(HELLO_SECONDS, () -> subscription.channel.close("not read in time"));
+            subscription.channel.closeAfterOutput();
+            // A peer that never reads the remaining output must not keep its connection open.
+            loop.schedule(
+                    PEER_TIMEOUT_SECONDS,
+                    () -> subscription.channel.close("peer did not read the remaining output in time"));
         }
     }
 
     private Connection.Handler accept() {
-        Subscription subscription = new Subscription(++lastConnection);
-        subscriptions.put(subscription.connection, subscription);
+        SubscriberConnection subscription = new SubscriberConnection(++lastConnectionId);
+        subscriberConnections.put(subscription.id, subscription);
         return subscription.channel;
     }
 
-    private void tell(SubscriberStep<ShardMap> step) {
+    private void notifyListener(SubscriberStep<ShardMap> step) {
         if (step instanceof SubscriberStep.Replaced<ShardMap> replaced) {
-            listener.inForce(replaced.version(), replaced.state());
+            listener.mapActivated(replaced.version(), replaced.state());
         } else if (step instanceof SubscriberStep.Advanced<ShardMap> advanced) {
-            listener.inForce(advanced.to(), advanced.state());
+            listener.mapActivated(advanced.to(), advanced.state());
         } else if (step instanceof SubscriberStep.Refused<ShardMap> refused) {
-            listener.refused(refused.version(), refused.why());
+            listener.mapRefused(refused.version(), refused.why());
         }
     }
 
-    /** A connection that was accepted. */
-    private final class Subscription implements MessageChannel.Listener {
-        private final long connection;
-        private final MessageChannel channel = new MessageChannel(downstream, this);
-        private EventLoop.Timer hello;
+    /** An accepted connection, from before its subscription until it is closed. */
+    private final class SubscriberConnection implements MessageChannel.Listener {
+        private final long id;
+        private final MessageChannel channel = new MessageChannel(downstreamTraffic, this);
+        private EventLoop.Timer subscribeTimeout;
 
-        Subscription(long connection) {
-            this.connection = connection;
+        SubscriberConnection(long id) {
+            this.id = id;
         }
 
         @Override
         public void opened() {
-            hello = loop.schedule(HELLO_SECONDS, () -> {
-                subscriptions.remove(connection);
-                channel.close("did not subscribe in time");
+            subscribeTimeout = loop.schedule(PEER_TIMEOUT_SECONDS, () -> {
+                subscriberConnections.remove(id);
+                channel.close("peer did not subscribe in time");
             });
         }
 
         @Override
         public void received(ControlMessage message) {
-            if (hello != null) {
-                hello.cancel();
-                hello = null;
+            if (subscribeTimeout != null) {
+                subscribeTimeout.cancel();
+                subscribeTimeout = null;
             }
-            step(() -> process.fromSubscriber(connection, message, loop.now()));
+            step(() -> process.fromSubscriber(id, message, loop.now()));
         }
 
         @Override
         public void closed(String reason) {
-            subscriptions.remove(connection);
-            if (hello != null) {
-                hello.cancel();
+            subscriberConnections.remove(id);
+            if (subscribeTimeout != null) {
+                subscribeTimeout.cancel();
             }
-            process.closed(connection, loop.now());
-            timer.at(process.due());
+            process.closed(id, loop.now());
+            timer.setDue(process.due());
         }
     }
 
-    private final class Events implements UpstreamLink.Machine {
+    private final class UpstreamEvents implements UpstreamLink.Events {
         @Override
-        public void connected(long connection) {
-            step(() -> process.connected(connection, loop.now()));
+        public void connected(long connectionId) {
+            step(() -> process.connected(connectionId, loop.now()));
         }
 
         @Override
-        public void disconnected(long connection) {
-            step(() -> process.disconnected(connection, loop.now()));
+        public void disconnected(long connectionId) {
+            step(() -> process.disconnected(connectionId, loop.now()));
         }
 
         @Override
-        public void received(long connection, ControlMessage message) {
-            step(() -> process.fromSource(connection, message, loop.now()));
+        public void received(long connectionId, ControlMessage message) {
+            step(() -> process.fromSource(connectionId, message, loop.now()));
         }
     }
 }
--- a/src/main/java/juniperusher/fleet/ControlService.java
+++ b/src/main/java/juniperusher/fleet/ControlService.java
@@ -24,15 +24,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A control process as its settings describe it: leads with the map of its folder or the first map, or follows; keeps
- * the newest map in its folder; takes the operator's lines. Who leads is said by the settings: the lease of
- * {@code ownership} is not asked yet, the term alone fences an old leader.
+ * A control process of the fleet, configured by {@link ControlSettings}. It runs as the leader, which starts from the
+ * saved map or creates the first one, or as a follower of other control processes. It serves subscribers, saves the
+ * newest map in its folder and answers the commands of the operator port.
+ *
+ * <p>The settings decide which process leads. The lease of the package {@code ownership} is not used yet, so only the
+ * term protects against messages of an earlier leader. All public methods may be called by any thread.
  */
 public final class ControlService implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControlService.class);
-    private static final long START_SECONDS = 20;
-    private static final int SPARE_CONNECTIONS = 64; // beside those of subscribers
-    private static final double ROOM = 1.2; // as the server's
+    private static final long START_TIMEOUT_SECONDS = 20;
+
+    /** Connections that the event loop allows for other uses than subscribers: upstream and operator port. */
+    private static final int OTHER_CONNECTIONS = 64;
+
+    /** Same ratio as in {@link ControlServer}. */
+    private static final double CONNECTIONS_PER_SUBSCRIBER = 1.2;
 
     private final ControlSettings settings;
     private final EventLoop loop;
@@ -41,31 +48,34 @@
     private final Counters counters = new Counters();
     private final Timing timing;
     private final Limits limits;
-    private ControlServer server; // this and what follows are the loop's
-    private LeaderMap leader; // or null
-    private InetSocketAddress listening;
-    private InetSocketAddress operator;
+
+    // The following fields are set on the loop's thread.
+    private ControlServer server;
+    private LeaderMap leader; // null in a follower
+    private InetSocketAddress subscriberAddress;
+    private InetSocketAddress operatorAddress;
 
     private ControlService(ControlSettings settings, Timing timing, Limits limits) throws IOException {
         this.settings = settings;
         this.timing = timing;
         this.limits = limits;
-        loop = new EventLoop("control", (int) (settings.maxSubscribers() * ROOM) + SPARE_CONNECTIONS);
-        file = new MapFile(settings.state(), settings.maxMapBytes());
+        loop = new EventLoop(
+                "control", (int) (settings.maxSubscribers() * CONNECTIONS_PER_SUBSCRIBER) + OTHER_CONNECTIONS);
+        file = new MapFile(settings.stateFolder(), settings.maxMapBytes());
         saver = new MapSaver(file);
     }
 
     /**
-     * Starts one.
+     * Starts a control process and waits until it listens.
      *
-     * @throws IllegalArgumentException in one line, where what the settings name cannot be used
-     * @throws IOException if it cannot listen or write its folder
+     * @throws IllegalArgumentException with a one-line message if a setting or a file that it names is invalid
+     * @throws IOException if the process cannot listen or cannot write its folder
      */
     public static ControlService start(ControlSettings settings) throws IOException {
         return start(settings, loop -> Dialer.direct(loop, Timing.USUAL.connectPatience()));
     }
 
-    /** The same, with other ways to open connections. */
+    /** Starts a control process that opens its upstream connections with the given dialer. */
     public static ControlService start(ControlSettings settings, Function<EventLoop, Dialer> dialers)
             throws IOException {
         ControlService service = new ControlService(settings, Timing.USUAL, limits(settings));
@@ -73,106 +83,106 @@
         CompletableFuture<Void> started = new CompletableFuture<>();
         service.loop.execute(() -> {
             try {
-                service.open(dialers.apply(service.loop));
+                service.initialize(dialers.apply(service.loop));
                 started.complete(null);
             } catch (IOException | RuntimeException e) {
                 started.completeExceptionally(e);
             }
         });
         try {
-            started.get(START_SECONDS, TimeUnit.SECONDS);
+            started.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException | InterruptedException e) {
             service.close();
-            throw failure(e);
+            throw startFailure(e);
         }
         return service;
     }
 
-    private static IOException failure(Exception e) {
-        if (e.getCause() instanceof IllegalArgumentException wrong) {
-            throw wrong;
+    private static IOException startFailure(Exception e) {
+        if (e.getCause() instanceof IllegalArgumentException invalidSettings) {
+            throw invalidSettings;
         }
         if (e instanceof InterruptedException) {
             Thread.currentThread().interrupt();
         }
-        return e.getCause() instanceof IOException io ? io : new IOException("the control process did not start", e);
+        return e.getCause() instanceof IOException io ? io : new IOException("control process failed to start", e);
     }
 
     private static Limits limits(ControlSettings settings) {
-        Limits usual = Limits.USUAL;
+        Limits defaults = Limits.USUAL;
         return new Limits(
                 settings.maxSubscribers(),
-                usual.windowBytes(),
-                usual.windowMessages(),
-                usual.partBytes(),
-                usual.deltaBytes(),
-                usual.changeBytes(),
-                usual.snapshotsAtOnce(),
-                usual.snapshotSeconds(),
+                defaults.windowBytes(),
+                defaults.windowMessages(),
+                defaults.partBytes(),
+                defaults.deltaBytes(),
+                defaults.changeBytes(),
+                defaults.snapshotsAtOnce(),
+                defaults.snapshotSeconds(),
                 settings.maxMapBytes(),
-                usual.logChanges(),
-                usual.logBytes(),
-                usual.retryAfter());
+                defaults.logChanges(),
+                defaults.logBytes(),
+                defaults.retryAfter());
     }
 
-    private void open(Dialer dialer) throws IOException {
+    private void initialize(Dialer dialer) throws IOException {
         long seed = System.nanoTime();
-        server = new ControlServer(loop, dialer, settings.listen(), timing, limits, seed, new Events());
+        server = new ControlServer(loop, dialer, settings.listen(), timing, limits, seed, new ServerListener());
         if (settings.leads()) {
-            lead();
+            startLeading();
         } else {
-            follow();
+            startFollowing();
         }
-        listening = bind("control.listen", settings.listen(), server::listen);
+        subscriberAddress = bindAddress("control.listen", settings.listen(), server::listen);
         if (settings.operator() != null) {
-            operator = bind(
+            operatorAddress = bindAddress(
                     "control.operator",
                     settings.operator(),
                     address -> loop.listen(
                                     address,
-                                    () -> new OperatorPort(this::command),
+                                    () -> new OperatorPort(this::runCommand),
                                     OperatorPort.MAX_CONNECTIONS,
-                                    OperatorPort.MAX_LINE,
-                                    OperatorPort.MAX_OUTPUT)
+                                    OperatorPort.MAX_LINE_BYTES,
+                                    OperatorPort.MAX_OUTPUT_BYTES)
                             .address());
         }
-        showGauges();
+        registerGauges();
     }
 
-    /** Binds a listener. */
+    /** Binds a listening socket and returns the address that it is bound to. */
     private interface Binding {
-        InetSocketAddress at(InetSocketAddress address) throws IOException;
+        InetSocketAddress bind(InetSocketAddress address) throws IOException;
     }
 
-    private static InetSocketAddress bind(String key, String text, Binding binding) throws IOException {
+    private static InetSocketAddress bindAddress(String key, String text, Binding binding) throws IOException {
         InetSocketAddress address = Dialer.address(text);
         if (address.isUnresolved()) {
-            throw new IllegalArgumentException("'" + key + "' = \"" + text + "\": the host is not known");
+            throw new IllegalArgumentException("'" + key + "' = \"" + text + "\": unknown host");
         }
         try {
-            return binding.at(address);
+            return binding.bind(address);
         } catch (IOException e) {
             throw new IOException("'" + key + "' = \"" + text + "\": " + e.getMessage(), e);
         }
     }
 
-    private void lead() throws IOException {
+    private void startLeading() throws IOException {
         boolean exists = Files.exists(file.path());
         Optional<MapFile.Saved> saved = file.read();
         if (exists && saved.isEmpty()) {
-            throw unreadable();
+            throw unreadableMap();
         }
         ShardMap map;
         Version version;
         if (saved.isPresent()) {
-            map = decoded(saved.get());
+            map = decodeSaved(saved.get());
             version = saved.get().version();
         } else {
-            map = first();
-            version = new Version(Math.max(1, settings.term() - 1), 1);
+            map = createFirstMap();
+            version = new Version(Math.max(1, settings.minTerm() - 1), 1);
         }
-        long term = Math.max(settings.term(), version.term() + 1);
-        // On disk before the first message of the term: no term is led under twice.
+        long term = Math.max(settings.minTerm(), version.term() + 1);
+        // Saved before the first message of the term is sent, so that no term is used by two runs of a leader.
         file.write(new Version(term, version.revision() + 1), new ShardMapState().encode(map), Instant.now());
         server.resume(version, map, loop.now());
         server.lead(term);
@@ -184,25 +194,26 @@
                 .log("leading");
     }
 
-    private ShardMap decoded(MapFile.Saved saved) {
+    private ShardMap decodeSaved(MapFile.Saved saved) {
         try {
             return new ShardMapState().decode(saved.snapshot());
         } catch (DamagedStateException e) {
-            file.refuse(e.getMessage());
-            throw unreadable();
+            file.logIgnored(e.getMessage());
+            throw unreadableMap();
         }
     }
 
-    // A leader that began anew under an old term would be refused by all who know a newer one.
-    private IllegalArgumentException unreadable() {
+    // A leader with an unreadable map does not start from the first map: the last term would be unknown, and every
+    // process that knows a newer term would refuse its messages.
+    private IllegalArgumentException unreadableMap() {
         return new IllegalArgumentException(file.path() + ": the leader's map cannot be read: restore it, or move it "
                 + "away and set control.term above the last term");
     }
 
-    private ShardMap first() throws IOException {
+    private ShardMap createFirstMap() throws IOException {
         if (settings.relays() == null) {
-            throw new IllegalArgumentException(
-                    "'control.relays': a leader without a map in " + settings.state() + " needs the list of relays");
+            throw new IllegalArgumentException("'control.relays': a leader without a map in " + settings.stateFolder()
+                    + " needs the list of relays");
         }
         if (!Files.isRegularFile(settings.relays())) {
             throw new IllegalArgumentException(
@@ -215,7 +226,7 @@
         }
     }
 
-    private void follow() {
+    private void startFollowing() {
         file.read().ifPresent(saved -> {
             try {
                 ShardMap map = new ShardMapState().decode(saved.snapshot());
@@ -223,14 +234,14 @@
                 double currentAt = age.isNegative() ? Double.NEGATIVE_INFINITY : loop.now() - age.toMillis() / 1000.0;
                 server.resume(saved.version(), map, currentAt);
             } catch (DamagedStateException e) {
-                file.refuse(e.getMessage());
+                file.logIgnored(e.getMessage());
             }
         });
         server.follow(settings.upstream());
         LOG.atInfo().addKeyValue("upstream", settings.upstream()).log("following");
     }
 
-    private void command(String line, Consumer<String> answer) {
+    private void runCommand(String line, Consumer<String> answer) {
         if (line.equals("status")) {
             answer.accept(status());
         } else if (line.equals("metrics")) {
@@ -261,8 +272,8 @@
         return map == null ? 0 : map.epoch();
     }
 
-    // Asked on the loop's thread alone, by the operator's line.
-    private void showGauges() {
+    // The gauges read state of the loop's thread; only the operator command "metrics" evaluates them, on that thread.
+    private void registerGauges() {
         Publisher<ShardMap> publisher = server.process().publisher();
         counters.gauge("control_leads", () -> publisher.leads() ? 1 : 0);
         counters.gauge("control_term", publisher::term);
@@ -281,48 +292,49 @@
         counters.gauge("control_messages_out", () -> server.downstreamTraffic().messagesOut());
     }
 
-    /** Where subscribers connect. */
+    /** The address on which the process accepts subscribers. */
     public InetSocketAddress listening() {
-        return listening;
+        return subscriberAddress;
     }
 
-    /** Where the operator's lines go; null where there is none. */
+    /** The address of the operator port, or null if there is none. */
     public InetSocketAddress operator() {
-        return operator;
+        return operatorAddress;
     }
 
-    /** The loop, for a laboratory that cuts the network. */
+    /** The event loop; lab runs use it to simulate a network partition. */
     public EventLoop loop() {
         return loop;
     }
 
-    /** The server, on the loop's thread, for a laboratory. */
+    /** The server, for lab runs. Use it only on the thread of {@link #loop}. */
     public ControlServer server() {
         return server;
     }
 
-    private final class Events implements ControlServer.Listener {
+    private final class ServerListener implements ControlServer.Listener {
         @Override
-        public void inForce(Version version, ShardMap map) {
+        public void mapActivated(Version version, ShardMap map) {
             saver.save(version, map);
         }
 
         @Override
-        public void refused(Version version, String reason) {
+        public void mapRefused(Version version, String reason) {
             LOG.atWarn()
                     .addKeyValue("version", version)
                     .addKeyValue("reason", reason)
-                    .log("a shard map is refused, the one before stays in force");
+                    .log("shard map refused; the previous one stays active");
         }
 
         @Override
-        public void deposed(long term) {
+        public void leadershipLost(long term) {
             if (leader != null) {
-                leader.deposed();
+                leader.leadershipLost();
             }
         }
     }
 
+    /** Stops the event loop and waits a limited time for a map that is being saved. */
     @Override
     public void close() {
         loop.close();
--- a/src/main/java/juniperusher/fleet/ControlSettings.java
+++ b/src/main/java/juniperusher/fleet/ControlSettings.java
@@ -5,35 +5,38 @@
 import java.util.List;
 
 /**
- * The table {@code [control]} of a control process.
+ * The settings of a control process, from the table {@code [control]}.
  *
- * @param listen where subscribers connect, as host:port
- * @param state the folder that lasts
- * @param upstream the control processes that it follows; none for the leader
- * @param relays file that names the relays of the first map, or null
- * @param destinations that the first map covers
- * @param term the least term to lead under
- * @param operator loopback host:port for the operator's lines, or null
+ * @param listen host:port on which subscribers connect
+ * @param stateFolder the persistent folder
+ * @param upstream host:port of the control processes to follow; empty for the leader
+ * @param relays file that lists the relays of the first map, or null
+ * @param destinations number of destinations in the first map
+ * @param rangesPerRelay number of ranges that each relay owns in the first map
+ * @param minTerm the lowest term to lead under
+ * @param operator loopback host:port of the operator port, or null for none
+ * @param maxSubscribers limit on relays that subscribe at the same time
+ * @param maxMapBytes size limit of an encoded map
  */
 public record ControlSettings(
         String listen,
-        Path state,
+        Path stateFolder,
         List<String> upstream,
         Path relays,
         int destinations,
         int rangesPerRelay,
-        long term,
+        long minTerm,
         String operator,
         int maxSubscribers,
         int maxMapBytes) {
-    /** From the table, which its schema has checked and filled with defaults. */
+    /** Reads the settings from the table, which has been validated and filled with defaults by its schema. */
     public static ControlSettings of(JsonObject table) {
         String relays = table.getString("relays", "");
         String operator = table.getString("operator", "");
         return new ControlSettings(
                 table.getString("listen", ""),
                 Path.of(table.getString("state", "")),
-                FleetSettings.texts(table, "upstream"),
+                FleetSettings.strings(table, "upstream"),
                 relays.isEmpty() ? null : Path.of(relays),
                 table.get("destinations").asInt(),
                 table.get("ranges_per_relay").asInt(),
@@ -43,7 +46,7 @@
                 table.get("max_map_bytes").asInt());
     }
 
-    /** Whether the process leads. */
+    /** Whether the process is the leader. */
     public boolean leads() {
         return upstream.isEmpty();
     }
--- a/src/main/java/juniperusher/fleet/DueTimer.java
+++ b/src/main/java/juniperusher/fleet/DueTimer.java
@@ -1,14 +1,15 @@
 package juniperusher.fleet;
 
 /**
- * Calls a state machine when it is due. A due time that moves to later costs nothing until the earlier one has come,
- * so that a machine which hears something often is not a timer each time.
+ * Calls a state machine at its due time. When the due time moves to a later one, the scheduled timer is kept and checks
+ * the due time when it expires. A machine whose due time moves with every message therefore needs no new timer per
+ * message.
  */
 final class DueTimer {
     private final EventLoop loop;
     private final Runnable tick;
     private EventLoop.Timer timer;
-    private double timerAt = Double.POSITIVE_INFINITY;
+    private double timerDue = Double.POSITIVE_INFINITY;
     private double due = Double.POSITIVE_INFINITY;
 
     DueTimer(EventLoop loop, Runnable tick) {
@@ -16,24 +17,24 @@
         this.tick = tick;
     }
 
-    /** The machine is due at that time now; infinite for never. */
-    void at(double time) {
+    /** Sets the due time, in seconds of the loop's clock; infinity for never. */
+    void setDue(double time) {
         due = time;
-        if (due >= timerAt || due == Double.POSITIVE_INFINITY) {
+        if (due >= timerDue || due == Double.POSITIVE_INFINITY) {
             return;
         }
         cancel();
-        timerAt = due;
-        timer = loop.schedule(due - loop.now(), this::fire);
+        timerDue = due;
+        timer = loop.schedule(due - loop.now(), this::timerExpired);
     }
 
-    private void fire() {
+    private void timerExpired() {
         timer = null;
-        timerAt = Double.POSITIVE_INFINITY;
+        timerDue = Double.POSITIVE_INFINITY;
         if (loop.now() >= due) {
             tick.run();
         } else {
-            at(due);
+            setDue(due);
         }
     }
 
@@ -41,7 +42,7 @@
         if (timer != null) {
             timer.cancel();
             timer = null;
-            timerAt = Double.POSITIVE_INFINITY;
+            timerDue = Double.POSITIVE_INFINITY;
         }
     }
 }
--- a/src/main/java/juniperusher/fleet/EventLoop.java
+++ b/src/main/java/juniperusher/fleet/EventLoop.java
@@ -20,45 +20,47 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread that serves all sockets and timers of the fleet's control traffic. Everything but {@link #execute},
- * {@link #close} and {@link #now} is called on that thread alone. The work of one turn is bounded: each ready
- * connection is read once and written once, each listener accepts a bounded number, and tasks that are added
- * during a turn wait for the next one. An exception of a handler closes its connection and nothing else.
+ * A single-threaded event loop that serves all sockets and timers of the fleet's control traffic. Any thread may call
+ * {@link #execute}, {@link #close}, {@link #now} and {@link #connections}; all other methods are for the loop's thread.
+ *
+ * <p>The work of one iteration is bounded: each ready connection is read once and written once, each listener accepts
+ * at most {@code MAX_ACCEPTS_PER_ITERATION} connections, and tasks that are added while tasks run wait for the next
+ * iteration. An exception in a connection's handler closes only that connection.
  */
 public final class EventLoop implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-    private static final int READ_BYTES = 64 * 1024;
-    private static final int ACCEPTS_PER_TURN = 64;
-    private static final int BACKLOG = 4_096; // connections that the kernel may hold for a listener
-    private static final double ACCEPT_PAUSE = 0.1; // s without accepting after a failure, such as no descriptor
-    private static final double NANOS = 1e9;
-    private static final long JOIN_MILLIS = 5_000;
+    private static final int READ_BUFFER_BYTES = 64 * 1024;
+    private static final int MAX_ACCEPTS_PER_ITERATION = 64;
+    private static final int LISTEN_BACKLOG = 4_096; // connections that the kernel may queue for a listener
+    private static final double ACCEPT_RETRY_SECONDS = 0.1; // after a failure, e.g. when no file descriptor is free
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final long CLOSE_TIMEOUT_MILLIS = 5_000;
 
     private final Selector selector;
     private final Thread thread;
-    private final long epoch = System.nanoTime();
+    private final long startNanos = System.nanoTime();
     private final int maxConnections;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
     private int connections;
     private long timerSequence;
     private volatile boolean closing;
-    private volatile int openConnections;
+    private volatile int publishedConnections; // the value of connections, for other threads
 
-    /** A task at a time. */
+    /** A task that is due at a given time. Timers that are due at the same time run in the order of their creation. */
     public final class Timer implements Comparable<Timer> {
-        private final double at;
+        private final double dueSeconds;
         private final long sequence;
         private Runnable task;
 
-        private Timer(double at, Runnable task) {
-            this.at = at;
+        private Timer(double dueSeconds, Runnable task) {
+            this.dueSeconds = dueSeconds;
             this.sequence = timerSequence++;
             this.task = task;
         }
 
-        /** The task is not run any more. */
+        /** Cancels the task; has no effect once it has run. */
         public void cancel() {
             task = null;
             timers.remove(this);
@@ -66,7 +68,7 @@
 
         @Override
         public int compareTo(Timer other) {
-            int byTime = Double.compare(at, other.at);
+            int byTime = Double.compare(dueSeconds, other.dueSeconds);
             return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
@@ -76,28 +78,28 @@
         private final ServerSocketChannel channel;
         private final SelectionKey key;
         private final Supplier<Connection.Handler> handlers;
-        private final int maxAccepted;
+        private final int maxOpenConnections;
         private final int maxOutput;
         private final int maxInput;
-        private int accepted;
-        private long refused;
+        private int openConnections;
+        private long refusedConnections;
 
         private Listener(
                 ServerSocketChannel channel,
                 Supplier<Connection.Handler> handlers,
-                int maxAccepted,
+                int maxOpenConnections,
                 int maxInput,
                 int maxOutput)
                 throws IOException {
             this.channel = channel;
             this.handlers = handlers;
-            this.maxAccepted = maxAccepted;
+            this.maxOpenConnections = maxOpenConnections;
             this.maxInput = maxInput;
             this.maxOutput = maxOutput;
             key = channel.register(selector, SelectionKey.OP_ACCEPT, this);
         }
 
-        /** The address that it is bound to. */
+        /** The address that the socket is bound to. */
         public InetSocketAddress address() {
             try {
                 return (InetSocketAddress) channel.getLocalAddress();
@@ -106,48 +108,49 @@
             }
         }
 
-        /** How many of its connections are open. */
-        public int open() {
-            return accepted;
+        /** Number of open connections that this listener has accepted. */
+        public int openConnections() {
+            return openConnections;
         }
 
-        /** How many connections were closed at once for want of room. */
-        public long refused() {
-            return refused;
+        /** Number of connections that were closed on arrival because a connection limit was reached. */
+        public long refusedConnections() {
+            return refusedConnections;
         }
 
-        /** Stops accepting; open connections stay. */
+        /** Stops accepting; open connections are kept. */
         public void close() {
             closeQuietly(channel);
         }
 
         private void accept() {
-            for (int i = 0; i < ACCEPTS_PER_TURN; i++) {
+            for (int i = 0; i < MAX_ACCEPTS_PER_ITERATION; i++) {
                 SocketChannel socket;
                 try {
                     socket = channel.accept();
                 } catch (IOException e) {
-                    pause(e);
+                    pauseAccepting(e);
                     return;
                 }
                 if (socket == null) {
                     return;
                 }
-                if (accepted >= maxAccepted || connections >= maxConnections) {
-                    refused++;
+                if (openConnections >= maxOpenConnections || connections >= maxConnections) {
+                    refusedConnections++;
                     closeQuietly(socket);
                     continue;
                 }
-                accepted++;
-                EventLoop.this.open(socket, handlers.get(), maxInput, maxOutput, () -> accepted--);
+                openConnections++;
+                EventLoop.this.openAccepted(socket, handlers.get(), maxInput, maxOutput, () -> openConnections--);
             }
         }
 
-        // Guards against a busy loop while the process has no descriptor left.
-        private void pause(IOException why) {
-            LOG.atWarn().addKeyValue("reason", why.getMessage()).log("cannot accept a connection");
+        // Without a pause the selector would report the listener again at once and the loop would use a full core for
+        // as long as the process has no free file descriptor.
+        private void pauseAccepting(IOException cause) {
+            LOG.atWarn().addKeyValue("reason", cause.getMessage()).log("cannot accept a connection");
             key.interestOps(0);
-            schedule(ACCEPT_PAUSE, () -> {
+            schedule(ACCEPT_RETRY_SECONDS, () -> {
                 if (key.isValid()) {
                     key.interestOps(SelectionKey.OP_ACCEPT);
                 }
@@ -155,7 +158,12 @@
         }
     }
 
-    /** A loop that holds at most so many connections; it runs from {@link #start} on. */
+    /**
+     * Creates a loop, which runs once {@link #start} is called.
+     *
+     * @param name of the loop's thread
+     * @param maxConnections limit on accepted and outgoing connections together
+     */
     public EventLoop(String name, int maxConnections) throws IOException {
         this.maxConnections = maxConnections;
         selector = Selector.open();
@@ -168,25 +176,25 @@
         thread.start();
     }
 
-    /** Seconds on the loop's monotonic clock. Any thread. */
+    /** Seconds since the loop was created, by a monotonic clock. Any thread may call it. */
     public double now() {
-        return (System.nanoTime() - epoch) / NANOS;
+        return (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
     }
 
-    /** How many connections are open or being opened. Any thread. */
+    /** Number of connections that are open or being opened. Any thread may call it. */
     public int connections() {
-        return openConnections;
+        return publishedConnections;
     }
 
-    /** Runs the task on the loop's thread. Any thread. */
+    /** Runs the task on the loop's thread, never within this call. Any thread may call it. */
     public void execute(Runnable task) {
         tasks.add(task);
         selector.wakeup();
     }
 
-    /** Runs the task after {@code delay} seconds. */
-    public Timer schedule(double delay, Runnable task) {
-        Timer timer = new Timer(now() + Math.max(0, delay), task);
+    /** Runs the task after a delay; a negative delay counts as zero. */
+    public Timer schedule(double delaySeconds, Runnable task) {
+        Timer timer = new Timer(now() + Math.max(0, delaySeconds), task);
         timers.add(timer);
         return timer;
     }
@@ -194,15 +202,15 @@
     /**
      * Listens at the address.
      *
-     * @param handlers    makes the handler of each accepted connection
-     * @param maxAccepted connections that are open at once; more are closed as soon as they are accepted
-     * @param maxInput    bytes of input that a handler may leave unread
-     * @param maxOutput   bytes of output that may wait for the peer
+     * @param handlers creates the handler of each accepted connection
+     * @param maxOpenConnections limit on this listener's open connections; further ones are closed on arrival
+     * @param maxInput limit on the bytes of input that a handler has not consumed
+     * @param maxOutput limit on the bytes of queued output
      */
     public Listener listen(
             InetSocketAddress address,
             Supplier<Connection.Handler> handlers,
-            int maxAccepted,
+            int maxOpenConnections,
             int maxInput,
             int maxOutput)
             throws IOException {
@@ -210,8 +218,8 @@
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            channel.bind(address, BACKLOG);
-            return new Listener(channel, handlers, maxAccepted, maxInput, maxOutput);
+            channel.bind(address, LISTEN_BACKLOG);
+            return new Listener(channel, handlers, maxOpenConnections, maxInput, maxOutput);
         } catch (IOException | RuntimeException e) {
             channel.close();
             throw e;
@@ -219,18 +227,18 @@
     }
 
     /**
-     * Opens a connection. The handler hears {@link Connection.Handler#opened} or
-     * {@link Connection.Handler#closed}, in a later turn.
+     * Opens a connection. {@link Connection.Handler#opened} or {@link Connection.Handler#closed} is called later, never
+     * during this call.
      *
-     * @param timeout seconds until the attempt counts as failed
+     * @param timeoutSeconds time after which the attempt counts as failed
      */
     public Connection connect(
-            InetSocketAddress address, double timeout, Connection.Handler handler, int maxInput, int maxOutput) {
+            InetSocketAddress address, double timeoutSeconds, Connection.Handler handler, int maxInput, int maxOutput) {
         Connection connection = new Connection(this, handler, maxInput, maxOutput, () -> {});
         connections++;
-        openConnections = connections;
+        publishedConnections = connections;
         if (connections > maxConnections) {
-            schedule(0, () -> connection.close("no room for one more connection"));
+            schedule(0, () -> connection.close("connection limit reached"));
             return connection;
         }
         SocketChannel channel = null;
@@ -241,9 +249,9 @@
             boolean connected = channel.connect(address);
             connection.register(channel, selector, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT);
             if (connected) {
-                schedule(0, connection::connected);
+                schedule(0, connection::notifyOpened);
             } else {
-                connection.timeout(schedule(timeout, () -> connection.close("connect timed out")));
+                connection.setConnectTimeout(schedule(timeoutSeconds, () -> connection.close("connect timed out")));
             }
         } catch (IOException | RuntimeException e) {
             closeQuietly(channel);
@@ -253,44 +261,44 @@
         return connection;
     }
 
-    private void open(
-            SocketChannel socket, Connection.Handler handler, int maxInput, int maxOutput, Runnable whenClosed) {
-        Connection connection = new Connection(this, handler, maxInput, maxOutput, whenClosed);
+    private void openAccepted(
+            SocketChannel socket, Connection.Handler handler, int maxInput, int maxOutput, Runnable onClosed) {
+        Connection connection = new Connection(this, handler, maxInput, maxOutput, onClosed);
         connections++;
-        openConnections = connections;
+        publishedConnections = connections;
         try {
             socket.configureBlocking(false);
             socket.setOption(StandardSocketOptions.TCP_NODELAY, true);
             connection.register(socket, selector, SelectionKey.OP_READ);
-            connection.connected();
+            connection.notifyOpened();
         } catch (IOException e) {
             closeQuietly(socket);
             connection.close(e.getMessage());
         }
     }
 
-    /** A connection of this loop is closed. */
-    void released() {
+    /** Called by each connection of this loop when it is closed. */
+    void connectionClosed() {
         connections--;
-        openConnections = connections;
+        publishedConnections = connections;
     }
 
     private void run() {
         while (!closing) {
             try {
-                turn();
+                runIteration();
             } catch (IOException | RuntimeException e) {
-                LOG.atError().setCause(e).log("a turn of the fleet's event loop failed");
+                LOG.atError().setCause(e).log("fleet event loop iteration failed");
             }
         }
         closeAll();
     }
 
-    private void turn() throws IOException {
+    private void runIteration() throws IOException {
         select();
-        readyKeys();
-        dueTimers();
-        pendingTasks();
+        processReadyKeys();
+        runDueTimers();
+        runPendingTasks();
     }
 
     private void select() throws IOException {
@@ -303,7 +311,7 @@
             selector.select();
             return;
         }
-        long millis = (long) Math.ceil((next.at - now()) * 1000);
+        long millis = (long) Math.ceil((next.dueSeconds - now()) * 1000);
         if (millis <= 0) {
             selector.selectNow();
         } else {
@@ -311,7 +319,7 @@
         }
     }
 
-    private void readyKeys() {
+    private void processReadyKeys() {
         Iterator<SelectionKey> keys = selector.selectedKeys().iterator();
         while (keys.hasNext()) {
             SelectionKey key = keys.next();
@@ -322,15 +330,15 @@
             if (key.attachment() instanceof Listener listener) {
                 listener.accept();
             } else {
-                ((Connection) key.attachment()).ready(readBuffer);
+                ((Connection) key.attachment()).handleReady(readBuffer);
             }
         }
     }
 
-    private void dueTimers() {
+    private void runDueTimers() {
         double now = now();
         ArrayDeque<Runnable> due = new ArrayDeque<>();
-        while (!timers.isEmpty() && timers.peek().at <= now) {
+        while (!timers.isEmpty() && timers.peek().dueSeconds <= now) {
             Runnable task = timers.poll().task;
             if (task != null) {
                 due.add(task);
@@ -339,7 +347,7 @@
         due.forEach(this::runTask);
     }
 
-    private void pendingTasks() {
+    private void runPendingTasks() {
         for (int i = tasks.size(); i > 0; i--) {
             Runnable task = tasks.poll();
             if (task != null) {
@@ -352,14 +360,14 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.atError().setCause(e).log("a task of the fleet's event loop failed");
+            LOG.atError().setCause(e).log("fleet event loop task failed");
         }
     }
 
     private void closeAll() {
         for (SelectionKey key : new ArrayList<>(selector.keys())) {
             if (key.attachment() instanceof Connection connection) {
-                connection.close("this process ends");
+                connection.close("process is shutting down");
             } else {
                 closeQuietly(key.channel());
             }
@@ -374,11 +382,14 @@
         try {
             closeable.close();
         } catch (Exception e) {
-            LOG.atDebug().setCause(e).log("closing failed");
+            LOG.atDebug().setCause(e).log("close failed");
         }
     }
 
-    /** Ends the thread and closes every socket. Any thread but the loop's own waits until that is done. */
+    /**
+     * Ends the loop's thread and closes all sockets. Any thread may call it; a thread other than the loop's waits for
+     * the end, but no longer than {@code CLOSE_TIMEOUT_MILLIS}.
+     */
     @Override
     public void close() {
         closing = true;
@@ -387,7 +398,7 @@
             return;
         }
         try {
-            thread.join(JOIN_MILLIS);
+            thread.join(CLOSE_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/juniperusher/fleet/FirstMap.java
+++ b/src/main/java/juniperusher/fleet/FirstMap.java
@@ -11,20 +11,22 @@
 import juniperusher.shard.ShardRange;
 
 /**
- * The map that a fleet begins with. Each region has a run of destinations in proportion to its relays' weight; each
- * relay owns the same number of ranges in it, spread over the run, in proportion to its weight.
+ * Creates the first shard map of a fleet. Each region gets a contiguous interval of destinations, in proportion to the
+ * total weight of its relays. Every relay owns the same number of ranges, which are spread over the interval of its
+ * region; their size is in proportion to the relay's weight.
  */
 public final class FirstMap {
     private FirstMap() {}
 
     /**
-     * The map of epoch 1.
+     * Creates the map of epoch 1.
      *
-     * @throws IllegalArgumentException in one line, where there are fewer destinations than ranges or no relays
+     * @param destinations number of destinations
+     * @throws IllegalArgumentException with a one-line message if there are no relays or fewer destinations than ranges
      */
     public static ShardMap of(Collection<RelayInfo> relays, int destinations, int rangesPerRelay) {
         if (relays.isEmpty()) {
-            throw new IllegalArgumentException("no relay is named");
+            throw new IllegalArgumentException("the list of relays is empty");
         }
         if (destinations < (long) relays.size() * rangesPerRelay) {
             throw new IllegalArgumentException("destinations = " + destinations + ": expected at least "
@@ -49,7 +51,7 @@
         return regions;
     }
 
-    /** One range for each slot: one destination, and of the others a share in proportion to its weight. */
+    /** One range per slot. It has one destination, plus a share of the remaining ones in proportion to its weight. */
     private static List<ShardRange> ranges(List<RelayInfo> slots, int destinations) {
         long weights = slots.stream().mapToLong(RelayInfo::weight).sum();
         long shared = destinations - slots.size();
--- a/src/main/java/juniperusher/fleet/FleetMembership.java
+++ b/src/main/java/juniperusher/fleet/FleetMembership.java
@@ -14,21 +14,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A relay's part in the fleet: it subscribes to the shard map on a loop of its own, keeps the last map in the relay's
- * folder and shows how old it is. Nothing that the relay sends depends on the map yet.
+ * Makes a relay a member of the fleet: subscribes to the shard map on an event loop of its own, saves the newest map in
+ * the relay's folder and exports its age as a metric. No call of the relay depends on the map yet.
  */
 public final class FleetMembership implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(FleetMembership.class);
     private static final int MAX_CONNECTIONS = 8;
-    private static final double CHECK_SECONDS = 1; // between two looks at the map's age
+    private static final double AGE_CHECK_SECONDS = 1;
 
     private final EventLoop loop;
     private final FleetSettings settings;
     private final MapSaver saver;
     private final Counters counters;
-    private ControlClient client; // the loop's
-    private boolean stale; // as it was told in the log last
-    private volatile ControlClient shown; // the same for gauges
+    private ControlClient client; // used on the loop's thread only
+    private boolean staleLogged; // whether the last log entry on the age called the map stale
+    private volatile ControlClient publishedClient; // the client for other threads; null until it exists
 
     private FleetMembership(FleetSettings settings, MapFile file, Counters counters, EventLoop loop) {
         this.settings = settings;
@@ -38,17 +38,19 @@
     }
 
     /**
-     * Subscribes; the map in the folder is in force at once, however old, if it can be read.
+     * Subscribes the relay to the shard map. A readable map in the folder becomes active before the subscription
+     * starts, whatever its age.
      *
-     * @param name the relay's, unique in the fleet
-     * @param state the relay's folder that lasts
+     * @param name the relay's name, unique in the fleet
+     * @param state the relay's persistent folder
+     * @throws IOException if the event loop cannot be created
      */
     public static FleetMembership start(FleetSettings settings, String name, Path state, Counters counters)
             throws IOException {
         EventLoop loop = new EventLoop("fleet", MAX_CONNECTIONS);
         MapFile file = new MapFile(state, settings.maxMapBytes());
         FleetMembership membership = new FleetMembership(settings, file, counters, loop);
-        membership.showGauges();
+        membership.registerGauges();
         loop.start();
         loop.execute(() -> membership.subscribe(name, file));
         return membership;
@@ -62,14 +64,14 @@
                 Timing.USUAL,
                 settings.maxMapBytes(),
                 System.nanoTime() ^ name.hashCode(),
-                new Events());
-        resume(file);
-        shown = client;
+                new MapListener());
+        resumeSaved(file);
+        publishedClient = client;
         client.start(settings.control());
-        loop.schedule(CHECK_SECONDS, this::checkAge);
+        loop.schedule(AGE_CHECK_SECONDS, this::checkAge);
     }
 
-    private void resume(MapFile file) {
+    private void resumeSaved(MapFile file) {
         Optional<MapFile.Saved> saved = file.read();
         if (saved.isEmpty()) {
             return;
@@ -77,52 +79,52 @@
         try {
             ShardMap map = new ShardMapState().decode(saved.get().snapshot());
             Duration age = Duration.between(saved.get().writtenAt(), Instant.now());
-            // A wall clock that went back says nothing about the age.
+            // If the wall clock was set back since the file was written, the age is unknown.
             double currentAt = age.isNegative() ? Double.NEGATIVE_INFINITY : loop.now() - age.toMillis() / 1000.0;
             client.resume(saved.get().version(), map, currentAt);
             LOG.atInfo()
                     .addKeyValue("epoch", map.epoch())
                     .addKeyValue("age_seconds", age.isNegative() ? "unknown" : age.toSeconds())
-                    .log("the saved shard map is in force until a control process is reached");
+                    .log("using the saved shard map until a control process is reached");
         } catch (DamagedStateException e) {
-            file.refuse(e.getMessage());
+            file.logIgnored(e.getMessage());
         }
     }
 
     private void checkAge() {
-        double age = age();
-        boolean now = age > settings.staleAfter();
-        if (now != stale) {
-            stale = now;
+        double ageSeconds = ageSeconds();
+        boolean stale = ageSeconds > settings.staleAfterSeconds();
+        if (stale != staleLogged) {
+            staleLogged = stale;
             ShardMap map = client.status().map();
             LOG.atWarn()
                     .addKeyValue("epoch", map == null ? 0 : map.epoch())
-                    .addKeyValue("age_seconds", Double.isInfinite(age) ? "unknown" : Math.round(age))
-                    .log(now ? "the shard map is stale" : "the shard map is current again");
+                    .addKeyValue("age_seconds", Double.isInfinite(ageSeconds) ? "unknown" : Math.round(ageSeconds))
+                    .log(stale ? "the shard map is stale" : "the shard map is current again");
         }
-        loop.schedule(CHECK_SECONDS, this::checkAge);
+        loop.schedule(AGE_CHECK_SECONDS, this::checkAge);
     }
 
-    /** Seconds for which the map may have been out of date; infinite where that is not known. Any thread. */
-    public double age() {
-        ControlClient from = shown;
-        return from == null
+    /** Seconds for which the map may have been out of date; infinite if that is not known. Any thread may call it. */
+    public double ageSeconds() {
+        ControlClient current = publishedClient;
+        return current == null
                 ? Double.POSITIVE_INFINITY
-                : Math.max(0, loop.now() - from.status().currentAt());
+                : Math.max(0, loop.now() - current.status().currentAt());
     }
 
-    /** The map in force, or null. Any thread. */
+    /** The active map, or null. Any thread may call it. */
     public ShardMap map() {
-        ControlClient from = shown;
-        return from == null ? null : from.status().map();
+        ControlClient current = publishedClient;
+        return current == null ? null : current.status().map();
     }
 
-    private void showGauges() {
+    private void registerGauges() {
         counters.gauge("fleet_map_epoch", this::epoch);
-        counters.gauge("fleet_map_age_seconds", this::age);
-        counters.gauge("fleet_map_stale", () -> age() > settings.staleAfter() ? 1 : 0);
+        counters.gauge("fleet_map_age_seconds", this::ageSeconds);
+        counters.gauge("fleet_map_stale", () -> ageSeconds() > settings.staleAfterSeconds() ? 1 : 0);
         counters.gauge("fleet_subscribed", this::subscribed);
-        counters.gauge("fleet_maps_refused", this::refused);
+        counters.gauge("fleet_maps_refused", this::refusedMaps);
     }
 
     private double epoch() {
@@ -131,28 +133,29 @@
     }
 
     private double subscribed() {
-        return shown != null && shown.status().source() != null ? 1 : 0;
+        return publishedClient != null && publishedClient.status().source() != null ? 1 : 0;
     }
 
-    private double refused() {
-        return shown == null ? 0 : shown.status().refused();
+    private double refusedMaps() {
+        return publishedClient == null ? 0 : publishedClient.status().refused();
     }
 
-    private final class Events implements ControlClient.Listener {
+    private final class MapListener implements ControlClient.Listener {
         @Override
         public void inForce(Version version, ShardMap map) {
             saver.save(version, map);
         }
 
         @Override
-        public void refused(Version version, String reason) {
+        public void mapRefused(Version version, String reason) {
             LOG.atWarn()
                     .addKeyValue("version", version)
                     .addKeyValue("reason", reason)
-                    .log("a shard map is refused, the one before stays in force");
+                    .log("shard map refused; the previous one stays active");
         }
     }
 
+    /** Stops the subscription and waits a limited time for a map that is being saved. */
     @Override
     public void close() {
         loop.close();
--- a/src/main/java/juniperusher/fleet/FleetSettings.java
+++ b/src/main/java/juniperusher/fleet/FleetSettings.java
@@ -6,28 +6,31 @@
 import java.util.List;
 
 /**
- * The table {@code [fleet]} of a relay.
+ * The settings of a relay's fleet membership, from the table {@code [fleet]}.
  *
- * @param control host:port of the control processes, in the file's order
- * @param staleAfter seconds without word of a control process after which the map counts as stale
- * @param maxMapBytes of the largest map that is taken
+ * @param control host:port of the control processes, in order of preference
+ * @param region the relay's region
+ * @param zone the relay's zone
+ * @param staleAfterSeconds age from which the map counts as stale
+ * @param maxMapBytes size limit of an encoded map
  */
-public record FleetSettings(List<String> control, String region, String zone, double staleAfter, int maxMapBytes) {
-    /** From the table, which its schema has checked and filled with defaults. */
+public record FleetSettings(
+        List<String> control, String region, String zone, double staleAfterSeconds, int maxMapBytes) {
+    /** Reads the settings from the table, which has been validated and filled with defaults by its schema. */
     public static FleetSettings of(JsonObject table) {
         return new FleetSettings(
-                texts(table, "control"),
+                strings(table, "control"),
                 table.getString("region", ""),
                 table.getString("zone", ""),
                 table.get("stale_after").asDouble(),
                 table.get("max_map_bytes").asInt());
     }
 
-    static List<String> texts(JsonObject table, String key) {
-        List<String> texts = new ArrayList<>();
+    static List<String> strings(JsonObject table, String key) {
+        List<String> strings = new ArrayList<>();
         for (JsonValue value : table.get(key).asArray()) {
-            texts.add(value.asString());
+            strings.add(value.asString());
         }
-        return List.copyOf(texts);
+        return List.copyOf(strings);
     }
 }
--- a/src/main/java/juniperusher/fleet/LeaderMap.java
+++ b/src/main/java/juniperusher/fleet/LeaderMap.java
@@ -17,29 +17,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's map and the changes that wait for their epoch. Changes that come while an epoch is being saved share
- * the next one. An epoch is computed and on disk before it is published, and computing and saving are done on the
- * saver's thread; everything else on the loop's.
+ * Applies requested changes to the leader's map. Changes that arrive while an epoch is being saved are combined into
+ * the next one. An epoch is saved before it is published. Epochs are computed and saved on the saver's thread;
+ * everything else runs on the loop's thread.
  */
 final class LeaderMap {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderMap.class);
-    private static final int MAX_WAITING = 16_384; // changes
-    private static final int MAX_BATCH = 512; // changes in one epoch, so that its delta fits a frame
+    private static final int MAX_PENDING_CHANGES = 16_384;
+    private static final int MAX_CHANGES_PER_EPOCH = 512; // so that the delta fits into one frame
 
     private final EventLoop loop;
     private final ControlServer server;
     private final MapFile file;
     private final MapSaver saver;
     private final ShardMapCodec codec = new ShardMapCodec();
-    private final Queue<Change> waiting = new ArrayDeque<>();
+    private final Queue<Change> pendingChanges = new ArrayDeque<>();
     private ShardMap map;
     private boolean committing;
-    private boolean deposed;
+    private boolean leadershipLost;
 
-    /** What an operator asked for, and who hears of it: the epoch in which it is, or why it is refused. */
+    /** A change that an operator requested. The reply is the epoch that contains it, or the reason for its refusal. */
     private record Change(List<ShardMapStep> steps, Consumer<String> reply) {}
 
-    /** An epoch that is on disk. */
+    /** A new map, its delta from the current map, and the changes that it contains. */
     private record Epoch(ShardMap map, byte[] delta, List<Change> changes) {}
 
     LeaderMap(EventLoop loop, ControlServer server, MapFile file, MapSaver saver, ShardMap map) {
@@ -50,45 +50,45 @@
         this.map = map;
     }
 
-    /** The change is to be made; the reply comes on the loop's thread. */
+    /** Requests a change, which consists of all steps or none. The reply is given on the loop's thread. */
     void submit(List<ShardMapStep> steps, Consumer<String> reply) {
-        if (deposed) {
+        if (leadershipLost) {
             reply.accept("refused: this process does not lead any more");
-        } else if (waiting.size() >= MAX_WAITING) {
-            reply.accept("refused: " + MAX_WAITING + " changes wait already");
+        } else if (pendingChanges.size() >= MAX_PENDING_CHANGES) {
+            reply.accept("refused: " + MAX_PENDING_CHANGES + " changes wait already");
         } else {
-            waiting.add(new Change(steps, reply));
+            pendingChanges.add(new Change(steps, reply));
             commitNext();
         }
     }
 
-    /** Another process leads: nothing is published any more. */
-    void deposed() {
-        deposed = true;
-        waiting.forEach(change -> change.reply().accept("refused: this process does not lead any more"));
-        waiting.clear();
+    /** Refuses all pending and later changes, because another process leads under a newer term. */
+    void leadershipLost() {
+        leadershipLost = true;
+        pendingChanges.forEach(change -> change.reply().accept("refused: this process does not lead any more"));
+        pendingChanges.clear();
     }
 
     private void commitNext() {
-        if (committing || waiting.isEmpty() || deposed) {
+        if (committing || pendingChanges.isEmpty() || leadershipLost) {
             return;
         }
         committing = true;
         List<Change> batch = new ArrayList<>();
-        while (batch.size() < MAX_BATCH && !waiting.isEmpty()) {
-            batch.add(waiting.poll());
+        while (batch.size() < MAX_CHANGES_PER_EPOCH && !pendingChanges.isEmpty()) {
+            batch.add(pendingChanges.poll());
         }
         ShardMap base = map;
         Version newest = server.process().publisher().newest();
-        Version next = new Version(newest.term(), newest.revision() + 1);
-        saver.execute(() -> commit(base, next, batch));
+        Version nextVersion = new Version(newest.term(), newest.revision() + 1);
+        saver.execute(() -> commit(base, nextVersion, batch));
     }
 
     private void commit(ShardMap base, Version version, List<Change> batch) {
         Epoch epoch = null;
         String failure = null;
         try {
-            epoch = next(base, batch);
+            epoch = createEpoch(base, batch);
             if (epoch != null) {
                 file.write(version, codec.encode(epoch.map()), Instant.now());
             }
@@ -96,44 +96,44 @@
             failure = "the new map cannot be saved: " + e.getMessage();
             LOG.atError().setCause(e).log("the new map cannot be saved");
         }
-        Epoch done = epoch;
+        Epoch savedEpoch = epoch;
         String reason = failure;
-        loop.execute(() -> finish(done, batch, reason));
+        loop.execute(() -> commitFinished(savedEpoch, batch, reason));
     }
 
-    /** The epoch with all changes that fit; null where none does. Those that do not are told so. */
-    private Epoch next(ShardMap base, List<Change> batch) {
-        List<Change> fitting = batch;
-        ShardMap next = together(base, batch);
+    /** Creates an epoch of all changes that can be applied and refuses the others; null if none can be applied. */
+    private Epoch createEpoch(ShardMap base, List<Change> batch) {
+        List<Change> applicable = batch;
+        ShardMap next = applyAll(base, batch);
         if (next == null) {
-            fitting = new ArrayList<>();
+            applicable = new ArrayList<>();
             List<ShardMapStep> steps = new ArrayList<>();
             for (Change change : batch) {
-                List<ShardMapStep> more = new ArrayList<>(steps);
-                more.addAll(change.steps());
+                List<ShardMapStep> extended = new ArrayList<>(steps);
+                extended.addAll(change.steps());
                 try {
-                    next = base.next(more);
-                    steps = more;
-                    fitting.add(change);
+                    next = base.next(extended);
+                    steps = extended;
+                    applicable.add(change);
                 } catch (ShardMapException e) {
                     loop.execute(() -> change.reply().accept("refused: " + e.getMessage()));
                 }
             }
         }
-        return next == null ? null : new Epoch(next, codec.encodeDelta(base, next), fitting);
+        return next == null ? null : new Epoch(next, codec.encodeDelta(base, next), applicable);
     }
 
-    private static ShardMap together(ShardMap base, List<Change> batch) {
+    private static ShardMap applyAll(ShardMap base, List<Change> batch) {
         List<ShardMapStep> steps = new ArrayList<>();
         batch.forEach(change -> steps.addAll(change.steps()));
         try {
             return base.next(steps);
         } catch (ShardMapException e) {
-            return null; // one of them does not fit: each is tried by itself
+            return null; // at least one change cannot be applied; the caller tries them one by one
         }
     }
 
-    private void finish(Epoch epoch, List<Change> batch, String failure) {
+    private void commitFinished(Epoch epoch, List<Change> batch, String failure) {
         committing = false;
         if (failure != null) {
             batch.forEach(change -> change.reply().accept("refused: " + failure));
@@ -150,7 +150,7 @@
             map = epoch.map();
             answer = "ok epoch " + map.epoch();
         } catch (DamagedStateException | IllegalStateException | IllegalArgumentException e) {
-            LOG.atError().setCause(e).log("an epoch cannot be published");
+            LOG.atError().setCause(e).log("cannot publish the new epoch");
             answer = "refused: " + e.getMessage();
         }
         for (Change change : epoch.changes()) {
--- a/src/main/java/juniperusher/fleet/MapFile.java
+++ b/src/main/java/juniperusher/fleet/MapFile.java
@@ -19,81 +19,87 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The last shard map in a folder that lasts, as the file {@code shard-map}. It is written whole beside, forced to
- * disk and moved into place, so that a reader finds the old or the new one. The format: magic number, format
- * version, time of writing in ms, the map's version (term and revision), length, CRC32C of all that and of the
- * snapshot, the snapshot. A file that is torn, damaged, too large or of another kind is refused with one line in the
- * log and otherwise ignored.
+ * The file {@code shard-map}, which stores the newest shard map in a persistent folder. The file is replaced
+ * atomically: a temporary file is written, forced to disk and renamed, so that a reader finds either the old or the new
+ * map.
+ *
+ * <p>Format: magic number, format version, time of writing in milliseconds since the Unix epoch, the map's version
+ * (term and revision), length of the snapshot, CRC32C of all these fields and of the snapshot, the snapshot. A file
+ * that is incomplete, damaged, too large or of another kind is ignored with a warning in the log.
+ *
+ * <p>Any thread may read. Several processes may write to the same folder, but within one process writes must not
+ * overlap, because they use the same temporary file.
  */
 public final class MapFile {
-    /** The file's name in the folder. */
+    /** Name of the file in the folder. */
     public static final String NAME = "shard-map";
 
     private static final Logger LOG = LoggerFactory.getLogger(MapFile.class);
     private static final byte[] MAGIC = "JUSHMAP\n".getBytes(StandardCharsets.US_ASCII);
-    private static final int VERSION = 1;
-    private static final int BEFORE_CHECKSUM = MAGIC.length + 2 * Integer.BYTES + 3 * Long.BYTES;
-    private static final int HEADER = BEFORE_CHECKSUM + Integer.BYTES;
+    private static final int FORMAT_VERSION = 1;
+    private static final int CHECKSUM_OFFSET = MAGIC.length + 2 * Integer.BYTES + 3 * Long.BYTES;
+    private static final int HEADER_BYTES = CHECKSUM_OFFSET + Integer.BYTES;
 
     private final Path folder;
     private final int maxBytes;
 
-    /** A map's encoded snapshot that was saved, its version and when. */
+    /** A saved map: its version, the encoded snapshot and the time of writing. */
     public record Saved(Version version, byte[] snapshot, Instant writtenAt) {}
 
-    /** Why a file is refused. */
-    private static final class Refused extends Exception {
+    /** The content of the file is invalid. */
+    private static final class InvalidFileException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Refused(String reason) {
+        InvalidFileException(String reason) {
             super(reason);
         }
     }
 
-    /** The file in {@code folder}, for snapshots of at most {@code maxBytes}. */
+    /** Creates an accessor for the file in {@code folder}, which holds a snapshot of at most {@code maxBytes}. */
     public MapFile(Path folder, int maxBytes) {
         this.folder = folder;
         this.maxBytes = maxBytes;
     }
 
-    /** Where it is. */
+    /** Path of the file. */
     public Path path() {
         return folder.resolve(NAME);
     }
 
-    /** What was saved last; nothing where there is no file or it is refused. */
+    /** Reads the saved map; empty if there is no file or the file is ignored. */
     public Optional<Saved> read() {
         try {
             long size = Files.size(path());
-            if (size > maxBytes + (long) HEADER) {
-                throw new Refused("it has " + size + " bytes, expected at most " + (maxBytes + HEADER));
+            if (size > maxBytes + (long) HEADER_BYTES) {
+                throw new InvalidFileException(
+                        "file has " + size + " bytes, expected at most " + (maxBytes + HEADER_BYTES));
             }
             return Optional.of(parse(ByteBuffer.wrap(Files.readAllBytes(path()))));
         } catch (NoSuchFileException e) {
             return Optional.empty();
-        } catch (IOException | Refused e) {
-            refuse(e.getMessage());
+        } catch (IOException | InvalidFileException e) {
+            logIgnored(e.getMessage());
             return Optional.empty();
         }
     }
 
-    /** Tells in the log that the file is ignored and why, also where its snapshot turns out to be unreadable. */
-    public void refuse(String reason) {
+    /** Logs that the file is ignored; also for callers that cannot decode the snapshot. */
+    public void logIgnored(String reason) {
         LOG.atWarn().addKeyValue("file", path()).addKeyValue("reason", reason).log("the saved shard map is ignored");
     }
 
-    private static Saved parse(ByteBuffer file) throws Refused {
-        if (file.remaining() < HEADER) {
-            throw new Refused("it is shorter than its header");
+    private static Saved parse(ByteBuffer file) throws InvalidFileException {
+        if (file.remaining() < HEADER_BYTES) {
+            throw new InvalidFileException("file is shorter than its header");
         }
         byte[] magic = new byte[MAGIC.length];
         file.get(magic);
         if (!Arrays.equals(magic, MAGIC)) {
-            throw new Refused("it is no shard map");
+            throw new InvalidFileException("wrong magic number");
         }
         int format = file.getInt();
-        if (format != VERSION) {
-            throw new Refused("its format is version " + format + ", expected " + VERSION);
+        if (format != FORMAT_VERSION) {
+            throw new InvalidFileException("unsupported format version " + format + ", expected " + FORMAT_VERSION);
         }
         Instant writtenAt = Instant.ofEpochMilli(file.getLong());
         long term = file.getLong();
@@ -101,61 +107,65 @@
         int length = file.getInt();
         int checksum = file.getInt();
         if (length != file.remaining()) {
-            throw new Refused("it holds " + file.remaining() + " bytes of a snapshot of " + length);
+            throw new InvalidFileException("file holds " + file.remaining() + " snapshot bytes, header says " + length);
         }
         if (checksum != checksum(file.array())) {
-            throw new Refused("its checksum does not match");
+            throw new InvalidFileException("checksum mismatch");
         }
         byte[] snapshot = new byte[length];
         file.get(snapshot);
-        return new Saved(version(term, revision), snapshot, writtenAt);
+        return new Saved(checkedVersion(term, revision), snapshot, writtenAt);
     }
 
-    private static Version version(long term, long revision) throws Refused {
+    private static Version checkedVersion(long term, long revision) throws InvalidFileException {
         if (term < 0 || revision < 0) {
-            throw new Refused("its version is " + term + "." + revision);
+            throw new InvalidFileException("invalid map version " + term + "." + revision);
         }
         return new Version(term, revision);
     }
 
     private static int checksum(byte[] file) {
         CRC32C crc = new CRC32C();
-        crc.update(file, 0, BEFORE_CHECKSUM);
-        crc.update(file, HEADER, file.length - HEADER);
+        crc.update(file, 0, CHECKSUM_OFFSET);
+        crc.update(file, HEADER_BYTES, file.length - HEADER_BYTES);
         return (int) crc.getValue();
     }
 
-    /** Saves a snapshot in place of the one before. */
+    /**
+     * Replaces the saved map.
+     *
+     * @throws IOException if the snapshot is too large or the file cannot be written; the previous map is kept then
+     */
     public void write(Version version, byte[] snapshot, Instant now) throws IOException {
         if (snapshot.length > maxBytes) {
             throw new IOException("a snapshot of " + snapshot.length + " bytes, expected at most " + maxBytes);
         }
-        ByteBuffer file = ByteBuffer.allocate(HEADER + snapshot.length);
-        file.put(MAGIC).putInt(VERSION).putLong(now.toEpochMilli());
+        ByteBuffer file = ByteBuffer.allocate(HEADER_BYTES + snapshot.length);
+        file.put(MAGIC).putInt(FORMAT_VERSION).putLong(now.toEpochMilli());
         file.putLong(version.term())
                 .putLong(version.revision())
                 .putInt(snapshot.length)
                 .putInt(0)
                 .put(snapshot);
-        file.putInt(BEFORE_CHECKSUM, checksum(file.array())).flip();
+        file.putInt(CHECKSUM_OFFSET, checksum(file.array())).flip();
         Files.createDirectories(folder);
-        // The other process of an upgrade may write at the same moment: each writes a file of its own.
-        Path beside = folder.resolve(NAME + ".new-" + ProcessHandle.current().pid());
+        // During an upgrade the old and the new process may write at the same time, so each has its own temporary file.
+        Path temporary = folder.resolve(NAME + ".new-" + ProcessHandle.current().pid());
         try (FileChannel channel = FileChannel.open(
-                beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+                temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
             while (file.hasRemaining()) {
                 channel.write(file);
             }
             channel.force(true);
         }
-        move(beside);
+        replaceWith(temporary);
     }
 
-    private void move(Path beside) throws IOException {
+    private void replaceWith(Path temporary) throws IOException {
         try {
-            Files.move(beside, path(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(temporary, path(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (AtomicMoveNotSupportedException e) {
-            Files.move(beside, path(), StandardCopyOption.REPLACE_EXISTING);
+            Files.move(temporary, path(), StandardCopyOption.REPLACE_EXISTING);
         }
     }
 }
--- a/src/main/java/juniperusher/fleet/MapSaver.java
+++ b/src/main/java/juniperusher/fleet/MapSaver.java
@@ -14,19 +14,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the newest map into its {@link MapFile} on a thread of its own, as a disk may be slow and the event loop must
- * not wait. Of maps that come while one is written only the last is. Any thread may call it.
+ * Saves the newest map in its {@link MapFile} on a thread of its own, because the event loop must not wait for a slow
+ * disk. Of several maps that arrive while one is written, only the last is saved. Any thread may call the methods.
  */
 final class MapSaver implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(MapSaver.class);
-    private static final long LAST_SECONDS = 2; // for a write that is under way at the end
+    private static final long CLOSE_TIMEOUT_SECONDS = 2; // for a write that has begun
 
     private final MapFile file;
     private final ShardMapCodec codec = new ShardMapCodec();
-    private final AtomicReference<Pending> newest = new AtomicReference<>();
+    private final AtomicReference<PendingMap> newestPending = new AtomicReference<>();
     private final ExecutorService writer;
 
-    private record Pending(Version version, ShardMap map) {}
+    private record PendingMap(Version version, ShardMap map) {}
 
     MapSaver(MapFile file) {
         this.file = file;
@@ -37,20 +37,20 @@
         });
     }
 
-    /** The map is to be saved; a failure costs a line in the log. */
+    /** Saves the map later, unless a newer one replaces it. A failure is only logged. */
     void save(Version version, ShardMap map) {
-        if (newest.getAndSet(new Pending(version, map)) == null) {
-            writer.execute(this::write);
+        if (newestPending.getAndSet(new PendingMap(version, map)) == null) {
+            writer.execute(this::writePending);
         }
     }
 
-    /** Runs the task on the writing thread, behind what was to be saved before. */
+    /** Runs the task on the saver's thread, after all earlier saves and tasks. */
     void execute(Runnable task) {
         writer.execute(task);
     }
 
-    private void write() {
-        Pending pending = newest.getAndSet(null);
+    private void writePending() {
+        PendingMap pending = newestPending.getAndSet(null);
         if (pending == null) {
             return;
         }
@@ -68,7 +68,7 @@
     public void close() {
         writer.shutdown();
         try {
-            writer.awaitTermination(LAST_SECONDS, TimeUnit.SECONDS);
+            writer.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/juniperusher/fleet/MapSteps.java
+++ b/src/main/java/juniperusher/fleet/MapSteps.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import juniperusher.shard.ShardMapStep;
 
-/** An operator's line as steps of the shard map: one or more, with {@code ;} between them. */
+/** Parses an operator command into steps of the shard map: one or more, separated by {@code ;}. */
 final class MapSteps {
     private static final String EXPECTED = "expected 'move FROM OWNER', 'release FROM', 'split FROM AT', 'merge FROM', "
             + "'put NAME REGION ZONE WEIGHT' or 'remove NAME'";
@@ -12,9 +12,9 @@
     private MapSteps() {}
 
     /**
-     * The steps.
+     * Parses one line.
      *
-     * @throws IllegalArgumentException in one line, where the text says something else
+     * @throws IllegalArgumentException with a one-line message if the line is not a valid command
      */
     static List<ShardMapStep> parse(String line) {
         List<ShardMapStep> steps = new ArrayList<>();
--- a/src/main/java/juniperusher/fleet/MessageChannel.java
+++ b/src/main/java/juniperusher/fleet/MessageChannel.java
@@ -5,29 +5,32 @@
 import juniperusher.distribution.ControlMessageCodec;
 import juniperusher.distribution.DamagedFrameException;
 
-/** A {@link Connection} that carries control messages. A damaged frame ends it. Used on the loop's thread. */
+/**
+ * Sends and receives control messages over a {@link Connection}. A damaged frame closes the connection. Used only on
+ * the loop's thread.
+ */
 final class MessageChannel implements Connection.Handler {
-    /** Input that may wait for the rest of its frame; the decoder holds it. */
-    static final int MAX_INPUT = ControlMessageCodec.MAX_FRAME;
+    /** Limit on unconsumed input. The decoder buffers incomplete frames, so one frame is enough. */
+    static final int MAX_INPUT_BYTES = ControlMessageCodec.MAX_FRAME;
 
-    /** Output that may wait for the peer: two frames, far more than a publisher's window. */
-    static final int MAX_OUTPUT = 2 * ControlMessageCodec.MAX_FRAME;
+    /** Limit on queued output: two frames, which is far more than a publisher's window. */
+    static final int MAX_OUTPUT_BYTES = 2 * ControlMessageCodec.MAX_FRAME;
 
     private final Traffic traffic;
     private final Listener listener;
     private final ControlMessageCodec.Decoder decoder = new ControlMessageCodec.Decoder();
     private Connection connection;
-    private boolean closeOnceSent;
+    private boolean closeAfterOutput;
 
-    /** What a channel tells its owner. */
+    /** Receives events of a channel. */
     interface Listener {
-        /** The connection is up. */
+        /** The connection is established. */
         void opened();
 
-        /** A message has come. */
+        /** A message has arrived. */
         void received(ControlMessage message);
 
-        /** The connection has ended or never came up, and not by {@link MessageChannel#close}. */
+        /** The connection failed or was closed by the peer; not called after the channel itself has closed it. */
         void closed(String reason);
     }
 
@@ -36,8 +39,8 @@
         this.listener = listener;
     }
 
-    /** The connection that it uses, once one was asked for. */
-    void use(Connection opening) {
+    /** Sets the connection that has been requested for this channel; it may not be established yet. */
+    void attach(Connection opening) {
         connection = opening;
     }
 
@@ -45,15 +48,15 @@
         return connection != null && !connection.isClosed();
     }
 
-    /** Sends a frame, which may be shared; what does not fit ends the connection. */
+    /** Sends a frame, whose content may be shared with other channels. A full output queue closes the connection. */
     void send(ByteBuffer frame) {
         traffic.sent(frame.remaining());
         if (!connection.send(frame) && !connection.isClosed()) {
-            connection.closeLater("more output than " + MAX_OUTPUT + " bytes");
+            connection.closeLater("output queue would exceed " + MAX_OUTPUT_BYTES + " bytes");
         }
     }
 
-    /** Closes the connection; the listener is not told. */
+    /** Closes the connection without a call of the listener. */
     void close(String reason) {
         Connection ended = connection;
         connection = null;
@@ -62,12 +65,12 @@
         }
     }
 
-    /** Closes it once what was sent has been handed to the kernel; the listener is not told. */
-    void closeOnceSent() {
-        if (connection == null || connection.queued() == 0) {
+    /** Closes the connection after the queued output has been written, without a call of the listener. */
+    void closeAfterOutput() {
+        if (connection == null || connection.queuedBytes() == 0) {
             close("done");
         } else {
-            closeOnceSent = true;
+            closeAfterOutput = true;
         }
     }
 
@@ -100,7 +103,7 @@
         decoder.feed(input);
         try {
             ControlMessage message = decoder.next();
-            while (message != null && isOpen() && !closeOnceSent) {
+            while (message != null && isOpen() && !closeAfterOutput) {
                 traffic.messageReceived();
                 listener.received(message);
                 message = isOpen() ? decoder.next() : null;
@@ -114,15 +117,15 @@
     }
 
     @Override
-    public void drained() {
-        if (closeOnceSent) {
+    public void outputWritten() {
+        if (closeAfterOutput) {
             close("done");
         }
     }
 
     @Override
     public void closed(String reason) {
-        boolean unexpected = connection != null && !closeOnceSent;
+        boolean unexpected = connection != null && !closeAfterOutput;
         connection = null;
         if (unexpected) {
             listener.closed(reason);
--- a/src/main/java/juniperusher/fleet/OperatorPort.java
+++ b/src/main/java/juniperusher/fleet/OperatorPort.java
@@ -6,25 +6,26 @@
 import java.util.function.Consumer;
 
 /**
- * A connection of the operator: lines in, an answer for each, in the order in which they are done. Its bounds are those
- * of the connection: a line that is too long and answers that are not read end it. Used on the loop's thread.
+ * A connection to the operator port. Each input line is a command and gets one line as its answer; answers come in the
+ * order in which the commands complete. A line that is too long closes the connection, and so do too many unread
+ * answers. Used only on the loop's thread.
  */
 final class OperatorPort implements Connection.Handler {
-    /** Bytes of a line. */
-    static final int MAX_LINE = 64 * 1024;
+    /** Limit on the length of a command line. */
+    static final int MAX_LINE_BYTES = 64 * 1024;
 
-    /** Bytes of answers that may wait. */
-    static final int MAX_OUTPUT = 1 << 20;
+    /** Limit on queued answers, in bytes. */
+    static final int MAX_OUTPUT_BYTES = 1 << 20;
 
-    /** Connections at once. */
+    /** Limit on open connections. */
     static final int MAX_CONNECTIONS = 8;
 
-    private final BiConsumer<String, Consumer<String>> commands;
+    private final BiConsumer<String, Consumer<String>> commandHandler;
     private Connection connection;
 
-    /** Hands each line on, with where its answer goes. */
-    OperatorPort(BiConsumer<String, Consumer<String>> commands) {
-        this.commands = commands;
+    /** Passes each line to {@code commandHandler}, with a consumer for the answer. */
+    OperatorPort(BiConsumer<String, Consumer<String>> commandHandler) {
+        this.commandHandler = commandHandler;
     }
 
     @Override
@@ -41,7 +42,7 @@
                 input.position(start).get(line);
                 start = at + 1;
                 input.position(start);
-                commands.accept(new String(line, StandardCharsets.UTF_8).strip(), this::answer);
+                commandHandler.accept(new String(line, StandardCharsets.UTF_8).strip(), this::answer);
             }
         }
     }
@@ -49,12 +50,12 @@
     private void answer(String text) {
         ByteBuffer line = ByteBuffer.wrap((text + "\n").getBytes(StandardCharsets.UTF_8));
         if (!connection.isClosed() && !connection.send(line)) {
-            connection.closeLater("its answers are not read");
+            connection.closeLater("the operator does not read the answers");
         }
     }
 
     @Override
     public void closed(String reason) {
-        // Answers that are still to come are dropped.
+        // Nothing to release: answer() drops later answers.
     }
 }
--- a/src/main/java/juniperusher/fleet/RelayList.java
+++ b/src/main/java/juniperusher/fleet/RelayList.java
@@ -11,18 +11,20 @@
 import java.util.regex.Pattern;
 import juniperusher.shard.RelayInfo;
 
-/** A file that names the fleet's relays, a line {@code NAME REGION ZONE WEIGHT} for each; {@code #} is a comment. */
+/**
+ * Reads the list of the fleet's relays: a line {@code NAME REGION ZONE WEIGHT} per relay; {@code #} starts a comment.
+ */
 final class RelayList {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
     private static final Pattern WEIGHT = Pattern.compile("[1-9]\\d{0,5}");
-    private static final int FIELDS = 4;
+    private static final int FIELD_COUNT = 4;
 
     private RelayList() {}
 
     /**
      * Reads the file.
      *
-     * @throws IllegalArgumentException in one line with file and line, where it says something else
+     * @throws IllegalArgumentException with a one-line message that names file and line, if the content is invalid
      */
     static List<RelayInfo> read(Path file) throws IOException {
         List<String> lines;
@@ -50,21 +52,26 @@
         return relays;
     }
 
-    /** A relay by its words; {@code where} begins the message of what cannot be read. */
-    static RelayInfo parse(String text, String where) {
+    /**
+     * Parses one relay.
+     *
+     * @param position prefix of error messages: file and line, or the operator command
+     */
+    static RelayInfo parse(String text, String position) {
         String[] words = text.split("\\s+");
-        if (words.length != FIELDS) {
-            throw new IllegalArgumentException(where + ": expected 'NAME REGION ZONE WEIGHT', got '" + text + "'");
+        if (words.length != FIELD_COUNT) {
+            throw new IllegalArgumentException(position + ": expected 'NAME REGION ZONE WEIGHT', got '" + text + "'");
         }
-        for (int i = 0; i < FIELDS - 1; i++) {
+        for (int i = 0; i < FIELD_COUNT - 1; i++) {
             if (!NAME.matcher(words[i]).matches()) {
                 throw new IllegalArgumentException(
-                        where + ": '" + words[i] + "': expected letters, digits, '.', '_', '-'");
+                        position + ": '" + words[i] + "': expected letters, digits, '.', '_', '-'");
             }
         }
-        if (!WEIGHT.matcher(words[FIELDS - 1]).matches()) {
-            throw new IllegalArgumentException(where + ": weight '" + words[FIELDS - 1] + "': expected 1 to 999999");
+        if (!WEIGHT.matcher(words[FIELD_COUNT - 1]).matches()) {
+            throw new IllegalArgumentException(
+                    position + ": weight '" + words[FIELD_COUNT - 1] + "': expected 1 to 999999");
         }
-        return new RelayInfo(words[0], words[1], words[2], Integer.parseInt(words[FIELDS - 1]));
+        return new RelayInfo(words[0], words[1], words[2], Integer.parseInt(words[FIELD_COUNT - 1]));
     }
 }
--- a/src/main/java/juniperusher/fleet/ShardMapState.java
+++ b/src/main/java/juniperusher/fleet/ShardMapState.java
@@ -6,7 +6,9 @@
 import juniperusher.shard.ShardMapCodec;
 import juniperusher.shard.ShardMapException;
 
-/** The shard map as the state that is distributed: damaged or unfitting bytes are refused whole. */
+/**
+ * Adapts {@link ShardMapCodec} to the distribution. Bytes that are damaged or do not match the map are refused whole.
+ */
 public final class ShardMapState implements StateCodec<ShardMap> {
     private final ShardMapCodec codec = new ShardMapCodec();
 
--- a/src/main/java/juniperusher/fleet/Traffic.java
+++ b/src/main/java/juniperusher/fleet/Traffic.java
@@ -1,6 +1,6 @@
 package juniperusher.fleet;
 
-/** What has gone over the connections of one side, without the headers of TCP and IP. Used on the loop's thread. */
+/** Traffic counters of one side's connections, without TCP and IP headers. Used only on the loop's thread. */
 public final class Traffic {
     private long bytesIn;
     private long bytesOut;
@@ -25,27 +25,27 @@
         messagesOut++;
     }
 
-    /** Bytes that have come in. */
+    /** Number of bytes received. */
     public long bytesIn() {
         return bytesIn;
     }
 
-    /** Bytes that were sent. */
+    /** Number of bytes sent. */
     public long bytesOut() {
         return bytesOut;
     }
 
-    /** Messages that have come in. */
+    /** Number of messages received. */
     public long messagesIn() {
         return messagesIn;
     }
 
-    /** Messages that were sent. */
+    /** Number of messages sent. */
     public long messagesOut() {
         return messagesOut;
     }
 
-    /** Connections that were opened. */
+    /** Number of connections established. */
     public long connections() {
         return connections;
     }
--- a/src/main/java/juniperusher/fleet/UpstreamLink.java
+++ b/src/main/java/juniperusher/fleet/UpstreamLink.java
@@ -11,34 +11,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out the steps of a subscriber: its one connection towards the leader. What is neither connecting, sending
- * nor disconnecting goes to a consumer. Used on the loop's thread.
+ * Manages a subscriber's single upstream connection. It carries out the subscriber's steps to connect, send and
+ * disconnect, and passes all other steps to a consumer. Used only on the loop's thread.
  */
 final class UpstreamLink {
     private static final Logger LOG = LoggerFactory.getLogger(UpstreamLink.class);
 
     private final EventLoop loop;
     private final Dialer dialer;
-    private final Machine machine;
-    private final Consumer<SubscriberStep<ShardMap>> others;
+    private final Events events;
+    private final Consumer<SubscriberStep<ShardMap>> otherSteps;
     private final Traffic traffic = new Traffic();
-    private MessageChannel channel; // or null
-    private boolean reading = true;
+    private MessageChannel channel; // null while there is no connection
+    private boolean readingEnabled = true;
 
-    /** The state machine that is told what happens, by the connection's number. */
-    interface Machine {
-        void connected(long connection);
+    /** Receives the events of connections; {@code connectionId} is that of the step that requested the connection. */
+    interface Events {
+        void connected(long connectionId);
 
-        void disconnected(long connection);
+        void disconnected(long connectionId);
 
-        void received(long connection, ControlMessage message);
+        void received(long connectionId, ControlMessage message);
     }
 
-    UpstreamLink(EventLoop loop, Dialer dialer, Machine machine, Consumer<SubscriberStep<ShardMap>> others) {
+    UpstreamLink(EventLoop loop, Dialer dialer, Events events, Consumer<SubscriberStep<ShardMap>> otherSteps) {
         this.loop = loop;
         this.dialer = dialer;
-        this.machine = machine;
-        this.others = others;
+        this.events = events;
+        this.otherSteps = otherSteps;
     }
 
     Traffic traffic() {
@@ -52,24 +52,24 @@
             } else if (step instanceof SubscriberStep.Send<ShardMap> send) {
                 send(send.message());
             } else if (step instanceof SubscriberStep.Disconnect<ShardMap> disconnect) {
-                LOG.atDebug().addKeyValue("reason", disconnect.reason()).log("left a control process");
+                LOG.atDebug().addKeyValue("reason", disconnect.reason()).log("disconnected from control process");
                 close(disconnect.reason().toString());
             } else {
-                others.accept(step);
+                otherSteps.accept(step);
             }
         }
     }
 
-    private void connect(long connection, String source) {
+    private void connect(long connectionId, String source) {
         MessageChannel opening = new MessageChannel(traffic, new MessageChannel.Listener() {
             @Override
             public void opened() {
-                machine.connected(connection);
+                events.connected(connectionId);
             }
 
             @Override
             public void received(ControlMessage message) {
-                machine.received(connection, message);
+                events.received(connectionId, message);
             }
 
             @Override
@@ -77,21 +77,24 @@
                 LOG.atDebug()
                         .addKeyValue("source", source)
                         .addKeyValue("reason", reason)
-                        .log("connection ended");
-                machine.disconnected(connection);
+                        .log("connection to control process ended");
+                events.disconnected(connectionId);
             }
         });
         channel = opening;
         try {
-            Connection dialled = dialer.dial(source, opening);
-            if (dialled != null) {
-                opening.use(dialled);
+            Connection connection = dialer.dial(source, opening);
+            if (connection != null) {
+                opening.attach(connection);
             }
         } catch (RuntimeException e) {
-            LOG.atWarn().addKeyValue("source", source).addKeyValue("reason", e).log("cannot connect");
-            loop.schedule(0, () -> machine.disconnected(connection));
+            LOG.atWarn()
+                    .addKeyValue("source", source)
+                    .addKeyValue("reason", e)
+                    .log("cannot connect to control process");
+            loop.schedule(0, () -> events.disconnected(connectionId));
         }
-        if (!reading) {
+        if (!readingEnabled) {
             opening.pauseReading();
         }
     }
@@ -102,18 +105,18 @@
         }
     }
 
-    /** Reads on, or lets what comes wait in the kernel, as a slow reader or a network that is cut does. */
-    void reading(boolean on) {
-        reading = on;
-        if (channel != null && on) {
+    /** Resumes or stops reading from the current and all later connections, to simulate a slow reader in lab runs. */
+    void setReading(boolean enabled) {
+        readingEnabled = enabled;
+        if (channel != null && enabled) {
             channel.resumeReading();
         } else if (channel != null) {
             channel.pauseReading();
         }
     }
 
-    /** Nothing more is read from the present connection, as of a host that is cut off; later ones are not touched. */
-    void freeze() {
+    /** Stops reading from the current connection only, to simulate a network partition in lab runs. */
+    void pauseCurrentConnection() {
         if (channel != null) {
             channel.pauseReading();
         }
--- a/src/main/java/juniperusher/fleet/package-info.java
+++ b/src/main/java/juniperusher/fleet/package-info.java
@@ -1,9 +1,10 @@
 /**
- * The distribution of the shard map on sockets: one event loop on one thread carries out the steps of the
- * state machines in {@code distribution}. The doors are {@link juniperusher.fleet.ControlServer}, a control
- * process, and {@link juniperusher.fleet.ControlClient}, the subscription of a relay or of a control process.
+ * Distributes the shard map over TCP. A single-threaded event loop carries out the steps of the state machines in
+ * {@code distribution}. Entry points: {@link juniperusher.fleet.ControlService} runs a control process, with
+ * {@link juniperusher.fleet.ControlServer} as its network side; {@link juniperusher.fleet.FleetMembership} subscribes a
+ * relay, with {@link juniperusher.fleet.ControlClient} as its network side.
  *
- * <p>Must not know: fronts, calls to endpoints, the decision module, the journal. It decides nothing about maps;
- * that is the work of {@code shard} and {@code distribution}. Nothing here is loaded unless {@code [fleet]} is on.
+ * <p>The package must not depend on fronts, calls to endpoints, the decision module or the journal. All decisions about
+ * maps are made in {@code shard} and {@code distribution}. A relay loads these classes only if {@code [fleet]} is on.
  */
 package juniperusher.fleet;
--- a/src/test/java/juniperusher/fleet/ControlServiceTest.java
+++ b/src/test/java/juniperusher/fleet/ControlServiceTest.java
@@ -25,16 +25,16 @@
 
 /** Control processes and relays' subscriptions on real sockets. */
 class ControlServiceTest {
-    private static final long PATIENCE = 20; // s
+    private static final long TIMEOUT_SECONDS = 20; // s
     private static final int MAX_BYTES = 1 << 20;
 
     @TempDir
     Path folder;
 
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> closeables = new ArrayList<>();
 
     @BeforeEach
-    void relays() throws Exception {
+    void writeRelayList() throws Exception {
         Files.writeString(folder.resolve("relays"), """
                 # name region zone weight
                 relay-1 north a 1
@@ -44,9 +44,9 @@
     }
 
     @AfterEach
-    void close() throws Exception {
-        for (int i = open.size() - 1; i >= 0; i--) {
-            open.get(i).close();
+    void closeAll() throws Exception {
+        for (int i = closeables.size() - 1; i >= 0; i--) {
+            closeables.get(i).close();
         }
     }
 
@@ -66,11 +66,11 @@
 
     private ControlService start(ControlSettings settings) throws IOException {
         ControlService service = ControlService.start(settings);
-        open.add(service);
+        closeables.add(service);
         return service;
     }
 
-    private ControlService leader() throws IOException {
+    private ControlService startLeader() throws IOException {
         return start(settings("127.0.0.1:0", "leader", List.of()));
     }
 
@@ -78,29 +78,29 @@
         return "127.0.0.1:" + service.listening().getPort();
     }
 
-    private FleetMembership relay(String name, List<String> control, Counters counters) throws IOException {
+    private FleetMembership startRelay(String name, List<String> control, Counters counters) throws IOException {
         FleetMembership relay = FleetMembership.start(
                 new FleetSettings(control, "north", "a", 30, MAX_BYTES), name, folder.resolve(name), counters);
-        open.add(relay);
+        closeables.add(relay);
         return relay;
     }
 
-    private static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE);
+    private static void await(String expected, BooleanSupplier condition) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, "in time: " + what);
+            assertTrue(System.nanoTime() < deadline, "in time: " + expected);
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
 
-    private static boolean at(FleetMembership relay, long epoch) {
+    private static boolean hasEpoch(FleetMembership relay, long epoch) {
         ShardMap map = relay.map();
         return map != null && map.epoch() == epoch;
     }
 
     private static String ask(ControlService service, String line) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", service.operator().getPort())) {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
             return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))
                     .readLine();
@@ -108,19 +108,19 @@
     }
 
     @Test
-    void aChangeReachesRelaysThroughAFollower() throws Exception {
-        ControlService leader = leader();
+    void changeReachesRelaysThroughFollower() throws Exception {
+        ControlService leader = startLeader();
         ControlService follower = start(settings("127.0.0.1:0", "follower", List.of(address(leader))));
         Counters counters = new Counters();
-        FleetMembership one = relay("relay-1", List.of(address(follower)), counters);
-        FleetMembership two = relay("relay-2", List.of(address(leader)), new Counters());
-        await("the first map", () -> at(one, 1) && at(two, 1));
+        FleetMembership one = startRelay("relay-1", List.of(address(follower)), counters);
+        FleetMembership two = startRelay("relay-2", List.of(address(leader)), new Counters());
+        await("the first map", () -> hasEpoch(one, 1) && hasEpoch(two, 1));
         assertEquals("relay-1", one.map().ownerOf(0));
         assertEquals("ok epoch 2", ask(leader, "move 0 relay-2"));
-        await("the change", () -> at(one, 2) && at(two, 2));
+        await("the change", () -> hasEpoch(one, 2) && hasEpoch(two, 2));
         assertEquals("relay-2", one.map().ownerOf(0));
         assertEquals(one.map(), two.map());
-        await("the age", () -> one.age() < 10);
+        await("the age", () -> one.ageSeconds() < 10);
         assertTrue(counters.text().contains("juniperusher_fleet_map_epoch 2.0\n"), counters.text());
         assertTrue(counters.text().contains("juniperusher_fleet_subscribed 1.0\n"), counters.text());
         assertTrue(ask(follower, "status").startsWith("role=follower term=2 version=2.3 epoch=2 subscribers=1"));
@@ -128,8 +128,8 @@
     }
 
     @Test
-    void whatDoesNotFitIsRefusedInOneLineAndTheRestOfABatchIsDone() throws Exception {
-        ControlService leader = leader();
+    void invalidChangesAreRefusedAndValidOnesApplied() throws Exception {
+        ControlService leader = startLeader();
         assertTrue(ask(leader, "move 0").startsWith("refused: 'move 0': expected"));
         assertTrue(ask(leader, "move 0 relay-3").startsWith("refused: "), "of another region");
         assertTrue(ask(leader, "put relay-4 north c 0").startsWith("refused: put: weight '0'"));
@@ -138,37 +138,37 @@
     }
 
     @Test
-    void aLeaderThatStartsAgainGoesOnUnderANewTerm() throws Exception {
-        ControlService first = leader();
+    void restartedLeaderContinuesUnderNewTerm() throws Exception {
+        ControlService first = startLeader();
         int port = first.listening().getPort();
-        FleetMembership relay = relay("relay-1", List.of("127.0.0.1:" + port), new Counters());
+        FleetMembership relay = startRelay("relay-1", List.of("127.0.0.1:" + port), new Counters());
         assertEquals("ok epoch 2", ask(first, "move 0 relay-2"));
-        await("the change", () -> at(relay, 2));
+        await("the change", () -> hasEpoch(relay, 2));
         first.close();
         ControlService second = start(settings("127.0.0.1:" + port, "leader", List.of()));
         assertTrue(ask(second, "status").startsWith("role=leader term=3 "));
         assertEquals("ok epoch 3", ask(second, "move 0 relay-1"));
-        await("the change of the new term", () -> at(relay, 3));
+        await("the change of the new term", () -> hasEpoch(relay, 3));
     }
 
     @Test
-    void bytesThatAreNoFrameEndTheirConnectionAndNoOther() throws Exception {
-        ControlService leader = leader();
-        FleetMembership relay = relay("relay-1", List.of(address(leader)), new Counters());
-        await("the first map", () -> at(relay, 1));
+    void invalidFrameClosesOnlyItsConnection() throws Exception {
+        ControlService leader = startLeader();
+        FleetMembership relay = startRelay("relay-1", List.of(address(leader)), new Counters());
+        await("the first map", () -> hasEpoch(relay, 1));
         try (Socket socket = new Socket("127.0.0.1", leader.listening().getPort())) {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
             socket.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             assertEquals(-1, socket.getInputStream().read(), "closed without an answer");
         }
         assertEquals("ok epoch 2", ask(leader, "move 0 relay-2"));
-        await("the change", () -> at(relay, 2));
+        await("the change", () -> hasEpoch(relay, 2));
     }
 
     @Test
-    void changesOfOneBurstShareEpochsAndAllOfThemAreMade() throws Exception {
-        ControlService leader = leader();
-        FleetMembership relay = relay("relay-1", List.of(address(leader)), new Counters());
+    void burstOfChangesSharesEpochsAndIsAppliedInFull() throws Exception {
+        ControlService leader = startLeader();
+        FleetMembership relay = startRelay("relay-1", List.of(address(leader)), new Counters());
         StringBuilder lines = new StringBuilder();
         int changes = 2_000;
         for (int i = 0; i < changes; i++) {
@@ -176,7 +176,7 @@
         }
         String last = "";
         try (Socket socket = new Socket("127.0.0.1", leader.operator().getPort())) {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
             socket.getOutputStream().write(lines.toString().getBytes(StandardCharsets.UTF_8));
             BufferedReader answers =
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
@@ -187,48 +187,52 @@
         }
         long epoch = Long.parseLong(last.substring("ok epoch ".length()));
         assertTrue(epoch < changes, "shared: " + epoch);
-        await("the last epoch", () -> at(relay, epoch));
+        await("the last epoch", () -> hasEpoch(relay, epoch));
         assertEquals("relay-1", relay.map().ownerOf(0));
     }
 
     @Test
-    void aRelayThatReachesNobodyUsesTheMapOfItsFolder() throws Exception {
-        ControlService leader = leader();
+    void relayWithoutControlProcessUsesSavedMap() throws Exception {
+        ControlService leader = startLeader();
         String control = address(leader);
-        try (FleetMembership relay = relay("relay-1", List.of(control), new Counters())) {
-            await("the first map", () -> at(relay, 1));
+        try (FleetMembership relay = startRelay("relay-1", List.of(control), new Counters())) {
+            await("the first map", () -> hasEpoch(relay, 1));
         }
         leader.close();
-        FleetMembership again = relay("relay-1", List.of(control), new Counters());
-        await("the saved map", () -> at(again, 1));
-        assertTrue(again.age() < 60 && again.age() >= 0, "age " + again.age());
+        FleetMembership restarted = startRelay("relay-1", List.of(control), new Counters());
+        await("the saved map", () -> hasEpoch(restarted, 1));
+        assertTrue(restarted.ageSeconds() < 60 && restarted.ageSeconds() >= 0, "age " + restarted.ageSeconds());
         Files.write(folder.resolve("relay-1").resolve(MapFile.NAME), new byte[40]);
-        FleetMembership without = relay("relay-1", List.of(control), new Counters());
-        assertFalse(at(without, 1));
-        assertEquals(Double.POSITIVE_INFINITY, without.age());
+        FleetMembership withDamagedFile = startRelay("relay-1", List.of(control), new Counters());
+        assertFalse(hasEpoch(withDamagedFile, 1));
+        assertEquals(Double.POSITIVE_INFINITY, withDamagedFile.ageSeconds());
     }
 
     @Test
-    void aLeaderWithWrongInputSaysSoInOneLine() throws Exception {
+    void leaderReportsInvalidRelayList() throws Exception {
         Files.writeString(folder.resolve("relays"), "relay-1 north a 1\nrelay-2 north\n");
-        String two = assertThrows(IllegalArgumentException.class, this::leader).getMessage();
-        assertTrue(two.contains("relays:2: expected 'NAME REGION ZONE WEIGHT'"), two);
+        String incompleteLine =
+                assertThrows(IllegalArgumentException.class, this::startLeader).getMessage();
+        assertTrue(incompleteLine.contains("relays:2: expected 'NAME REGION ZONE WEIGHT'"), incompleteLine);
         Files.writeString(folder.resolve("relays"), "relay-1 north a 1\nrelay-1 north a 1\n");
-        String twice =
-                assertThrows(IllegalArgumentException.class, this::leader).getMessage();
-        assertTrue(twice.contains("relays:2: relay 'relay-1' is named twice"), twice);
+        String duplicateName =
+                assertThrows(IllegalArgumentException.class, this::startLeader).getMessage();
+        assertTrue(duplicateName.contains("relays:2: relay 'relay-1' is named twice"), duplicateName);
         Files.delete(folder.resolve("relays"));
-        String none = assertThrows(IllegalArgumentException.class, this::leader).getMessage();
-        assertTrue(none.contains("'control.relays'") && none.contains("there is no such file"), none);
+        String missingFile =
+                assertThrows(IllegalArgumentException.class, this::startLeader).getMessage();
+        assertTrue(
+                missingFile.contains("'control.relays'") && missingFile.contains("there is no such file"), missingFile);
     }
 
     @Test
-    void aLeaderDoesNotBeginAnewOverADamagedMap() throws Exception {
-        ControlService leader = leader();
+    void leaderDoesNotReplaceDamagedMap() throws Exception {
+        ControlService leader = startLeader();
         assertEquals("ok epoch 2", ask(leader, "move 0 relay-2"));
         leader.close();
         Files.write(folder.resolve("leader").resolve(MapFile.NAME), new byte[] {1, 2, 3});
-        String said = assertThrows(IllegalArgumentException.class, this::leader).getMessage();
-        assertTrue(said.contains("the leader's map cannot be read"), said);
+        String message =
+                assertThrows(IllegalArgumentException.class, this::startLeader).getMessage();
+        assertTrue(message.contains("the leader's map cannot be read"), message);
     }
 }
--- a/src/test/java/juniperusher/fleet/EventLoopTest.java
+++ b/src/test/java/juniperusher/fleet/EventLoopTest.java
@@ -22,38 +22,38 @@
 import org.junit.jupiter.api.Test;
 
 class EventLoopTest {
-    private static final int ROOM = 256 * 1024;
-    private static final long PATIENCE = 10; // s
+    private static final int MAX_BYTES = 256 * 1024;
+    private static final long TIMEOUT_SECONDS = 10; // s
 
     private EventLoop loop;
 
     /** Notes what it hears. */
     private static class Recorder implements Connection.Handler {
-        final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> events = new LinkedBlockingQueue<>();
         Connection connection;
 
         @Override
         public void opened(Connection opened) {
             connection = opened;
-            heard.add("opened");
+            events.add("opened");
         }
 
         @Override
         public void received(ByteBuffer input) {
             byte[] bytes = new byte[input.remaining()];
             input.get(bytes);
-            heard.add(new String(bytes, StandardCharsets.US_ASCII));
+            events.add(new String(bytes, StandardCharsets.US_ASCII));
         }
 
         @Override
         public void closed(String reason) {
-            heard.add("closed");
+            events.add("closed");
         }
 
-        String next() throws InterruptedException {
-            String next = heard.poll(PATIENCE, TimeUnit.SECONDS);
-            assertNotNull(next, "nothing was heard in time");
-            return next;
+        String nextEvent() throws InterruptedException {
+            String event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            assertNotNull(event, "nothing was heard in time");
+            return event;
         }
     }
 
@@ -77,16 +77,17 @@
                 result.completeExceptionally(e);
             }
         });
-        return result.get(PATIENCE, TimeUnit.SECONDS);
+        return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private EventLoop.Listener listen(Recorder server, int maxAccepted) throws Exception {
-        return onLoop(() -> loop.listen(new InetSocketAddress("127.0.0.1", 0), () -> server, maxAccepted, ROOM, ROOM));
+        return onLoop(() ->
+                loop.listen(new InetSocketAddress("127.0.0.1", 0), () -> server, maxAccepted, MAX_BYTES, MAX_BYTES));
     }
 
     private Recorder dial(InetSocketAddress address) throws Exception {
         Recorder client = new Recorder();
-        onLoop(() -> loop.connect(address, 5, client, ROOM, ROOM));
+        onLoop(() -> loop.connect(address, 5, client, MAX_BYTES, MAX_BYTES));
         return client;
     }
 
@@ -95,43 +96,43 @@
     }
 
     @Test
-    void bytesGoBothWaysAndTheEndIsHeard() throws Exception {
+    void bytesFlowBothWaysAndCloseIsReported() throws Exception {
         Recorder server = new Recorder();
         Recorder client = dial(listen(server, 8).address());
-        assertEquals("opened", client.next());
-        assertEquals("opened", server.next());
+        assertEquals("opened", client.nextEvent());
+        assertEquals("opened", server.nextEvent());
         assertTrue(onLoop(() -> client.connection.send(text("ask"))));
-        assertEquals("ask", server.next());
+        assertEquals("ask", server.nextEvent());
         assertTrue(onLoop(() -> server.connection.send(text("answer"))));
-        assertEquals("answer", client.next());
+        assertEquals("answer", client.nextEvent());
         loop.execute(() -> client.connection.close("done"));
-        assertEquals("closed", client.next());
-        assertEquals("closed", server.next());
+        assertEquals("closed", client.nextEvent());
+        assertEquals("closed", server.nextEvent());
         assertEquals(0, onLoop(loop::connections));
     }
 
     @Test
-    void aConnectionBeyondTheBoundIsClosedAndTheOthersStay() throws Exception {
+    void connectionBeyondLimitIsClosedAndOthersStayOpen() throws Exception {
         Recorder server = new Recorder();
         EventLoop.Listener listener = listen(server, 1);
         Recorder first = dial(listener.address());
-        assertEquals("opened", first.next());
-        assertEquals("opened", server.next());
+        assertEquals("opened", first.nextEvent());
+        assertEquals("opened", server.nextEvent());
         Recorder second = dial(listener.address());
-        assertEquals("opened", second.next());
-        assertEquals("closed", second.next());
-        assertEquals(1, onLoop(listener::refused));
+        assertEquals("opened", second.nextEvent());
+        assertEquals("closed", second.nextEvent());
+        assertEquals(1, onLoop(listener::refusedConnections));
         loop.execute(() -> first.connection.send(text("still here")));
-        assertEquals("still here", server.next());
+        assertEquals("still here", server.nextEvent());
     }
 
     @Test
-    void aPeerThatReadsNothingIsBoundedAndDoesNotHoldTheOthers() throws Exception {
+    void outputToUnreadPeerIsBoundedAndOthersProceed() throws Exception {
         Recorder server = new Recorder();
         EventLoop.Listener listener = listen(server, 8);
         Recorder slow = dial(listener.address());
-        assertEquals("opened", slow.next());
-        assertEquals("opened", server.next());
+        assertEquals("opened", slow.nextEvent());
+        assertEquals("opened", server.nextEvent());
         Connection toSlow = server.connection;
         onLoop(() -> {
             slow.connection.pauseReading();
@@ -143,49 +144,49 @@
             int accepted = 0;
             while (toSlow.send(block)) { // the kernel's buffers are some MB at most
                 accepted++;
-                queued.add(toSlow.queued());
+                queued.add(toSlow.queuedBytes());
             }
             return accepted;
         });
         assertTrue(sent > 0);
-        assertTrue(queued.stream().allMatch(bytes -> bytes <= ROOM), "bounded: " + queued);
+        assertTrue(queued.stream().allMatch(bytes -> bytes <= MAX_BYTES), "bounded: " + queued);
         assertFalse(onLoop(toSlow::isClosed));
         Recorder other = dial(listener.address());
-        assertEquals("opened", other.next());
-        assertEquals("opened", server.next());
+        assertEquals("opened", other.nextEvent());
+        assertEquals("opened", server.nextEvent());
         loop.execute(() -> server.connection.send(text("quick")));
-        assertEquals("quick", other.next());
+        assertEquals("quick", other.nextEvent());
     }
 
     @Test
-    void inputThatIsNotConsumedIsKeptUpToTheBound() throws Exception {
+    void unconsumedInputIsKeptUpToLimit() throws Exception {
         Recorder server = new Recorder() {
             @Override
             public void received(ByteBuffer input) {
-                heard.add("kept " + input.remaining());
+                events.add("kept " + input.remaining());
             }
         };
         EventLoop.Listener listener =
-                onLoop(() -> loop.listen(new InetSocketAddress("127.0.0.1", 0), () -> server, 8, 8, ROOM));
+                onLoop(() -> loop.listen(new InetSocketAddress("127.0.0.1", 0), () -> server, 8, 8, MAX_BYTES));
         Recorder client = dial(listener.address());
-        assertEquals("opened", client.next());
-        assertEquals("opened", server.next());
+        assertEquals("opened", client.nextEvent());
+        assertEquals("opened", server.nextEvent());
         loop.execute(() -> client.connection.send(text("12345")));
-        assertEquals("kept 5", server.next());
+        assertEquals("kept 5", server.nextEvent());
         loop.execute(() -> client.connection.send(text("678")));
-        assertEquals("kept 8", server.next());
+        assertEquals("kept 8", server.nextEvent());
         loop.execute(() -> client.connection.send(text("9")));
-        assertEquals("kept 9", server.next());
-        assertEquals("closed", server.next());
+        assertEquals("kept 9", server.nextEvent());
+        assertEquals("closed", server.nextEvent());
     }
 
     @Test
-    void aRefusedConnectAndAFailingHandlerEndOneConnectionOnly() throws Exception {
-        InetSocketAddress nobody;
+    void failedConnectOrHandlerClosesOnlyItsConnection() throws Exception {
+        InetSocketAddress closedPort;
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            nobody = new InetSocketAddress("127.0.0.1", socket.getLocalPort());
+            closedPort = new InetSocketAddress("127.0.0.1", socket.getLocalPort());
         }
-        assertEquals("closed", dial(nobody).next());
+        assertEquals("closed", dial(closedPort).nextEvent());
         Recorder failing = new Recorder() {
             @Override
             public void received(ByteBuffer input) {
@@ -193,21 +194,21 @@
             }
         };
         Recorder client = dial(listen(failing, 8).address());
-        assertEquals("opened", client.next());
+        assertEquals("opened", client.nextEvent());
         loop.execute(() -> client.connection.send(text("x")));
-        assertEquals("closed", client.next());
+        assertEquals("closed", client.nextEvent());
         assertEquals("the loop goes on", onLoop(() -> "the loop goes on"));
     }
 
     @Test
-    void timersRunInOrderAndNotOnceCancelled() throws Exception {
+    void timersRunInOrderAndCancelledOnesDoNotRun() throws Exception {
         BlockingQueue<String> ran = new LinkedBlockingQueue<>();
         loop.execute(() -> {
             loop.schedule(0.03, () -> ran.add("second"));
             loop.schedule(0.01, () -> ran.add("first"));
             loop.schedule(0.02, () -> ran.add("never")).cancel();
         });
-        assertEquals("first", ran.poll(PATIENCE, TimeUnit.SECONDS));
-        assertEquals("second", ran.poll(PATIENCE, TimeUnit.SECONDS));
+        assertEquals("first", ran.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertEquals("second", ran.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/juniperusher/fleet/MapFileTest.java
+++ b/src/test/java/juniperusher/fleet/MapFileTest.java
@@ -27,12 +27,12 @@
     private MapFile file;
 
     @BeforeEach
-    void make() {
+    void createFile() {
         file = new MapFile(folder, 100);
     }
 
     @Test
-    void whatWasWrittenIsRead() throws Exception {
+    void writtenMapIsReadBack() throws Exception {
         file.write(new Version(1, 6), new byte[] {9}, NOW.minusSeconds(5));
         file.write(VERSION, SNAPSHOT, NOW);
         MapFile.Saved saved = file.read().orElseThrow();
@@ -45,12 +45,12 @@
     }
 
     @Test
-    void withoutAFileThereIsNothing() {
+    void missingFileReadsAsEmpty() {
         assertTrue(file.read().isEmpty());
     }
 
     @Test
-    void aFileCutAnywhereIsIgnored() throws Exception {
+    void fileOfWrongLengthIsIgnored() throws Exception {
         file.write(VERSION, SNAPSHOT, NOW);
         byte[] whole = Files.readAllBytes(file.path());
         for (int length = 0; length < whole.length; length++) {
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void everySingleDamagedBitIsSeen() throws Exception {
+    void everySingleBitErrorIsDetected() throws Exception {
         file.write(VERSION, SNAPSHOT, NOW);
         byte[] whole = Files.readAllBytes(file.path());
         for (int bit = 0; bit < whole.length * 8; bit++) {
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aForeignOrLargeFileIsIgnoredAndALargeSnapshotIsNotWritten() throws Exception {
+    void foreignOrOversizedFileIsIgnoredAndOversizedSnapshotIsNotWritten() throws Exception {
         Files.writeString(file.path(), "[fleet]\non = true\n".repeat(3));
         assertTrue(file.read().isEmpty());
         Files.write(file.path(), new byte[1000]);
