--- a/src/main/java/juniperusher/fleet/Connection.java
+++ b/src/main/java/juniperusher/fleet/Connection.java
@@ -14,9 +14,9 @@
 
 /**
  * A non-blocking TCP connection with bounded input and output buffers. It is used only on the thread of its
- * {@link EventLoop}. Output that the peer has not read waits in a queue of at most {@code maxOutput} bytes, and
+ * {@link EventLoop}. Output that the peer has not read waits in a queue of at most {@code maxOutputBytes}, and
  * {@link #send} rejects bytes beyond that limit. Input that the handler has not consumed is kept; more than
- * {@code maxInput} bytes of it close the connection.
+ * {@code maxInputBytes} of it close the connection.
  */
 public final class Connection {
     private static final Logger LOG = LoggerFactory.getLogger(Connection.class);
@@ -24,8 +24,8 @@
 
     private final EventLoop loop;
     private final Handler handler;
-    private final int maxInput;
-    private final int maxOutput;
+    private final int maxInputBytes;
+    private final int maxOutputBytes;
     private final Runnable onClosed;
     private final Deque<ByteBuffer> output = new ArrayDeque<>();
     private SocketChannel channel;
@@ -53,11 +53,11 @@
         void closed(String reason);
     }
 
-    Connection(EventLoop loop, Handler handler, int maxInput, int maxOutput, Runnable onClosed) {
+    Connection(EventLoop loop, Handler handler, int maxInputBytes, int maxOutputBytes, Runnable onClosed) {
         this.loop = loop;
         this.handler = handler;
-        this.maxInput = maxInput;
-        this.maxOutput = maxOutput;
+        this.maxInputBytes = maxInputBytes;
+        this.maxOutputBytes = maxOutputBytes;
         this.onClosed = onClosed;
     }
 
@@ -125,7 +125,7 @@
      * @return false if the bytes do not fit into the output queue or the connection is closed; nothing is sent then
      */
     public boolean send(ByteBuffer bytes) {
-        if (closed || queuedBytes + bytes.remaining() > maxOutput) {
+        if (closed || queuedBytes + bytes.remaining() > maxOutputBytes) {
             return false;
         }
         if (bytes.hasRemaining()) {
@@ -227,8 +227,8 @@
     }
 
     private void keepUnconsumed(ByteBuffer input) {
-        if (input.remaining() > maxInput) {
-            close("more than " + maxInput + " bytes of unconsumed input");
+        if (input.remaining() > maxInputBytes) {
+            close("more than " + maxInputBytes + " bytes of unconsumed input");
             return;
         }
         unconsumedInput = new byte[input.remaining()];
@@ -262,9 +262,9 @@
 
     private ByteBuffer[] nextBuffers() {
         ByteBuffer[] buffers = new ByteBuffer[Math.min(MAX_BUFFERS_PER_WRITE, output.size())];
-        Iterator<ByteBuffer> waiting = output.iterator();
+        Iterator<ByteBuffer> queued = output.iterator();
         for (int i = 0; i < buffers.length; i++) {
-            buffers[i] = waiting.next();
+            buffers[i] = queued.next();
         }
         return buffers;
     }
--- a/src/main/java/juniperusher/fleet/ControlServer.java
+++ b/src/main/java/juniperusher/fleet/ControlServer.java
@@ -151,7 +151,7 @@
         }
         upstream.close("process is shutting down");
         List.copyOf(subscriberConnections.values())
-                .forEach(subscription -> subscription.channel.close("process is shutting down"));
+                .forEach(subscriber -> subscriber.channel.close("process is shutting down"));
         subscriberConnections.clear();
     }
 
@@ -175,32 +175,32 @@
     }
 
     private void send(long connectionId, ControlMessage message) {
-        SubscriberConnection subscription = subscriberConnections.get(connectionId);
-        if (subscription == null || !subscription.channel.isOpen()) {
+        SubscriberConnection subscriber = subscriberConnections.get(connectionId);
+        if (subscriber == null || !subscriber.channel.isOpen()) {
             return;
         }
         if (message != lastMessage) {
             lastMessage = message;
             lastFrame = ByteBuffer.wrap(ControlMessageCodec.encode(message));
         }
-        subscription.channel.send(lastFrame.duplicate());
+        subscriber.channel.send(lastFrame.duplicate());
     }
 
     private void close(long connectionId) {
-        SubscriberConnection subscription = subscriberConnections.remove(connectionId);
-        if (subscription != null) {
-            subscription.channel.closeAfterOutput();
+        SubscriberConnection subscriber = subscriberConnections.remove(connectionId);
+        if (subscriber != null) {
+            subscriber.channel.closeAfterOutput();
             // A peer that never reads the remaining output must not keep its connection open.
             loop.schedule(
                     PEER_TIMEOUT_SECONDS,
-                    () -> subscription.channel.close("peer did not read the remaining output in time"));
+                    () -> subscriber.channel.close("peer did not read the remaining output in time"));
         }
     }
 
     private Connection.Handler accept() {
-        SubscriberConnection subscription = new SubscriberConnection(++lastConnectionId);
-        subscriberConnections.put(subscription.id, subscription);
-        return subscription.channel;
+        SubscriberConnection subscriber = new SubscriberConnection(++lastConnectionId);
+        subscriberConnections.put(subscriber.id, subscriber);
+        return subscriber.channel;
     }
 
     private void notifyListener(SubscriberStep<ShardMap> step) {
--- a/src/main/java/juniperusher/fleet/ControlService.java
+++ b/src/main/java/juniperusher/fleet/ControlService.java
@@ -127,17 +127,17 @@
 
     private void initialize(Dialer dialer) throws IOException {
         long seed = System.nanoTime();
-        server = new ControlServer(loop, dialer, settings.listen(), timing, limits, seed, new ServerListener());
+        server = new ControlServer(loop, dialer, settings.listenAddress(), timing, limits, seed, new ServerListener());
         if (settings.leads()) {
             startLeading();
         } else {
             startFollowing();
         }
-        subscriberAddress = bindAddress("control.listen", settings.listen(), server::listen);
-        if (settings.operator() != null) {
+        subscriberAddress = bindAddress("control.listen", settings.listenAddress(), server::listen);
+        if (settings.operatorAddress() != null) {
             operatorAddress = bindAddress(
                     "control.operator",
-                    settings.operator(),
+                    settings.operatorAddress(),
                     address -> loop.listen(
                                     address,
                                     () -> new OperatorPort(this::runCommand),
@@ -211,18 +211,19 @@
     }
 
     private ShardMap createFirstMap() throws IOException {
-        if (settings.relays() == null) {
+        if (settings.relayListFile() == null) {
             throw new IllegalArgumentException("'control.relays': a leader without a map in " + settings.stateFolder()
                     + " needs the list of relays");
         }
-        if (!Files.isRegularFile(settings.relays())) {
+        if (!Files.isRegularFile(settings.relayListFile())) {
             throw new IllegalArgumentException(
-                    "'control.relays' = \"" + settings.relays() + "\": there is no such file");
+                    "'control.relays' = \"" + settings.relayListFile() + "\": there is no such file");
         }
         try {
-            return FirstMap.of(RelayList.read(settings.relays()), settings.destinations(), settings.rangesPerRelay());
+            return FirstMap.of(
+                    RelayList.read(settings.relayListFile()), settings.destinationCount(), settings.rangesPerRelay());
         } catch (ShardMapException e) {
-            throw new IllegalArgumentException(settings.relays() + ": " + e.getMessage(), e);
+            throw new IllegalArgumentException(settings.relayListFile() + ": " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/juniperusher/fleet/ControlSettings.java
+++ b/src/main/java/juniperusher/fleet/ControlSettings.java
@@ -7,26 +7,26 @@
 /**
  * The settings of a control process, from the table {@code [control]}.
  *
- * @param listen host:port on which subscribers connect
+ * @param listenAddress host:port on which subscribers connect
  * @param stateFolder the persistent folder
  * @param upstream host:port of the control processes to follow; empty for the leader
- * @param relays file that lists the relays of the first map, or null
- * @param destinations number of destinations in the first map
+ * @param relayListFile file that lists the relays of the first map; null if the saved map is used
+ * @param destinationCount number of destinations in the first map
  * @param rangesPerRelay number of ranges that each relay owns in the first map
  * @param minTerm the lowest term to lead under
- * @param operator loopback host:port of the operator port, or null for none
+ * @param operatorAddress loopback host:port of the operator port, or null for none
  * @param maxSubscribers limit on relays that subscribe at the same time
  * @param maxMapBytes size limit of an encoded map
  */
 public record ControlSettings(
-        String listen,
+        String listenAddress,
         Path stateFolder,
         List<String> upstream,
-        Path relays,
-        int destinations,
+        Path relayListFile,
+        int destinationCount,
         int rangesPerRelay,
         long minTerm,
-        String operator,
+        String operatorAddress,
         int maxSubscribers,
         int maxMapBytes) {
     /** Reads the settings from the table, which has been validated and filled with defaults by its schema. */
--- a/src/main/java/juniperusher/fleet/EventLoop.java
+++ b/src/main/java/juniperusher/fleet/EventLoop.java
@@ -60,7 +60,7 @@
             this.task = task;
         }
 
-        /** Cancels the task; has no effect once it has run. */
+        /** Cancels the task. A task that is already due in the current iteration may still run. */
         public void cancel() {
             task = null;
             timers.remove(this);
@@ -79,8 +79,8 @@
         private final SelectionKey key;
         private final Supplier<Connection.Handler> handlers;
         private final int maxOpenConnections;
-        private final int maxOutput;
-        private final int maxInput;
+        private final int maxOutputBytes;
+        private final int maxInputBytes;
         private int openConnections;
         private long refusedConnections;
 
@@ -88,14 +88,14 @@
                 ServerSocketChannel channel,
                 Supplier<Connection.Handler> handlers,
                 int maxOpenConnections,
-                int maxInput,
-                int maxOutput)
+                int maxInputBytes,
+                int maxOutputBytes)
                 throws IOException {
             this.channel = channel;
             this.handlers = handlers;
             this.maxOpenConnections = maxOpenConnections;
-            this.maxInput = maxInput;
-            this.maxOutput = maxOutput;
+            this.maxInputBytes = maxInputBytes;
+            this.maxOutputBytes = maxOutputBytes;
             key = channel.register(selector, SelectionKey.OP_ACCEPT, this);
         }
 
@@ -141,7 +141,8 @@
                     continue;
                 }
                 openConnections++;
-                EventLoop.this.openAccepted(socket, handlers.get(), maxInput, maxOutput, () -> openConnections--);
+                EventLoop.this.openAccepted(
+                        socket, handlers.get(), maxInputBytes, maxOutputBytes, () -> openConnections--);
             }
         }
 
@@ -192,7 +193,7 @@
         selector.wakeup();
     }
 
-    /** Runs the task after a delay; a negative delay counts as zero. */
+    /** Runs the task on the loop's thread after a delay; a negative delay counts as zero. */
     public Timer schedule(double delaySeconds, Runnable task) {
         Timer timer = new Timer(now() + Math.max(0, delaySeconds), task);
         timers.add(timer);
@@ -204,22 +205,22 @@
      *
      * @param handlers creates the handler of each accepted connection
      * @param maxOpenConnections limit on this listener's open connections; further ones are closed on arrival
-     * @param maxInput limit on the bytes of input that a handler has not consumed
-     * @param maxOutput limit on the bytes of queued output
+     * @param maxInputBytes limit on input that a handler has not consumed
+     * @param maxOutputBytes limit on queued output
      */
     public Listener listen(
             InetSocketAddress address,
             Supplier<Connection.Handler> handlers,
             int maxOpenConnections,
-            int maxInput,
-            int maxOutput)
+            int maxInputBytes,
+            int maxOutputBytes)
             throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             channel.bind(address, LISTEN_BACKLOG);
-            return new Listener(channel, handlers, maxOpenConnections, maxInput, maxOutput);
+            return new Listener(channel, handlers, maxOpenConnections, maxInputBytes, maxOutputBytes);
         } catch (IOException | RuntimeException e) {
             channel.close();
             throw e;
@@ -233,8 +234,12 @@
      * @param timeoutSeconds time after which the attempt counts as failed
      */
     public Connection connect(
-            InetSocketAddress address, double timeoutSeconds, Connection.Handler handler, int maxInput, int maxOutput) {
-        Connection connection = new Connection(this, handler, maxInput, maxOutput, () -> {});
+            InetSocketAddress address,
+            double timeoutSeconds,
+            Connection.Handler handler,
+            int maxInputBytes,
+            int maxOutputBytes) {
+        Connection connection = new Connection(this, handler, maxInputBytes, maxOutputBytes, () -> {});
         connections++;
         publishedConnections = connections;
         if (connections > maxConnections) {
@@ -262,8 +267,12 @@
     }
 
     private void openAccepted(
-            SocketChannel socket, Connection.Handler handler, int maxInput, int maxOutput, Runnable onClosed) {
-        Connection connection = new Connection(this, handler, maxInput, maxOutput, onClosed);
+            SocketChannel socket,
+            Connection.Handler handler,
+            int maxInputBytes,
+            int maxOutputBytes,
+            Runnable onClosed) {
+        Connection connection = new Connection(this, handler, maxInputBytes, maxOutputBytes, onClosed);
         connections++;
         publishedConnections = connections;
         try {
--- a/src/main/java/juniperusher/fleet/FleetMembership.java
+++ b/src/main/java/juniperusher/fleet/FleetMembership.java
@@ -42,13 +42,13 @@
      * starts, whatever its age.
      *
      * @param name the relay's name, unique in the fleet
-     * @param state the relay's persistent folder
+     * @param stateFolder the relay's persistent folder
      * @throws IOException if the event loop cannot be created
      */
-    public static FleetMembership start(FleetSettings settings, String name, Path state, Counters counters)
+    public static FleetMembership start(FleetSettings settings, String name, Path stateFolder, Counters counters)
             throws IOException {
         EventLoop loop = new EventLoop("fleet", MAX_CONNECTIONS);
-        MapFile file = new MapFile(state, settings.maxMapBytes());
+        MapFile file = new MapFile(stateFolder, settings.maxMapBytes());
         FleetMembership membership = new FleetMembership(settings, file, counters, loop);
         membership.registerGauges();
         loop.start();
@@ -67,7 +67,7 @@
                 new MapListener());
         resumeSaved(file);
         publishedClient = client;
-        client.start(settings.control());
+        client.start(settings.controlAddresses());
         loop.schedule(AGE_CHECK_SECONDS, this::checkAge);
     }
 
--- a/src/main/java/juniperusher/fleet/FleetSettings.java
+++ b/src/main/java/juniperusher/fleet/FleetSettings.java
@@ -8,14 +8,14 @@
 /**
  * The settings of a relay's fleet membership, from the table {@code [fleet]}.
  *
- * @param control host:port of the control processes, in order of preference
+ * @param controlAddresses host:port of the control processes, in order of preference
  * @param region the relay's region
  * @param zone the relay's zone
  * @param staleAfterSeconds age from which the map counts as stale
  * @param maxMapBytes size limit of an encoded map
  */
 public record FleetSettings(
-        List<String> control, String region, String zone, double staleAfterSeconds, int maxMapBytes) {
+        List<String> controlAddresses, String region, String zone, double staleAfterSeconds, int maxMapBytes) {
     /** Reads the settings from the table, which has been validated and filled with defaults by its schema. */
     public static FleetSettings of(JsonObject table) {
         return new FleetSettings(
--- a/src/main/java/juniperusher/fleet/LeaderMap.java
+++ b/src/main/java/juniperusher/fleet/LeaderMap.java
@@ -50,7 +50,7 @@
         this.map = map;
     }
 
-    /** Requests a change, which consists of all steps or none. The reply is given on the loop's thread. */
+    /** Requests a change, whose steps are applied together or not at all. The reply is given on the loop's thread. */
     void submit(List<ShardMapStep> steps, Consumer<String> reply) {
         if (leadershipLost) {
             reply.accept("refused: this process does not lead any more");
--- a/src/main/java/juniperusher/fleet/MessageChannel.java
+++ b/src/main/java/juniperusher/fleet/MessageChannel.java
@@ -30,7 +30,10 @@
         /** A message has arrived. */
         void received(ControlMessage message);
 
-        /** The connection failed or was closed by the peer; not called after the channel itself has closed it. */
+        /**
+         * The connection ended or could not be established. Not called after {@link MessageChannel#close} or
+         * {@link MessageChannel#closeAfterOutput}.
+         */
         void closed(String reason);
     }
 
--- a/src/main/java/juniperusher/fleet/RelayList.java
+++ b/src/main/java/juniperusher/fleet/RelayList.java
@@ -58,20 +58,20 @@
      * @param position prefix of error messages: file and line, or the operator command
      */
     static RelayInfo parse(String text, String position) {
-        String[] words = text.split("\\s+");
-        if (words.length != FIELD_COUNT) {
+        String[] fields = text.split("\\s+");
+        if (fields.length != FIELD_COUNT) {
             throw new IllegalArgumentException(position + ": expected 'NAME REGION ZONE WEIGHT', got '" + text + "'");
         }
         for (int i = 0; i < FIELD_COUNT - 1; i++) {
-            if (!NAME.matcher(words[i]).matches()) {
+            if (!NAME.matcher(fields[i]).matches()) {
                 throw new IllegalArgumentException(
-                        position + ": '" + words[i] + "': expected letters, digits, '.', '_', '-'");
+                        position + ": '" + fields[i] + "': expected letters, digits, '.', '_', '-'");
             }
         }
-        if (!WEIGHT.matcher(words[FIELD_COUNT - 1]).matches()) {
+        if (!WEIGHT.matcher(fields[FIELD_COUNT - 1]).matches()) {
             throw new IllegalArgumentException(
-                    position + ": weight '" + words[FIELD_COUNT - 1] + "': expected 1 to 999999");
+                    position + ": weight '" + fields[FIELD_COUNT - 1] + "': expected 1 to 999999");
         }
-        return new RelayInfo(words[0], words[1], words[2], Integer.parseInt(words[FIELD_COUNT - 1]));
+        return new RelayInfo(fields[0], fields[1], fields[2], Integer.parseInt(fields[FIELD_COUNT - 1]));
     }
 }
--- a/src/main/java/juniperusher/fleet/UpstreamLink.java
+++ b/src/main/java/juniperusher/fleet/UpstreamLink.java
@@ -22,7 +22,7 @@
     private final Events events;
     private final Consumer<SubscriberStep<ShardMap>> otherSteps;
     private final Traffic traffic = new Traffic();
-    private MessageChannel channel; // null while there is no connection
+    private MessageChannel channel; // null before the first connection and after close()
     private boolean readingEnabled = true;
 
     /** Receives the events of connections; {@code connectionId} is that of the step that requested the connection. */
--- a/src/test/java/juniperusher/fleet/ControlServiceTest.java
+++ b/src/test/java/juniperusher/fleet/ControlServiceTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Control processes and relays' subscriptions on real sockets. */
+/** Tests control processes and relays' subscriptions over TCP, including restarts and invalid input. */
 class ControlServiceTest {
-    private static final long TIMEOUT_SECONDS = 20; // s
+    private static final long TIMEOUT_SECONDS = 20;
     private static final int MAX_BYTES = 1 << 20;
 
     @TempDir
@@ -88,7 +88,7 @@
     private static void await(String expected, BooleanSupplier condition) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < deadline, "in time: " + expected);
+            assertTrue(System.nanoTime() < deadline, "not reached in time: " + expected);
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
@@ -98,10 +98,10 @@
         return map != null && map.epoch() == epoch;
     }
 
-    private static String ask(ControlService service, String line) throws IOException {
+    private static String sendCommand(ControlService service, String command) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", service.operator().getPort())) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
-            socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
+            socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.UTF_8));
             return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))
                     .readLine();
         }
@@ -116,25 +116,26 @@
         FleetMembership two = startRelay("relay-2", List.of(address(leader)), new Counters());
         await("the first map", () -> hasEpoch(one, 1) && hasEpoch(two, 1));
         assertEquals("relay-1", one.map().ownerOf(0));
-        assertEquals("ok epoch 2", ask(leader, "move 0 relay-2"));
+        assertEquals("ok epoch 2", sendCommand(leader, "move 0 relay-2"));
         await("the change", () -> hasEpoch(one, 2) && hasEpoch(two, 2));
         assertEquals("relay-2", one.map().ownerOf(0));
         assertEquals(one.map(), two.map());
         await("the age", () -> one.ageSeconds() < 10);
         assertTrue(counters.text().contains("juniperusher_fleet_map_epoch 2.0\n"), counters.text());
         assertTrue(counters.text().contains("juniperusher_fleet_subscribed 1.0\n"), counters.text());
-        assertTrue(ask(follower, "status").startsWith("role=follower term=2 version=2.3 epoch=2 subscribers=1"));
-        assertTrue(ask(follower, "release 0").startsWith("refused: this process follows"));
+        assertTrue(
+                sendCommand(follower, "status").startsWith("role=follower term=2 version=2.3 epoch=2 subscribers=1"));
+        assertTrue(sendCommand(follower, "release 0").startsWith("refused: this process follows"));
     }
 
     @Test
     void invalidChangesAreRefusedAndValidOnesApplied() throws Exception {
         ControlService leader = startLeader();
-        assertTrue(ask(leader, "move 0").startsWith("refused: 'move 0': expected"));
-        assertTrue(ask(leader, "move 0 relay-3").startsWith("refused: "), "of another region");
-        assertTrue(ask(leader, "put relay-4 north c 0").startsWith("refused: put: weight '0'"));
-        assertEquals("ok epoch 2", ask(leader, "put relay-4 north c 1; move 0 relay-4"));
-        assertTrue(ask(leader, "status").contains(" epoch=2 "));
+        assertTrue(sendCommand(leader, "move 0").startsWith("refused: 'move 0': expected"));
+        assertTrue(sendCommand(leader, "move 0 relay-3").startsWith("refused: "), "relay-3 is in another region");
+        assertTrue(sendCommand(leader, "put relay-4 north c 0").startsWith("refused: put: weight '0'"));
+        assertEquals("ok epoch 2", sendCommand(leader, "put relay-4 north c 1; move 0 relay-4"));
+        assertTrue(sendCommand(leader, "status").contains(" epoch=2 "));
     }
 
     @Test
@@ -142,12 +143,12 @@
         ControlService first = startLeader();
         int port = first.listening().getPort();
         FleetMembership relay = startRelay("relay-1", List.of("127.0.0.1:" + port), new Counters());
-        assertEquals("ok epoch 2", ask(first, "move 0 relay-2"));
+        assertEquals("ok epoch 2", sendCommand(first, "move 0 relay-2"));
         await("the change", () -> hasEpoch(relay, 2));
         first.close();
         ControlService second = start(settings("127.0.0.1:" + port, "leader", List.of()));
-        assertTrue(ask(second, "status").startsWith("role=leader term=3 "));
-        assertEquals("ok epoch 3", ask(second, "move 0 relay-1"));
+        assertTrue(sendCommand(second, "status").startsWith("role=leader term=3 "));
+        assertEquals("ok epoch 3", sendCommand(second, "move 0 relay-1"));
         await("the change of the new term", () -> hasEpoch(relay, 3));
     }
 
@@ -159,9 +160,9 @@
         try (Socket socket = new Socket("127.0.0.1", leader.listening().getPort())) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
             socket.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            assertEquals(-1, socket.getInputStream().read(), "closed without an answer");
+            assertEquals(-1, socket.getInputStream().read(), "connection closed without an answer");
         }
-        assertEquals("ok epoch 2", ask(leader, "move 0 relay-2"));
+        assertEquals("ok epoch 2", sendCommand(leader, "move 0 relay-2"));
         await("the change", () -> hasEpoch(relay, 2));
     }
 
@@ -186,7 +187,7 @@
             }
         }
         long epoch = Long.parseLong(last.substring("ok epoch ".length()));
-        assertTrue(epoch < changes, "shared: " + epoch);
+        assertTrue(epoch < changes, "changes share epochs: " + epoch);
         await("the last epoch", () -> hasEpoch(relay, epoch));
         assertEquals("relay-1", relay.map().ownerOf(0));
     }
@@ -228,7 +229,7 @@
     @Test
     void leaderDoesNotReplaceDamagedMap() throws Exception {
         ControlService leader = startLeader();
-        assertEquals("ok epoch 2", ask(leader, "move 0 relay-2"));
+        assertEquals("ok epoch 2", sendCommand(leader, "move 0 relay-2"));
         leader.close();
         Files.write(folder.resolve("leader").resolve(MapFile.NAME), new byte[] {1, 2, 3});
         String message =
--- a/src/test/java/juniperusher/fleet/EventLoopTest.java
+++ b/src/test/java/juniperusher/fleet/EventLoopTest.java
@@ -21,13 +21,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/** Tests the event loop and its connections on loopback sockets: limits, timers, and failures of one connection. */
 class EventLoopTest {
     private static final int MAX_BYTES = 256 * 1024;
-    private static final long TIMEOUT_SECONDS = 10; // s
+    private static final long TIMEOUT_SECONDS = 10;
 
     private EventLoop loop;
 
-    /** Notes what it hears. */
+    /** Records the events of a connection. */
     private static class Recorder implements Connection.Handler {
         final BlockingQueue<String> events = new LinkedBlockingQueue<>();
         Connection connection;
@@ -52,7 +53,7 @@
 
         String nextEvent() throws InterruptedException {
             String event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-            assertNotNull(event, "nothing was heard in time");
+            assertNotNull(event, "no event in time");
             return event;
         }
     }
@@ -142,7 +143,7 @@
         int sent = onLoop(() -> {
             ByteBuffer block = ByteBuffer.allocate(16 * 1024);
             int accepted = 0;
-            while (toSlow.send(block)) { // the kernel's buffers are some MB at most
+            while (toSlow.send(block)) { // ends once the kernel's buffers, some MB, are full
                 accepted++;
                 queued.add(toSlow.queuedBytes());
             }
--- a/src/test/java/juniperusher/fleet/MapFileTest.java
+++ b/src/test/java/juniperusher/fleet/MapFileTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests that the map file is read back, and that incomplete, damaged, foreign or oversized files are ignored. */
 class MapFileTest {
     private static final Instant NOW = Instant.parse("2026-03-01T10:00:00Z");
     private static final Version VERSION = new Version(2, 7);
@@ -40,7 +41,7 @@
         assertEquals(VERSION, saved.version());
         assertEquals(NOW, saved.writtenAt());
         try (Stream<Path> files = Files.list(folder)) {
-            assertEquals(1, files.count(), "the file beside is gone");
+            assertEquals(1, files.count(), "no temporary file is left");
         }
     }
 
@@ -58,7 +59,7 @@
             assertTrue(file.read().isEmpty(), "cut to " + length);
         }
         Files.write(file.path(), Arrays.copyOf(whole, whole.length + 1));
-        assertTrue(file.read().isEmpty(), "with a byte more");
+        assertTrue(file.read().isEmpty(), "one extra byte");
     }
 
     @Test
