--- a/src/test/java/juniperusher/fleet/MapFileTest.java
+++ b/src/test/java/juniperusher/fleet/MapFileTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests that the map file is read back, and that incomplete, damaged, foreign or oversized files are ignored. */
 class MapFileTest {
     private static final Instant NOW = Instant.parse("2026-03-01T10:00:00Z");
     private static final Version VERSION = new Version(2, 7);
@@ -27,12 +28,12 @@
     private MapFile file;
 
     @BeforeEach
-    void make() {
+    void createFile() {
         file = new MapFile(folder, 100);
     }
 
     @Test
-    void whatWasWrittenIsRead() throws Exception {
+    void writtenMapIsReadBack() throws Exception {
         file.write(new Version(1, 6), new byte[] {9}, NOW.minusSeconds(5));
         file.write(VERSION, SNAPSHOT, NOW);
         MapFile.Saved saved = file.read().orElseThrow();
@@ -40,17 +41,17 @@
         assertEquals(VERSION, saved.version());
         assertEquals(NOW, saved.writtenAt());
         try (Stream<Path> files = Files.list(folder)) {
-            assertEquals(1, files.count(), "the file beside is gone");
+            assertEquals(1, files.count(), "no temporary file is left");
         }
     }
 
     @Test
-    void withoutAFileThereIsNothing() {
+    void missingFileReadsAsEmpty() {
         assertTrue(file.read().isEmpty());
     }
 
     @Test
-    void aFileCutAnywhereIsIgnored() throws Exception {
+    void fileOfWrongLengthIsIgnored() throws Exception {
         file.write(VERSION, SNAPSHOT, NOW);
         byte[] whole = Files.readAllBytes(file.path());
         for (int length = 0; length < whole.length; length++) {
@@ -58,11 +59,11 @@
             assertTrue(file.read().isEmpty(), "cut to " + length);
         }
         Files.write(file.path(), Arrays.copyOf(whole, whole.length + 1));
-        assertTrue(file.read().isEmpty(), "with a byte more");
+        assertTrue(file.read().isEmpty(), "one extra byte");
     }
 
     @Test
-    void everySingleDamagedBitIsSeen() throws Exception {
+    void everySingleBitErrorIsDetected() throws Exception {
         file.write(VERSION, SNAPSHOT, NOW);
         byte[] whole = Files.readAllBytes(file.path());
         for (int bit = 0; bit < whole.length * 8; bit++) {
@@ -74,7 +75,7 @@
     }
 
     @Test
-    void aForeignOrLargeFileIsIgnoredAndALargeSnapshotIsNotWritten() throws Exception {
+    void foreignOrOversizedFileIsIgnoredAndOversizedSnapshotIsNotWritten() throws Exception {
         Files.writeString(file.path(), "[fleet]\non = true\n".repeat(3));
         assertTrue(file.read().isEmpty());
         Files.write(file.path(), new byte[1000]);
