--- a/src/main/java/juniperusher/shard/ByteReader.java
+++ b/src/main/java/juniperusher/shard/ByteReader.java
@@ -4,62 +4,68 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 
-/** Reads what {@link ByteWriter} wrote, and refuses whatever else it meets with {@link DamagedMapException}. */
+/**
+ * Reads the values that {@link ByteWriter} writes. All methods throw {@link DamagedMapException} if the bytes do not
+ * contain the expected value. Not thread-safe.
+ */
 final class ByteReader {
     private static final int LONG_BITS = 64;
 
     private final byte[] bytes;
-    private final int end;
+    private final int endPosition;
     private int position;
 
     ByteReader(byte[] bytes, int from, int end) {
         this.bytes = bytes;
-        this.end = end;
+        this.endPosition = end;
         position = from;
     }
 
-    int get() {
-        if (position >= end) {
-            throw new DamagedMapException("more bytes were expected");
+    int getByte() {
+        if (position >= endPosition) {
+            throw new DamagedMapException("the data ends too early");
         }
         return bytes[position++] & 0xFF;
     }
 
-    long getUnsigned() {
+    long getVarint() {
         long value = 0;
         for (int shift = 0; shift < LONG_BITS; shift += 7) {
-            int one = get();
-            value |= (long) (one & 0x7F) << shift;
-            if (one < 0x80) {
+            int current = getByte();
+            value |= (long) (current & 0x7F) << shift;
+            if (current < 0x80) {
                 return value;
             }
         }
-        throw new DamagedMapException("a number is too long");
+        throw new DamagedMapException("a variable-length number has too many bytes");
     }
 
-    long getSigned() {
-        long value = getUnsigned();
+    long getZigZagVarint() {
+        long value = getVarint();
         return (value >>> 1) ^ -(value & 1);
     }
 
-    /** A number from 0 to {@code most}, which is named by {@code what} where it is not. */
-    int getUpTo(int most, String what) {
-        long value = getUnsigned();
-        if (value < 0 || value > most) {
-            throw new DamagedMapException(what + " from 0 to " + most + " was expected, got " + value);
+    /** Reads a number from 0 to {@code max}. {@code valueName} names the value in the error message. */
+    int getBounded(int max, String valueName) {
+        long value = getVarint();
+        if (value < 0 || value > max) {
+            throw new DamagedMapException(valueName + " from 0 to " + max + " was expected, got " + value);
         }
         return (int) value;
     }
 
-    /** How many of something follow, each of at least one byte: so that no damage asks for much memory. */
-    int getCount(String what) {
-        return getUpTo(end - position, "a number of " + what);
+    /**
+     * Reads the number of elements that follow. Each takes at least one byte, so the number is limited to that of the
+     * remaining bytes; otherwise a damaged number could cause a huge allocation.
+     */
+    int getCount(String elementName) {
+        return getBounded(endPosition - position, "a number of " + elementName);
     }
 
     long getFixed(int width) {
         long value = 0;
         for (int i = 0; i < width; i++) {
-            value = value << 8 | get();
+            value = value << 8 | getByte();
         }
         return value;
     }
@@ -73,14 +79,14 @@
                     .toString();
             position += length;
             return text;
-        } catch (CharacterCodingException broken) {
-            throw new DamagedMapException("text in UTF-8 was expected", broken);
+        } catch (CharacterCodingException invalid) {
+            throw new DamagedMapException("a text is not valid UTF-8", invalid);
         }
     }
 
     void expectEnd() {
-        if (position != end) {
-            throw new DamagedMapException((end - position) + " bytes are left over");
+        if (position != endPosition) {
+            throw new DamagedMapException((endPosition - position) + " bytes are left over");
         }
     }
 }
--- a/src/main/java/juniperusher/shard/ByteWriter.java
+++ b/src/main/java/juniperusher/shard/ByteWriter.java
@@ -3,44 +3,48 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** A growing array of bytes with the primitives of the shard map's binary forms. */
+/** A growing byte buffer that writes the primitive values of the binary forms. Not thread-safe. */
 final class ByteWriter {
     private byte[] bytes = new byte[256];
     private int size;
 
-    void put(int value) {
+    void putByte(int value) {
         if (size == bytes.length) {
             bytes = Arrays.copyOf(bytes, 2 * size);
         }
         bytes[size++] = (byte) value;
     }
 
-    /** Seven bits a byte, the least first; the highest bit says that more follow. */
-    void putUnsigned(long value) {
-        long rest = value;
-        while ((rest & ~0x7FL) != 0) {
-            put((int) (rest & 0x7F) | 0x80);
-            rest >>>= 7;
+    /**
+     * Writes seven bits per byte, the least significant first. The highest bit of a byte is set if another one follows.
+     */
+    void putVarint(long value) {
+        long remaining = value;
+        while ((remaining & ~0x7FL) != 0) {
+            putByte((int) (remaining & 0x7F) | 0x80);
+            remaining >>>= 7;
         }
-        put((int) rest);
+        putByte((int) remaining);
     }
 
-    /** Numbers near zero are short, whatever their sign. */
-    void putSigned(long value) {
-        putUnsigned((value << 1) ^ (value >> 63));
+    /** Writes a signed number so that positive and negative numbers near zero take few bytes. */
+    void putZigZagVarint(long value) {
+        putVarint((value << 1) ^ (value >> 63));
     }
 
+    /** Writes the lowest {@code width} bytes of the value, the most significant byte first. */
     void putFixed(long value, int width) {
         for (int shift = 8 * (width - 1); shift >= 0; shift -= 8) {
-            put((int) (value >>> shift));
+            putByte((int) (value >>> shift));
         }
     }
 
+    /** Writes the length in bytes of the UTF-8 text, then the text. */
     void putText(String text) {
         byte[] encoded = text.getBytes(StandardCharsets.UTF_8);
-        putUnsigned(encoded.length);
+        putVarint(encoded.length);
         for (byte one : encoded) {
-            put(one);
+            putByte(one);
         }
     }
 
--- a/src/main/java/juniperusher/shard/DamagedMapException.java
+++ b/src/main/java/juniperusher/shard/DamagedMapException.java
@@ -1,6 +1,6 @@
 package juniperusher.shard;
 
-/** Bytes that are no whole, undamaged, valid snapshot or delta of a known version. Nothing of them was used. */
+/** Thrown for a snapshot or delta that is truncated, damaged, invalid or of an unknown version. It has no effect. */
 public final class DamagedMapException extends ShardMapException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/juniperusher/shard/InvalidMapException.java
+++ b/src/main/java/juniperusher/shard/InvalidMapException.java
@@ -1,10 +1,13 @@
 package juniperusher.shard;
 
-/** Relays and ranges that are no valid map: a gap, an overlap, an unknown owner, an owner of another region. */
+/**
+ * Thrown for relays and ranges that do not form a valid map, for example because of a gap, an overlap, an unknown owner
+ * or an owner of another region.
+ */
 public final class InvalidMapException extends ShardMapException {
     private static final long serialVersionUID = 1;
 
-    /** Refused for the reason in the message. */
+    /** Creates an exception; the message says what is invalid. */
     public InvalidMapException(String message) {
         super(message);
     }
--- a/src/main/java/juniperusher/shard/InvalidStepException.java
+++ b/src/main/java/juniperusher/shard/InvalidStepException.java
@@ -1,18 +1,18 @@
 package juniperusher.shard;
 
-/** Steps that do not fit the map they are applied to. The map stays as it was. */
+/** Thrown for steps that cannot be applied to a map. The map does not change. */
 public final class InvalidStepException extends ShardMapException {
     private static final long serialVersionUID = 1;
 
-    InvalidStepException(ShardMapStep step, String why) {
-        super(step + ": " + why);
+    InvalidStepException(ShardMapStep step, String reason) {
+        super(step + ": " + reason);
     }
 
     InvalidStepException(InvalidMapException cause) {
         super("the steps leave no valid map: " + cause.getMessage(), cause);
     }
 
-    InvalidStepException(String why) {
-        super(why);
+    InvalidStepException(String reason) {
+        super(reason);
     }
 }
--- a/src/main/java/juniperusher/shard/RangeColumns.java
+++ b/src/main/java/juniperusher/shard/RangeColumns.java
@@ -3,11 +3,12 @@
 import java.util.Arrays;
 
 /**
- * The ranges of a map as columns of primitives, 18 bytes a range. A range ends where the next one begins. Written once
- * by whoever builds a map, and not changed from then on.
+ * The ranges of a map in parallel arrays of primitive values, 18 bytes per range. A range ends at the start of the next
+ * one. Ranges are added while a map is built; the columns do not change after that, and may then be shared between
+ * threads.
  */
 final class RangeColumns {
-    /** The owner's index of a range that nobody owns. */
+    /** The owner index of an unowned range. */
     static final int UNOWNED = -1;
 
     private int[] starts;
@@ -23,18 +24,18 @@
         movedAt = new long[capacity];
     }
 
-    void add(int start, int owner, int region, long moved) {
+    void add(int start, int owner, int region, long movedAtEpoch) {
         if (size == starts.length) {
             resize(Math.max(8, size + size / 2));
         }
         starts[size] = start;
         owners[size] = owner;
         regions[size] = (short) region;
-        movedAt[size] = moved;
+        movedAt[size] = movedAtEpoch;
         size++;
     }
 
-    /** Gives back what is not used. */
+    /** Releases unused memory. */
     void trim() {
         if (size < starts.length) {
             resize(size);
@@ -68,10 +69,10 @@
         return movedAt[index];
     }
 
-    /** The index of the range that contains the destination, which is not below the first start. */
+    /** Returns the index of the range that contains the destination, which must not be below the first start. */
     int indexOf(int destination) {
-        int found = Arrays.binarySearch(starts, 0, size, destination);
-        return found >= 0 ? found : -found - 2;
+        int searchResult = Arrays.binarySearch(starts, 0, size, destination);
+        return searchResult >= 0 ? searchResult : -searchResult - 2;
     }
 
     @Override
--- a/src/main/java/juniperusher/shard/RelayInfo.java
+++ b/src/main/java/juniperusher/shard/RelayInfo.java
@@ -1,17 +1,23 @@
 package juniperusher.shard;
 
 /**
- * A relay as the shard map knows it.
+ * The properties of a relay that the shard map contains. Immutable.
  *
  * @param name unique in the fleet
  * @param region the region whose destinations it may own
- * @param zone the failure domain within the region; zones of different regions may bear the same name
- * @param weight the share of its region's load that it is to bear, relative to the region's other relays; at least 1
+ * @param zone the relay's failure domain within the region; zones of different regions may have the same name
+ * @param weight the relay's share of its region's load, relative to the weights of the region's other relays; at least
+ *     1
  */
 public record RelayInfo(String name, String region, String zone, int weight) {
-    private static final int LONGEST_NAME = 255;
+    private static final int MAX_NAME_LENGTH = 255;
 
-    /** Refuses what is no name (see {@link InvalidMapException}) and weights below 1. */
+    /**
+     * Checks the names and the weight.
+     *
+     * @throws InvalidMapException if a name is empty, too long or contains invisible characters, or the weight is below
+     *     1
+     */
     public RelayInfo {
         checkName("a relay's name", name);
         checkName("a relay's region", region);
@@ -21,26 +27,30 @@
         }
     }
 
-    /** Names have 1 to 255 visible characters, none outside of Unicode's basic plane. */
-    static void checkName(String what, String name) {
-        if (name.isEmpty() || name.length() > LONGEST_NAME || !visible(name)) {
-            throw new InvalidMapException(
-                    what + " was expected to have 1 to " + LONGEST_NAME + " visible characters, got '" + name + "'");
+    /**
+     * Checks that the name has 1 to 255 visible characters, all of them in Unicode's basic multilingual plane.
+     *
+     * @throws InvalidMapException if it has not
+     */
+    static void checkName(String description, String name) {
+        if (name.isEmpty() || name.length() > MAX_NAME_LENGTH || !isVisible(name)) {
+            throw new InvalidMapException(description + " was expected to have 1 to " + MAX_NAME_LENGTH
+                    + " visible characters, got '" + name + "'");
         }
     }
 
-    // A loop in place of a stream: a whole map of thousands of relays is checked at once.
-    private static boolean visible(String name) {
+    // A loop because a stream is slower, and a map checks the names of thousands of relays at once.
+    private static boolean isVisible(String name) {
         for (int i = 0; i < name.length(); i++) {
-            char one = name.charAt(i);
-            if (one <= ' ' || Character.isISOControl(one) || Character.isSurrogate(one)) {
+            char character = name.charAt(i);
+            if (character <= ' ' || Character.isISOControl(character) || Character.isSurrogate(character)) {
                 return false;
             }
         }
         return true;
     }
 
-    // Written out: a record's own is a method handle, which is slow until it is compiled.
+    // The generated equals of a record calls a method handle, which is slow until it is compiled.
     @Override
     public boolean equals(Object other) {
         return other instanceof RelayInfo relay
--- a/src/main/java/juniperusher/shard/RelayTable.java
+++ b/src/main/java/juniperusher/shard/RelayTable.java
@@ -7,19 +7,25 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The relays of a map in the order of their names, and the names of all its regions in order. Immutable. */
+/** The relays of a map ordered by name, and the names of all its regions in ascending order. Immutable. */
 final class RelayTable {
-    /** The index of what is not listed. */
+    /** The index of a relay or region that the table does not contain. */
     static final int UNKNOWN = -2;
 
     private final RelayInfo[] relays;
     private final String[] names;
     private final String[] regions;
     private final short[] regionOfRelay;
-    private final List<RelayInfo> list;
+    private final List<RelayInfo> relayList;
     private final List<String> regionList;
 
-    /** The table of these relays; {@code rangeRegions} are the regions of the ranges, with or without relays. */
+    /**
+     * Creates a table of these relays.
+     *
+     * @param rangeRegions the regions of the map's ranges, which may include regions without relays
+     * @throws InvalidMapException if two relays have the same name, a region's name is invalid, or there are too many
+     *     regions
+     */
     RelayTable(Collection<RelayInfo> relays, Collection<String> rangeRegions) {
         TreeMap<String, RelayInfo> byName = new TreeMap<>();
         TreeSet<String> regionNames = new TreeSet<>(rangeRegions);
@@ -36,7 +42,7 @@
         this.relays = byName.values().toArray(RelayInfo[]::new);
         names = byName.keySet().toArray(String[]::new);
         regions = regionNames.toArray(String[]::new);
-        list = Collections.unmodifiableList(Arrays.asList(this.relays));
+        relayList = Collections.unmodifiableList(Arrays.asList(this.relays));
         regionList = Collections.unmodifiableList(Arrays.asList(regions));
         regionOfRelay = new short[names.length];
         for (int i = 0; i < names.length; i++) {
@@ -52,9 +58,9 @@
         return relays[index];
     }
 
-    /** The relay's index, or {@link #UNKNOWN}. */
+    /** Returns the relay's index, or {@link #UNKNOWN}. */
     int indexOf(String name) {
-        return knownOr(Arrays.binarySearch(names, name));
+        return indexOrUnknown(Arrays.binarySearch(names, name));
     }
 
     int regionCount() {
@@ -65,21 +71,21 @@
         return regions[index];
     }
 
-    /** The region's index, or {@link #UNKNOWN}. */
+    /** Returns the region's index, or {@link #UNKNOWN}. */
     int regionIndex(String region) {
-        return knownOr(Arrays.binarySearch(regions, region));
+        return indexOrUnknown(Arrays.binarySearch(regions, region));
     }
 
-    private static int knownOr(int found) {
-        return found < 0 ? UNKNOWN : found;
+    private static int indexOrUnknown(int searchResult) {
+        return searchResult < 0 ? UNKNOWN : searchResult;
     }
 
     int regionOfRelay(int index) {
         return regionOfRelay[index];
     }
 
-    List<RelayInfo> list() {
-        return list;
+    List<RelayInfo> relays() {
+        return relayList;
     }
 
     List<String> regions() {
--- a/src/main/java/juniperusher/shard/ShardMap.java
+++ b/src/main/java/juniperusher/shard/ShardMap.java
@@ -8,11 +8,13 @@
 import java.util.TreeSet;
 
 /**
- * Which relay owns which destinations, as of one epoch. Immutable and safe to share between threads.
+ * The assignment of all destinations to relays at one epoch. Destinations are numbered; the space of numbers is divided
+ * into ranges, and each range is owned by at most one relay. Immutable and safe to share between threads.
  *
- * <p>What holds for every instance: the ranges cover the space without gap or overlap; each has one region and at most
- * one owner, which is a known relay of that region; no range moved after the map's epoch. Two maps with equal relays,
- * ranges and epochs are equal, whatever steps led to them.
+ * <p>The constructor enforces these invariants: the ranges cover the space without gap or overlap; each range has one
+ * region; the owner of a range is a relay of the map and of the range's region; no range moved at a later epoch than
+ * the map's. Maps with equal spaces, relays, regions, ranges and epochs are equal, even if different steps produced
+ * them.
  */
 public final class ShardMap {
     private final long epoch;
@@ -20,9 +22,9 @@
     private final int to;
     private final RelayTable table;
     private final RangeColumns columns;
-    private volatile long digest; // 0 until its first use; two threads may compute the same value
+    private volatile long digest; // 0 until it is computed; two threads may both compute it, with the same result
 
-    /** For the package: checks all invariants. The columns are not changed from then on. */
+    /** Checks all invariants. The caller must not change the columns afterwards. */
     ShardMap(long epoch, int from, int to, RelayTable table, RangeColumns columns) {
         this.epoch = epoch;
         this.from = from;
@@ -30,38 +32,40 @@
         this.table = table;
         this.columns = columns;
         columns.trim();
-        check();
+        checkInvariants();
     }
 
     /**
-     * The map of these ranges.
+     * Creates a map from its ranges.
      *
-     * @param epoch at least 0
+     * @param epoch the map's epoch, at least 0
      * @param from the first destination of the space
-     * @param to the first destination behind the space
-     * @throws InvalidMapException where an invariant does not hold
+     * @param to the end of the space, exclusive
+     * @param relays all relays of the map, in any order; some may own no range
+     * @param ranges the ranges in ascending order of their destinations
+     * @throws InvalidMapException if an invariant does not hold
      */
     public static ShardMap of(long epoch, int from, int to, Collection<RelayInfo> relays, List<ShardRange> ranges) {
         TreeSet<String> regions = new TreeSet<>();
         ranges.forEach(range -> regions.add(range.region()));
         RelayTable table = new RelayTable(relays, regions);
         RangeColumns columns = new RangeColumns(ranges.size());
-        int next = from;
+        int expectedStart = from;
         for (ShardRange range : ranges) {
-            if (range.from() != next || range.to() <= range.from()) {
-                throw new InvalidMapException("a range from " + next + " on was expected, got " + range);
+            if (range.from() != expectedStart || range.to() <= range.from()) {
+                throw new InvalidMapException("a range from " + expectedStart + " on was expected, got " + range);
             }
             columns.add(range.from(), ownerIndex(table, range), table.regionIndex(range.region()), range.movedAt());
-            next = range.to();
+            expectedStart = range.to();
         }
-        if (next != to) {
-            throw new InvalidMapException("the ranges end at " + next + ", the space at " + to);
+        if (expectedStart != to) {
+            throw new InvalidMapException("the ranges end at " + expectedStart + ", the space at " + to);
         }
         return new ShardMap(epoch, from, to, table, columns);
     }
 
     private static int ownerIndex(RelayTable table, ShardRange range) {
-        if (!range.owned()) {
+        if (!range.isOwned()) {
             return RangeColumns.UNOWNED;
         }
         int index = table.indexOf(range.owner());
@@ -75,23 +79,23 @@
         return index;
     }
 
-    private void check() {
+    private void checkInvariants() {
         if (epoch < 0) {
             throw new InvalidMapException("an epoch of at least 0 was expected, got " + epoch);
         }
         if (from >= to || columns.size() == 0 || columns.start(0) != from) {
             throw new InvalidMapException("ranges from " + from + " to " + to + " were expected");
         }
-        boolean[] used = new boolean[table.regionCount()];
+        boolean[] regionUsed = new boolean[table.regionCount()];
         for (int i = 0; i < columns.size(); i++) {
             checkRange(i);
-            used[columns.region(i)] = true;
+            regionUsed[columns.region(i)] = true;
         }
         for (int i = 0; i < table.size(); i++) {
-            used[table.regionOfRelay(i)] = true;
+            regionUsed[table.regionOfRelay(i)] = true;
         }
-        for (int i = 0; i < used.length; i++) {
-            if (!used[i]) {
+        for (int i = 0; i < regionUsed.length; i++) {
+            if (!regionUsed[i]) {
                 throw new InvalidMapException("region '" + table.region(i) + "' has neither relays nor ranges");
             }
         }
@@ -99,7 +103,7 @@
 
     private void checkRange(int index) {
         int start = columns.start(index);
-        int end = end(index);
+        int end = rangeEnd(index);
         if (start >= end) {
             throw new InvalidMapException("a range from " + start + " to " + end + " is empty or overlaps");
         }
@@ -116,42 +120,44 @@
                     + table.relay(owner).region() + "' owns the range from " + start + " on, of region '"
                     + table.region(region) + "'");
         }
-        long moved = columns.movedAt(index);
-        if (moved < 0 || moved > epoch) {
+        long movedAt = columns.movedAt(index);
+        if (movedAt < 0 || movedAt > epoch) {
             throw new InvalidMapException(
-                    "the range from " + start + " on moved at epoch " + moved + ", the map's is " + epoch);
+                    "the range from " + start + " on moved at epoch " + movedAt + ", the map's is " + epoch);
         }
     }
 
-    /** The map of the next epoch, after these steps in their order.
+    /**
+     * Returns the map of the next epoch, which results from applying the steps in the given order. This map does not
+     * change.
      *
-     * @throws InvalidStepException where one of them does not fit, or there is none; this map stays as it is anyhow
+     * @throws InvalidStepException if a step cannot be applied, or the list is empty
      */
     public ShardMap next(List<ShardMapStep> steps) {
         return new ShardMapEditor(this).next(steps);
     }
 
-    /** As {@link #next(List)}. */
+    /** Does the same as {@link #next(List)}. */
     public ShardMap next(ShardMapStep... steps) {
         return next(List.of(steps));
     }
 
-    /** The map's number, which grows by one with each {@link #next}. */
+    /** Returns the map's version number; {@link #next} increases it by one. */
     public long epoch() {
         return epoch;
     }
 
-    /** The first destination. */
+    /** Returns the first destination of the space. */
     public int from() {
         return from;
     }
 
-    /** The first number behind the last destination. */
+    /** Returns the end of the space, exclusive. */
     public int to() {
         return to;
     }
 
-    /** All ranges in the order of their destinations; each element is made when it is asked for. */
+    /** Returns a view of all ranges in ascending order; each call of its {@code get} creates the range object. */
     public List<ShardRange> ranges() {
         return new RangeList();
     }
@@ -159,7 +165,7 @@
     private final class RangeList extends AbstractList<ShardRange> implements RandomAccess {
         @Override
         public ShardRange get(int index) {
-            return range(index);
+            return rangeAt(index);
         }
 
         @Override
@@ -168,43 +174,51 @@
         }
     }
 
-    /** The number of ranges. */
+    /** Returns the number of ranges. */
     public int rangeCount() {
         return columns.size();
     }
 
-    /** All known relays in the order of their names, those that own nothing among them. */
+    /** Returns all relays of the map, ordered by name, including those that own no range. */
     public List<RelayInfo> relays() {
-        return table.list();
+        return table.relays();
     }
 
-    /** The relay of that name; null where it is not known. */
+    /** Returns the relay with the given name, or null if the map has none. */
     public RelayInfo relay(String name) {
         int index = table.indexOf(name);
         return index < 0 ? null : table.relay(index);
     }
 
-    /** The names of all regions that have relays or ranges, in order. */
+    /** Returns the names of all regions that have relays or ranges, in ascending order. */
     public List<String> regions() {
         return table.regions();
     }
 
     /**
-     * The range that contains the destination.
+     * Returns the range that contains the destination.
      *
-     * @throws IndexOutOfBoundsException where it is outside the space
+     * @throws IndexOutOfBoundsException if the destination is outside the space
      */
     public ShardRange rangeOf(int destination) {
-        return range(indexOf(destination));
+        return rangeAt(indexOf(destination));
     }
 
-    /** The name of the relay that owns the destination, null where nobody does; allocates nothing. */
+    /**
+     * Returns the name of the relay that owns the destination, or null if it is unowned. Allocates no memory.
+     *
+     * @throws IndexOutOfBoundsException if the destination is outside the space
+     */
     public String ownerOf(int destination) {
         int owner = columns.owner(indexOf(destination));
         return owner == RangeColumns.UNOWNED ? null : table.relay(owner).name();
     }
 
-    /** The epoch at which the destination's range last moved; allocates nothing. */
+    /**
+     * Returns {@link ShardRange#movedAt} of the range that contains the destination. Allocates no memory.
+     *
+     * @throws IndexOutOfBoundsException if the destination is outside the space
+     */
     public long movedAt(int destination) {
         return columns.movedAt(indexOf(destination));
     }
@@ -217,40 +231,43 @@
         return columns.indexOf(destination);
     }
 
-    /** The ranges of the relay in their order, none for an unknown one; walks all ranges. */
-    public List<ShardRange> ownedBy(String name) {
+    /**
+     * Returns the ranges that the relay owns, in ascending order; empty if the map has no relay with that name. Takes
+     * time proportional to the number of all ranges.
+     */
+    public List<ShardRange> rangesOwnedBy(String name) {
         int owner = table.indexOf(name);
-        return owner < 0 ? List.of() : withOwner(owner);
+        return owner < 0 ? List.of() : rangesWithOwner(owner);
     }
 
-    /** The ranges that nobody owns, in their order; walks all ranges. */
-    public List<ShardRange> unowned() {
-        return withOwner(RangeColumns.UNOWNED);
+    /** Returns the unowned ranges in ascending order. Takes time proportional to the number of all ranges. */
+    public List<ShardRange> unownedRanges() {
+        return rangesWithOwner(RangeColumns.UNOWNED);
     }
 
-    private List<ShardRange> withOwner(int owner) {
+    private List<ShardRange> rangesWithOwner(int owner) {
         List<ShardRange> found = new ArrayList<>();
         for (int i = 0; i < columns.size(); i++) {
             if (columns.owner(i) == owner) {
-                found.add(range(i));
+                found.add(rangeAt(i));
             }
         }
         return found;
     }
 
-    private ShardRange range(int index) {
+    private ShardRange rangeAt(int index) {
         String region = table.region(columns.region(index));
         int owner = columns.owner(index);
         if (owner == RangeColumns.UNOWNED) {
-            return ShardRange.unowned(columns.start(index), end(index), region, columns.movedAt(index));
+            return ShardRange.unowned(columns.start(index), rangeEnd(index), region, columns.movedAt(index));
         }
         RelayInfo relay = table.relay(owner);
         return new ShardRange(
-                columns.start(index), end(index), region, relay.name(), relay.zone(), columns.movedAt(index));
+                columns.start(index), rangeEnd(index), region, relay.name(), relay.zone(), columns.movedAt(index));
     }
 
-    /** The first destination behind the range of that index. */
-    int end(int index) {
+    /** Returns the end, exclusive, of the range with the given index. */
+    int rangeEnd(int index) {
         return index + 1 < columns.size() ? columns.start(index + 1) : to;
     }
 
@@ -262,14 +279,17 @@
         return columns;
     }
 
-    /** A hash of the whole content, the same in every process; tells maps of one epoch apart. Computed once. */
+    /**
+     * Returns a 64-bit hash of the whole content, which is the same in every process. It distinguishes different maps
+     * of the same epoch. Computed on the first call and then cached.
+     */
     public long digest() {
-        long known = digest;
-        if (known == 0) {
-            known = computeDigest();
-            digest = known;
+        long cached = digest;
+        if (cached == 0) {
+            cached = computeDigest();
+            digest = cached;
         }
-        return known;
+        return cached;
     }
 
     private long computeDigest() {
@@ -290,7 +310,7 @@
         return hash;
     }
 
-    /** The finalizer of splitmix64 over the sum; order matters. */
+    /** Combines the hash with a value by the finalizer of splitmix64. The order of the values matters. */
     private static long mix(long hash, long value) {
         long mixed = hash * 31 + value + 0x9E3779B97F4A7C15L;
         mixed = (mixed ^ (mixed >>> 30)) * 0xBF58476D1CE4E5B9L;
--- a/src/main/java/juniperusher/shard/ShardMapCodec.java
+++ b/src/main/java/juniperusher/shard/ShardMapCodec.java
@@ -6,131 +6,132 @@
 import java.util.Map;
 
 /**
- * The binary forms of {@link ShardMap} and {@link ShardMapDelta}: a mark, the kind, a version, the content in numbers
- * of variable length, and CRC32C of it all. Equal maps have equal bytes. What is not whole, undamaged, of this version
- * and valid is refused as a whole with {@link DamagedMapException}. Without state; safe to share between threads.
+ * Encodes and decodes {@link ShardMap} (as a snapshot) and {@link ShardMapDelta}. Both binary forms consist of a magic
+ * number, the kind, the version, the content with numbers of variable length, and a CRC32C checksum of all bytes before
+ * it. Equal maps are encoded to equal bytes. Decoding throws {@link DamagedMapException} for input that is truncated,
+ * damaged, invalid or of another version. Stateless; safe to share between threads.
  */
 public final class ShardMapCodec {
-    /** The whole map. */
+    /** Encodes a whole map. */
     public byte[] encode(ShardMap map) {
-        ByteWriter writer = Envelope.begin(Envelope.SNAPSHOT);
-        writer.putUnsigned(map.epoch());
-        writer.putSigned(map.from());
+        ByteWriter writer = BinaryFrame.begin(BinaryFrame.SNAPSHOT);
+        writer.putVarint(map.epoch());
+        writer.putZigZagVarint(map.from());
         RelayTable table = map.table();
         putTexts(writer, table.regions());
-        putRelays(writer, table.list(), table);
+        putRelays(writer, table.relays(), table);
         RangeColumns columns = map.columns();
-        writer.putUnsigned(columns.size());
+        writer.putVarint(columns.size());
         for (int i = 0; i < columns.size(); i++) {
-            writer.putUnsigned((long) map.end(i) - columns.start(i));
-            putOwner(writer, columns, i, map.epoch());
+            writer.putVarint((long) map.rangeEnd(i) - columns.start(i));
+            putOwnerAndMove(writer, columns, i, map.epoch());
         }
-        return Envelope.seal(writer);
+        return BinaryFrame.finish(writer);
     }
 
     /**
-     * The map that {@link #encode(ShardMap)} was given.
+     * Decodes the result of {@link #encode(ShardMap)}.
      *
-     * @throws DamagedMapException where the bytes are anything else
+     * @throws DamagedMapException if the bytes are not a valid snapshot
      */
     public ShardMap decode(byte[] bytes) {
-        ByteReader reader = Envelope.open(bytes, Envelope.SNAPSHOT);
+        ByteReader reader = BinaryFrame.contentReader(bytes, BinaryFrame.SNAPSHOT);
         try {
             ShardMap map = readMap(reader);
             reader.expectEnd();
             return map;
-        } catch (InvalidMapException broken) {
-            throw new DamagedMapException("the bytes are no valid map", broken);
+        } catch (InvalidMapException invalid) {
+            throw new DamagedMapException("the snapshot contains no valid map", invalid);
         }
     }
 
     private static ShardMap readMap(ByteReader reader) {
-        long epoch = reader.getUnsigned();
-        int from = readInt(reader.getSigned());
+        long epoch = reader.getVarint();
+        int from = checkedInt(reader.getZigZagVarint());
         List<String> regions = readTexts(reader, "regions");
         List<RelayInfo> relays = readRelays(reader, regions);
         RelayTable table = new RelayTable(relays, regions);
-        if (!table.list().equals(relays) || !table.regions().equals(regions)) {
+        if (!table.relays().equals(relays) || !table.regions().equals(regions)) {
             throw new DamagedMapException("relays and regions were expected in the order of their names");
         }
         int count = reader.getCount("ranges");
         RangeColumns columns = new RangeColumns(count);
         int start = from;
         for (int i = 0; i < count; i++) {
-            long length = reader.getUnsigned();
-            readOwner(reader, start, epoch, table, columns);
-            start = readInt(start + length);
+            long length = reader.getVarint();
+            readOwnerAndMove(reader, start, epoch, table, columns);
+            start = checkedInt(start + length);
         }
         return new ShardMap(epoch, from, start, table, columns);
     }
 
-    /** What makes {@code result} of {@code base}, see {@link ShardMapDelta#between}. */
+    /** Encodes the delta from {@code base} to {@code result}, see {@link ShardMapDelta#between}. */
     public byte[] encodeDelta(ShardMap base, ShardMap result) {
         return encode(ShardMapDelta.between(base, result));
     }
 
-    /** The delta. */
+    /** Encodes a delta. */
     public byte[] encode(ShardMapDelta delta) {
-        ByteWriter writer = Envelope.begin(Envelope.DELTA);
-        writer.putUnsigned(delta.fromEpoch());
-        writer.putUnsigned(delta.toEpoch() - delta.fromEpoch());
+        ByteWriter writer = BinaryFrame.begin(BinaryFrame.DELTA);
+        writer.putVarint(delta.fromEpoch());
+        writer.putVarint(delta.toEpoch() - delta.fromEpoch());
         writer.putFixed(delta.fromDigest(), Long.BYTES);
         writer.putFixed(delta.toDigest(), Long.BYTES);
-        putTexts(writer, delta.regions() == null ? List.of() : delta.regions());
+        putTexts(writer, delta.resultRegions() == null ? List.of() : delta.resultRegions());
         putTexts(writer, delta.removedRelays());
-        putRelaysWithRegion(writer, delta.putRelays());
-        writer.putUnsigned(delta.edits().size());
-        int next = 0;
+        putRelaysWithRegion(writer, delta.changedRelays());
+        writer.putVarint(delta.edits().size());
+        int nextAddedRange = 0;
         for (ShardMapDelta.Edit edit : delta.edits()) {
-            putEdit(writer, delta, edit, next);
-            next += edit.added();
+            putEdit(writer, delta, edit, nextAddedRange);
+            nextAddedRange += edit.addedCount();
         }
-        return Envelope.seal(writer);
+        return BinaryFrame.finish(writer);
     }
 
-    private static void putEdit(ByteWriter writer, ShardMapDelta delta, ShardMapDelta.Edit edit, int first) {
-        boolean inPlace = edit.dropped() == 1 && edit.added() == 1;
-        writer.putUnsigned((long) edit.kept() << 1 | (inPlace ? 1 : 0));
-        if (!inPlace) {
-            writer.putUnsigned(edit.dropped());
-            writer.putUnsigned(edit.added());
+    private static void putEdit(ByteWriter writer, ShardMapDelta delta, ShardMapDelta.Edit edit, int firstAddedRange) {
+        boolean replacesOneByOne = edit.removedCount() == 1 && edit.addedCount() == 1;
+        writer.putVarint((long) edit.keptCount() << 1 | (replacesOneByOne ? 1 : 0));
+        if (!replacesOneByOne) {
+            writer.putVarint(edit.removedCount());
+            writer.putVarint(edit.addedCount());
         }
-        RangeColumns added = delta.added();
-        for (int i = first; i < first + edit.added(); i++) {
-            if (i > first) {
-                writer.putUnsigned((long) added.start(i) - added.start(i - 1));
+        RangeColumns added = delta.addedRanges();
+        for (int i = firstAddedRange; i < firstAddedRange + edit.addedCount(); i++) {
+            if (i > firstAddedRange) {
+                writer.putVarint((long) added.start(i) - added.start(i - 1));
             }
-            putOwner(writer, added, i, delta.toEpoch());
+            putOwnerAndMove(writer, added, i, delta.toEpoch());
         }
     }
 
     /**
-     * The delta that {@link #encode(ShardMapDelta)} was given.
+     * Decodes the result of {@link #encode(ShardMapDelta)}.
      *
-     * @throws DamagedMapException where the bytes are anything else
+     * @throws DamagedMapException if the bytes are not a valid delta
      */
     public ShardMapDelta decodeDelta(byte[] bytes) {
-        ByteReader reader = Envelope.open(bytes, Envelope.DELTA);
+        ByteReader reader = BinaryFrame.contentReader(bytes, BinaryFrame.DELTA);
         try {
             ShardMapDelta delta = readDelta(reader);
             reader.expectEnd();
             return delta;
-        } catch (InvalidMapException broken) {
-            throw new DamagedMapException("the bytes are no valid delta", broken);
+        } catch (InvalidMapException invalid) {
+            throw new DamagedMapException("the delta is invalid", invalid);
         }
     }
 
     private static ShardMapDelta readDelta(ByteReader reader) {
-        long fromEpoch = reader.getUnsigned();
-        long toEpoch = fromEpoch + reader.getUnsigned();
+        long fromEpoch = reader.getVarint();
+        long toEpoch = fromEpoch + reader.getVarint();
         if (fromEpoch < 0 || toEpoch <= fromEpoch) {
             throw new DamagedMapException("a later epoch than " + fromEpoch + " was expected, got " + toEpoch);
         }
         long fromDigest = reader.getFixed(Long.BYTES);
         long toDigest = reader.getFixed(Long.BYTES);
         List<String> regions = readTexts(reader, "regions");
-        List<String> removed = readTexts(reader, "relays");
-        List<RelayInfo> put = readRelaysWithRegion(reader);
+        List<String> removedRelays = readTexts(reader, "relays");
+        List<RelayInfo> changedRelays = readRelaysWithRegion(reader);
         int count = reader.getCount("edits");
         List<ShardMapDelta.Edit> edits = new ArrayList<>(count);
         RangeColumns added = new RangeColumns(count);
@@ -143,86 +144,94 @@
                 toEpoch,
                 fromDigest,
                 toDigest,
-                removed,
-                put,
+                removedRelays,
+                changedRelays,
                 regions.isEmpty() ? null : regions,
                 edits,
                 added);
     }
 
     private static ShardMapDelta.Edit readEdit(ByteReader reader, long toEpoch, RangeColumns added) {
-        long tag = reader.getUnsigned();
-        int kept = readInt(tag >>> 1);
-        boolean inPlace = (tag & 1) == 1;
-        int dropped = inPlace ? 1 : readInt(reader.getUnsigned());
-        int count = inPlace ? 1 : reader.getCount("ranges");
-        if (dropped < 1 || count < 1) {
-            throw new DamagedMapException("an edit replaces " + dropped + " ranges by " + count);
+        long tag = reader.getVarint();
+        int keptCount = checkedInt(tag >>> 1);
+        boolean replacesOneByOne = (tag & 1) == 1;
+        int removedCount = replacesOneByOne ? 1 : checkedInt(reader.getVarint());
+        int addedCount = replacesOneByOne ? 1 : reader.getCount("ranges");
+        if (removedCount < 1 || addedCount < 1) {
+            throw new DamagedMapException("an edit replaces " + removedCount + " ranges by " + addedCount);
         }
         int start = 0;
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < addedCount; i++) {
             if (i > 0) {
-                start = readInt(start + reader.getUnsigned());
+                start = checkedInt(start + reader.getVarint());
             }
-            int owner = reader.getUpTo(Integer.MAX_VALUE, "an owner") - 1;
-            int region = owner == RangeColumns.UNOWNED ? reader.getUpTo(Short.MAX_VALUE, "a region") : 0;
-            added.add(start, owner, region, toEpoch - reader.getUnsigned());
+            int owner = reader.getBounded(Integer.MAX_VALUE, "an owner") - 1;
+            int region = owner == RangeColumns.UNOWNED ? reader.getBounded(Short.MAX_VALUE, "a region") : 0;
+            added.add(start, owner, region, toEpoch - reader.getVarint());
         }
-        return new ShardMapDelta.Edit(kept, dropped, count);
+        return new ShardMapDelta.Edit(keptCount, removedCount, addedCount);
     }
 
     /**
-     * The map that the encoded delta makes of this one.
+     * Decodes the delta, applies it to the base map and returns the result map.
      *
-     * @throws DamagedMapException where the bytes are no delta, or do not lead to the map that it was made for
-     * @throws WrongBaseException where it was made from another map
+     * @throws DamagedMapException if the bytes are not a valid delta, or the result is not the map that the delta was
+     *     computed for
+     * @throws WrongBaseException if the delta was computed from another map than {@code base}
      */
     public ShardMap apply(ShardMap base, byte[] delta) {
         return decodeDelta(delta).applyTo(base);
     }
 
-    /** The owner's index and one, or 0 and the region; then the epochs since the move. */
-    private static void putOwner(ByteWriter writer, RangeColumns columns, int index, long epoch) {
+    /**
+     * Writes the owner's index plus one, or 0 and the region's index if the range is unowned; then the number of epochs
+     * between the range's last move and {@code epoch}.
+     */
+    private static void putOwnerAndMove(ByteWriter writer, RangeColumns columns, int index, long epoch) {
         int owner = columns.owner(index);
-        writer.putUnsigned(owner + 1L);
+        writer.putVarint(owner + 1L);
         if (owner == RangeColumns.UNOWNED) {
-            writer.putUnsigned(columns.region(index));
+            writer.putVarint(columns.region(index));
         }
-        writer.putUnsigned(epoch - columns.movedAt(index));
+        writer.putVarint(epoch - columns.movedAt(index));
     }
 
-    private static void readOwner(ByteReader reader, int start, long epoch, RelayTable table, RangeColumns columns) {
-        int owner = reader.getUpTo(table.size(), "an owner") - 1;
+    private static void readOwnerAndMove(
+            ByteReader reader, int start, long epoch, RelayTable table, RangeColumns columns) {
+        int owner = reader.getBounded(table.size(), "an owner") - 1;
         int region = owner == RangeColumns.UNOWNED
-                ? reader.getUpTo(table.regionCount(), "a region")
+                ? reader.getBounded(table.regionCount(), "a region")
                 : table.regionOfRelay(owner);
-        columns.add(start, owner, region, epoch - reader.getUnsigned());
+        columns.add(start, owner, region, epoch - reader.getVarint());
     }
 
-    /** Names in order share beginnings with those before them; zones are numbered as they come. */
+    /**
+     * Writes the relays in compressed form. Each name is written as the length of the prefix that it shares with the
+     * previous name, and the rest. A zone is written in full when it first occurs, and as its number after that.
+     */
     private static void putRelays(ByteWriter writer, List<RelayInfo> relays, RelayTable table) {
-        writer.putUnsigned(relays.size());
+        writer.putVarint(relays.size());
         Map<String, Integer> zones = new HashMap<>();
-        String before = "";
+        String previousName = "";
         for (RelayInfo relay : relays) {
-            int shared = sharedPrefix(before, relay.name());
-            writer.putUnsigned(shared);
-            writer.putText(relay.name().substring(shared));
-            writer.putUnsigned(table.regionIndex(relay.region()));
+            int prefixLength = commonPrefixLength(previousName, relay.name());
+            writer.putVarint(prefixLength);
+            writer.putText(relay.name().substring(prefixLength));
+            writer.putVarint(table.regionIndex(relay.region()));
             putZone(writer, zones, relay.zone());
-            writer.putUnsigned(relay.weight());
-            before = relay.name();
+            writer.putVarint(relay.weight());
+            previousName = relay.name();
         }
     }
 
     private static void putZone(ByteWriter writer, Map<String, Integer> zones, String zone) {
         Integer index = zones.get(zone);
         if (index == null) {
-            writer.putUnsigned(zones.size());
+            writer.putVarint(zones.size());
             writer.putText(zone);
             zones.put(zone, zones.size());
         } else {
-            writer.putUnsigned(index);
+            writer.putVarint(index);
         }
     }
 
@@ -230,20 +239,20 @@
         int count = reader.getCount("relays");
         List<RelayInfo> relays = new ArrayList<>(count);
         List<String> zones = new ArrayList<>();
-        String before = "";
+        String previousName = "";
         for (int i = 0; i < count; i++) {
-            int shared = reader.getUpTo(before.length(), "a shared beginning");
-            String name = before.substring(0, shared) + reader.getText();
-            String region = regions.get(reader.getUpTo(regions.size() - 1, "a region"));
+            int prefixLength = reader.getBounded(previousName.length(), "the length of a shared prefix");
+            String name = previousName.substring(0, prefixLength) + reader.getText();
+            String region = regions.get(reader.getBounded(regions.size() - 1, "a region"));
             String zone = readZone(reader, zones);
-            relays.add(new RelayInfo(name, region, zone, readInt(reader.getUnsigned())));
-            before = name;
+            relays.add(new RelayInfo(name, region, zone, checkedInt(reader.getVarint())));
+            previousName = name;
         }
         return relays;
     }
 
     private static String readZone(ByteReader reader, List<String> zones) {
-        int index = reader.getUpTo(zones.size(), "a zone");
+        int index = reader.getBounded(zones.size(), "a zone");
         if (index == zones.size()) {
             zones.add(reader.getText());
         }
@@ -251,12 +260,12 @@
     }
 
     private static void putRelaysWithRegion(ByteWriter writer, List<RelayInfo> relays) {
-        writer.putUnsigned(relays.size());
+        writer.putVarint(relays.size());
         for (RelayInfo relay : relays) {
             writer.putText(relay.name());
             writer.putText(relay.region());
             writer.putText(relay.zone());
-            writer.putUnsigned(relay.weight());
+            writer.putVarint(relay.weight());
         }
     }
 
@@ -264,19 +273,19 @@
         int count = reader.getCount("relays");
         List<RelayInfo> relays = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            relays.add(
-                    new RelayInfo(reader.getText(), reader.getText(), reader.getText(), readInt(reader.getUnsigned())));
+            relays.add(new RelayInfo(
+                    reader.getText(), reader.getText(), reader.getText(), checkedInt(reader.getVarint())));
         }
         return relays;
     }
 
     private static void putTexts(ByteWriter writer, List<String> texts) {
-        writer.putUnsigned(texts.size());
+        writer.putVarint(texts.size());
         texts.forEach(writer::putText);
     }
 
-    private static List<String> readTexts(ByteReader reader, String what) {
-        int count = reader.getCount(what);
+    private static List<String> readTexts(ByteReader reader, String elementName) {
+        int count = reader.getCount(elementName);
         List<String> texts = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             texts.add(reader.getText());
@@ -284,16 +293,16 @@
         return texts;
     }
 
-    private static int sharedPrefix(String one, String other) {
-        int most = Math.min(one.length(), other.length());
-        int shared = 0;
-        while (shared < most && one.charAt(shared) == other.charAt(shared)) {
-            shared++;
+    private static int commonPrefixLength(String one, String other) {
+        int maxLength = Math.min(one.length(), other.length());
+        int length = 0;
+        while (length < maxLength && one.charAt(length) == other.charAt(length)) {
+            length++;
         }
-        return shared;
+        return length;
     }
 
-    private static int readInt(long value) {
+    private static int checkedInt(long value) {
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
             throw new DamagedMapException("a number of 32 bits was expected, got " + value);
         }
--- a/src/main/java/juniperusher/shard/ShardMapDelta.java
+++ b/src/main/java/juniperusher/shard/ShardMapDelta.java
@@ -5,57 +5,60 @@
 import java.util.TreeMap;
 
 /**
- * What makes one map of another, over one epoch or several. Immutable. It applies only to the very map that it was made
- * from, and its result is compared with the map that it was made for.
+ * The difference between a base map and a result map, which may be several epochs apart. A delta can only be applied to
+ * a map that equals the base; the base and the result are checked by their digests. Immutable and safe to share between
+ * threads.
  */
 public final class ShardMapDelta {
     /**
-     * Consecutive ranges of the base that others replace.
+     * Replaces consecutive ranges of the base map.
      *
-     * @param kept how many ranges of the base stand unchanged before it, since the last edit
-     * @param dropped how many ranges of the base it replaces
-     * @param added how many ranges of {@link #added} stand in their place
+     * @param keptCount number of unchanged base ranges between the previous edit and this one
+     * @param removedCount number of base ranges that are replaced
+     * @param addedCount number of ranges that replace them, the next ones in {@link ShardMapDelta#addedRanges}
      */
-    record Edit(int kept, int dropped, int added) {}
+    record Edit(int keptCount, int removedCount, int addedCount) {}
 
     private final long fromEpoch;
     private final long toEpoch;
     private final long fromDigest;
     private final long toDigest;
     private final List<String> removedRelays;
-    private final List<RelayInfo> putRelays;
-    private final List<String> regions; // of the result; null where they are those of the base
+    private final List<RelayInfo> changedRelays; // added ones, and those with another region, zone or weight
+    private final List<String> resultRegions; // null if the base has the same regions
     private final List<Edit> edits;
-    // Starts count from the edit's first destination, owners by their index in the result; regions of unowned ranges
-    // only.
-    private final RangeColumns added;
+    /**
+     * The new ranges of all edits. Starts are relative to the first destination of the edit, and owners are indexes in
+     * the result map. The region is only set for unowned ranges; that of an owned range is the region of its owner.
+     */
+    private final RangeColumns addedRanges;
 
-    /** For the package. */
     ShardMapDelta(
             long fromEpoch,
             long toEpoch,
             long fromDigest,
             long toDigest,
             List<String> removedRelays,
-            List<RelayInfo> putRelays,
-            List<String> regions,
+            List<RelayInfo> changedRelays,
+            List<String> resultRegions,
             List<Edit> edits,
-            RangeColumns added) {
+            RangeColumns addedRanges) {
         this.fromEpoch = fromEpoch;
         this.toEpoch = toEpoch;
         this.fromDigest = fromDigest;
         this.toDigest = toDigest;
         this.removedRelays = removedRelays;
-        this.putRelays = putRelays;
-        this.regions = regions;
+        this.changedRelays = changedRelays;
+        this.resultRegions = resultRegions;
         this.edits = edits;
-        this.added = added;
+        this.addedRanges = addedRanges;
     }
 
     /**
-     * The delta from one map to another of a later epoch.
+     * Computes the delta from a base map to a result map of a later epoch. The result need not be derived from the
+     * base.
      *
-     * @throws IllegalArgumentException where the epoch is not later, or the space another
+     * @throws IllegalArgumentException if the epoch of the result is not later, or the maps cover different spaces
      */
     public static ShardMapDelta between(ShardMap base, ShardMap result) {
         if (base.from() != result.from() || base.to() != result.to()) {
@@ -65,87 +68,88 @@
             throw new IllegalArgumentException(
                     "a later epoch than " + base.epoch() + " was expected, got " + result.epoch());
         }
-        List<String> removed = new ArrayList<>();
-        List<RelayInfo> put = new ArrayList<>();
-        compareRelays(base.table(), result.table(), removed, put);
+        List<String> removedRelays = new ArrayList<>();
+        List<RelayInfo> changedRelays = new ArrayList<>();
+        compareRelays(base.table(), result.table(), removedRelays, changedRelays);
         List<Edit> edits = new ArrayList<>();
-        RangeColumns added = new RangeColumns(0);
-        new Comparison(base, result).run(edits, added);
-        added.trim();
+        RangeColumns addedRanges = new RangeColumns(0);
+        new RangeComparison(base, result).collectEdits(edits, addedRanges);
+        addedRanges.trim();
         return new ShardMapDelta(
                 base.epoch(),
                 result.epoch(),
                 base.digest(),
                 result.digest(),
-                removed,
-                put,
+                removedRelays,
+                changedRelays,
                 base.table().sameRegions(result.table()) ? null : result.regions(),
                 edits,
-                added);
+                addedRanges);
     }
 
-    private static void compareRelays(RelayTable base, RelayTable result, List<String> removed, List<RelayInfo> put) {
+    private static void compareRelays(
+            RelayTable base, RelayTable result, List<String> removedRelays, List<RelayInfo> changedRelays) {
         if (base == result) {
             return;
         }
-        for (RelayInfo relay : base.list()) {
+        for (RelayInfo relay : base.relays()) {
             if (result.indexOf(relay.name()) == RelayTable.UNKNOWN) {
-                removed.add(relay.name());
+                removedRelays.add(relay.name());
             }
         }
-        for (RelayInfo relay : result.list()) {
+        for (RelayInfo relay : result.relays()) {
             int index = base.indexOf(relay.name());
             if (index == RelayTable.UNKNOWN || !base.relay(index).equals(relay)) {
-                put.add(relay);
+                changedRelays.add(relay);
             }
         }
     }
 
-    /** Walks the ranges of two maps side by side. */
-    private static final class Comparison {
+    /** Compares the ranges of two maps in ascending order. Both maps cover the same space. */
+    private static final class RangeComparison {
         private final ShardMap base;
         private final ShardMap result;
-        private int i;
-        private int j;
+        private int baseIndex;
+        private int resultIndex;
 
-        Comparison(ShardMap base, ShardMap result) {
+        RangeComparison(ShardMap base, ShardMap result) {
             this.base = base;
             this.result = result;
         }
 
-        void run(List<Edit> edits, RangeColumns added) {
-            int kept = 0;
-            while (i < base.rangeCount()) {
-                if (same()) {
-                    kept++;
-                    i++;
-                    j++;
+        void collectEdits(List<Edit> edits, RangeColumns addedRanges) {
+            int keptCount = 0;
+            while (baseIndex < base.rangeCount()) {
+                if (rangesAreEqual()) {
+                    keptCount++;
+                    baseIndex++;
+                    resultIndex++;
                     continue;
                 }
-                int firstOfBase = i;
-                int firstOfResult = j;
-                toNextCommonEnd();
-                edits.add(new Edit(kept, i - firstOfBase, j - firstOfResult));
-                kept = 0;
-                for (int k = firstOfResult; k < j; k++) {
+                int firstOfBase = baseIndex;
+                int firstOfResult = resultIndex;
+                advanceToCommonEnd();
+                edits.add(new Edit(keptCount, baseIndex - firstOfBase, resultIndex - firstOfResult));
+                keptCount = 0;
+                for (int k = firstOfResult; k < resultIndex; k++) {
                     RangeColumns columns = result.columns();
                     int owner = columns.owner(k);
                     int region = owner == RangeColumns.UNOWNED ? columns.region(k) : 0;
-                    added.add(columns.start(k) - columns.start(firstOfResult), owner, region, columns.movedAt(k));
+                    addedRanges.add(columns.start(k) - columns.start(firstOfResult), owner, region, columns.movedAt(k));
                 }
             }
         }
 
-        private boolean same() {
-            return base.end(i) == result.end(j)
-                    && base.columns().movedAt(i) == result.columns().movedAt(j)
-                    && sameOwner()
-                    && regionOf(base, i).equals(regionOf(result, j));
+        private boolean rangesAreEqual() {
+            return base.rangeEnd(baseIndex) == result.rangeEnd(resultIndex)
+                    && base.columns().movedAt(baseIndex) == result.columns().movedAt(resultIndex)
+                    && ownersAreEqual()
+                    && regionOf(base, baseIndex).equals(regionOf(result, resultIndex));
         }
 
-        private boolean sameOwner() {
-            int owner = base.columns().owner(i);
-            int newOwner = result.columns().owner(j);
+        private boolean ownersAreEqual() {
+            int owner = base.columns().owner(baseIndex);
+            int newOwner = result.columns().owner(resultIndex);
             if (owner == RangeColumns.UNOWNED || newOwner == RangeColumns.UNOWNED) {
                 return owner == newOwner;
             }
@@ -159,72 +163,73 @@
             return map.table().region(map.columns().region(index));
         }
 
-        private void toNextCommonEnd() {
-            while (base.end(i) != result.end(j)) {
-                if (base.end(i) < result.end(j)) {
-                    i++;
+        /** Advances both indexes past the next destination at which a range ends in both maps. */
+        private void advanceToCommonEnd() {
+            while (base.rangeEnd(baseIndex) != result.rangeEnd(resultIndex)) {
+                if (base.rangeEnd(baseIndex) < result.rangeEnd(resultIndex)) {
+                    baseIndex++;
                 } else {
-                    j++;
+                    resultIndex++;
                 }
             }
-            i++;
-            j++;
+            baseIndex++;
+            resultIndex++;
         }
     }
 
     /**
-     * The map that this delta was made for.
+     * Applies the delta and returns the result map.
      *
-     * @throws WrongBaseException where the map is not the one that it was made from
-     * @throws DamagedMapException where what comes of it is not the map that it was made for
+     * @throws WrongBaseException if the given map is not the one that the delta was computed from
+     * @throws DamagedMapException if the result is invalid, or is not the map that the delta was computed for
      */
     public ShardMap applyTo(ShardMap base) {
         if (base.epoch() != fromEpoch || base.digest() != fromDigest) {
             throw new WrongBaseException(fromEpoch, base.epoch());
         }
         try {
-            ShardMap result = apply(base);
+            ShardMap result = buildResult(base);
             if (result.digest() != toDigest) {
-                throw new DamagedMapException("the delta does not lead to the map of epoch " + toEpoch);
+                throw new DamagedMapException("the delta does not result in the map of epoch " + toEpoch);
             }
             return result;
-        } catch (InvalidMapException broken) {
-            throw new DamagedMapException("the delta leads to no valid map", broken);
+        } catch (InvalidMapException invalid) {
+            throw new DamagedMapException("the delta does not result in a valid map", invalid);
         }
     }
 
-    private ShardMap apply(ShardMap base) {
+    private ShardMap buildResult(ShardMap base) {
         RelayTable table = newTable(base);
-        RangeColumns old = base.columns();
-        RangeColumns columns = new RangeColumns(old.size() + added.size());
-        Reindexing reindexing = new Reindexing(base.table(), table);
-        int next = 0;
-        int nextAdded = 0;
+        RangeColumns baseColumns = base.columns();
+        RangeColumns columns = new RangeColumns(baseColumns.size() + addedRanges.size());
+        RangeCopier copier = new RangeCopier(base.table(), table);
+        int nextBaseRange = 0;
+        int nextAddedRange = 0;
         for (Edit edit : edits) {
-            if (edit.kept() + (long) edit.dropped() > old.size() - next) {
+            if (edit.keptCount() + (long) edit.removedCount() > baseColumns.size() - nextBaseRange) {
                 throw new DamagedMapException("the delta replaces ranges that the map does not have");
             }
-            next = reindexing.copy(old, next, next + edit.kept(), columns);
-            for (int i = 0; i < edit.added(); i++, nextAdded++) {
-                add(nextAdded, old.start(next), table, columns);
+            nextBaseRange = copier.copy(baseColumns, nextBaseRange, nextBaseRange + edit.keptCount(), columns);
+            for (int i = 0; i < edit.addedCount(); i++, nextAddedRange++) {
+                copyAddedRange(nextAddedRange, baseColumns.start(nextBaseRange), table, columns);
             }
-            next += edit.dropped();
+            nextBaseRange += edit.removedCount();
         }
-        reindexing.copy(old, next, old.size(), columns);
+        copier.copy(baseColumns, nextBaseRange, baseColumns.size(), columns);
         return new ShardMap(toEpoch, base.from(), base.to(), table, columns);
     }
 
-    private void add(int index, int firstStart, RelayTable table, RangeColumns columns) {
-        int owner = added.owner(index);
+    private void copyAddedRange(int index, int firstStart, RelayTable table, RangeColumns columns) {
+        int owner = addedRanges.owner(index);
         if (owner >= table.size()) {
-            throw new DamagedMapException("the delta names a relay that the map does not have");
+            throw new DamagedMapException("the delta refers to a relay that the map does not have");
         }
-        int region = owner == RangeColumns.UNOWNED ? added.region(index) : table.regionOfRelay(owner);
-        columns.add(firstStart + added.start(index), owner, region, added.movedAt(index));
+        int region = owner == RangeColumns.UNOWNED ? addedRanges.region(index) : table.regionOfRelay(owner);
+        columns.add(firstStart + addedRanges.start(index), owner, region, addedRanges.movedAt(index));
     }
 
     private RelayTable newTable(ShardMap base) {
-        if (removedRelays.isEmpty() && putRelays.isEmpty() && regions == null) {
+        if (removedRelays.isEmpty() && changedRelays.isEmpty() && resultRegions == null) {
             return base.table();
         }
         TreeMap<String, RelayInfo> relays = new TreeMap<>();
@@ -234,56 +239,57 @@
                 throw new DamagedMapException("the delta removes relay '" + name + "', which the map does not have");
             }
         }
-        putRelays.forEach(relay -> relays.put(relay.name(), relay));
-        return new RelayTable(relays.values(), regions == null ? base.regions() : regions);
+        changedRelays.forEach(relay -> relays.put(relay.name(), relay));
+        return new RelayTable(relays.values(), resultRegions == null ? base.regions() : resultRegions);
     }
 
-    /** Copies ranges from a map with one table into columns for another. */
-    private static final class Reindexing {
+    /** Copies ranges from one map to another and translates their relay and region indexes. */
+    private static final class RangeCopier {
         private final boolean sameTable;
-        private final int[] owners;
-        private final int[] regions;
+        private final int[] newOwnerIndexes;
+        private final int[] newRegionIndexes;
 
-        Reindexing(RelayTable from, RelayTable to) {
+        RangeCopier(RelayTable from, RelayTable to) {
             sameTable = from == to;
-            owners = new int[sameTable ? 0 : from.size()];
-            for (int i = 0; i < owners.length; i++) {
-                owners[i] = to.indexOf(from.relay(i).name());
+            newOwnerIndexes = new int[sameTable ? 0 : from.size()];
+            for (int i = 0; i < newOwnerIndexes.length; i++) {
+                newOwnerIndexes[i] = to.indexOf(from.relay(i).name());
             }
-            regions = new int[sameTable ? 0 : from.regionCount()];
-            for (int i = 0; i < regions.length; i++) {
-                regions[i] = to.regionIndex(from.region(i));
+            newRegionIndexes = new int[sameTable ? 0 : from.regionCount()];
+            for (int i = 0; i < newRegionIndexes.length; i++) {
+                newRegionIndexes[i] = to.regionIndex(from.region(i));
             }
         }
 
+        /** Copies the ranges from index {@code first} up to {@code end}, exclusive, and returns {@code end}. */
         int copy(RangeColumns from, int first, int end, RangeColumns to) {
             for (int i = first; i < end; i++) {
                 int owner = from.owner(i);
-                boolean asItIs = sameTable || owner == RangeColumns.UNOWNED;
+                boolean sameOwnerIndex = sameTable || owner == RangeColumns.UNOWNED;
                 int region = from.region(i);
                 to.add(
                         from.start(i),
-                        asItIs ? owner : owners[owner],
-                        sameTable ? region : regions[region],
+                        sameOwnerIndex ? owner : newOwnerIndexes[owner],
+                        sameTable ? region : newRegionIndexes[region],
                         from.movedAt(i));
             }
             return end;
         }
     }
 
-    /** The epoch of the map that it applies to. */
+    /** Returns the epoch of the base map. */
     public long fromEpoch() {
         return fromEpoch;
     }
 
-    /** The epoch of the map that it leads to. */
+    /** Returns the epoch of the result map. */
     public long toEpoch() {
         return toEpoch;
     }
 
-    /** How many ranges of the result are not in the base. */
-    public int changedRanges() {
-        return added.size();
+    /** Returns the number of ranges of the result map that are not in the base map. */
+    public int changedRangeCount() {
+        return addedRanges.size();
     }
 
     long fromDigest() {
@@ -298,25 +304,25 @@
         return removedRelays;
     }
 
-    List<RelayInfo> putRelays() {
-        return putRelays;
+    List<RelayInfo> changedRelays() {
+        return changedRelays;
     }
 
-    List<String> regions() {
-        return regions;
+    List<String> resultRegions() {
+        return resultRegions;
     }
 
     List<Edit> edits() {
         return edits;
     }
 
-    RangeColumns added() {
-        return added;
+    RangeColumns addedRanges() {
+        return addedRanges;
     }
 
     @Override
     public String toString() {
-        return "from epoch " + fromEpoch + " to " + toEpoch + ": " + added.size() + " ranges, "
-                + (removedRelays.size() + putRelays.size()) + " relays";
+        return "from epoch " + fromEpoch + " to " + toEpoch + ": " + addedRanges.size() + " ranges, "
+                + (removedRelays.size() + changedRelays.size()) + " relays";
     }
 }
--- a/src/main/java/juniperusher/shard/ShardMapEditor.java
+++ b/src/main/java/juniperusher/shard/ShardMapEditor.java
@@ -7,29 +7,37 @@
 import java.util.TreeSet;
 
 /**
- * Applies the steps of one epoch. Keeps only the ranges that change, by their first destination, over the base map;
- * a pass over both makes the next map, so many steps cost little more than one.
+ * Applies the steps of one epoch to a base map. The editor stores only the changed ranges. After the last step, one
+ * pass over the base map and the changed ranges builds the next map, so that many steps cost little more than a single
+ * one. An instance is used for one call of {@link #next}, by one thread.
  */
 final class ShardMapEditor {
     private final ShardMap base;
-    private final long epoch;
-    private final TreeMap<Integer, Draft> drafts = new TreeMap<>();
-    private TreeMap<String, RelayInfo> changedRelays; // all relays by their names; null while they are the base's
+    private final long nextEpoch;
 
-    /** A range after some steps; {@code merged} if it has become part of the one before. */
-    private record Draft(int from, int to, String owner, String region, long movedAt, boolean merged) {
-        Draft ownedBy(String name, long epoch) {
-            return new Draft(from, to, name, region, epoch, false);
+    /** The changed ranges by their first destination. */
+    private final TreeMap<Integer, EditedRange> editedRanges = new TreeMap<>();
+
+    private TreeMap<String, RelayInfo> editedRelays; // all relays by name; null until a step changes one
+
+    /**
+     * A range that some step has changed.
+     *
+     * @param merged whether the range was merged into the preceding range and therefore no longer exists
+     */
+    private record EditedRange(int from, int to, String owner, String region, long movedAt, boolean merged) {
+        EditedRange withOwner(String newOwner, long epoch) {
+            return new EditedRange(from, to, newOwner, region, epoch, false);
         }
 
-        Draft between(int first, int end) {
-            return new Draft(first, end, owner, region, movedAt, false);
+        EditedRange subrange(int newFrom, int newTo) {
+            return new EditedRange(newFrom, newTo, owner, region, movedAt, false);
         }
     }
 
     ShardMapEditor(ShardMap base) {
         this.base = base;
-        epoch = base.epoch() + 1;
+        nextEpoch = base.epoch() + 1;
     }
 
     ShardMap next(List<ShardMapStep> steps) {
@@ -39,8 +47,8 @@
         steps.forEach(this::apply);
         try {
             return build();
-        } catch (InvalidMapException broken) {
-            throw new InvalidStepException(broken);
+        } catch (InvalidMapException invalid) {
+            throw new InvalidStepException(invalid);
         }
     }
 
@@ -54,28 +62,28 @@
         } else if (step instanceof ShardMapStep.Merge merge) {
             merge(merge);
         } else if (step instanceof ShardMapStep.PutRelay put) {
-            relaysToChange().put(put.relay().name(), put.relay());
+            editableRelays().put(put.relay().name(), put.relay());
         } else if (step instanceof ShardMapStep.RemoveRelay remove) {
-            if (relaysToChange().remove(remove.name()) == null) {
+            if (editableRelays().remove(remove.name()) == null) {
                 throw new InvalidStepException(step, "no relay of that name is known");
             }
         }
     }
 
-    private TreeMap<String, RelayInfo> relaysToChange() {
-        if (changedRelays == null) {
-            changedRelays = new TreeMap<>();
-            base.relays().forEach(relay -> changedRelays.put(relay.name(), relay));
+    private TreeMap<String, RelayInfo> editableRelays() {
+        if (editedRelays == null) {
+            editedRelays = new TreeMap<>();
+            base.relays().forEach(relay -> editedRelays.put(relay.name(), relay));
         }
-        return changedRelays;
+        return editedRelays;
     }
 
     private RelayInfo relay(String name) {
-        return changedRelays == null ? base.relay(name) : changedRelays.get(name);
+        return editedRelays == null ? base.relay(name) : editedRelays.get(name);
     }
 
     private void move(ShardMapStep.Move move) {
-        Draft range = at(move, move.from());
+        EditedRange range = rangeStartingAt(move, move.from());
         RelayInfo owner = relay(move.owner());
         if (owner == null) {
             throw new InvalidStepException(move, "no relay of that name is known");
@@ -87,87 +95,93 @@
         if (move.owner().equals(range.owner())) {
             throw new InvalidStepException(move, "the relay owns the range already");
         }
-        drafts.put(range.from(), range.ownedBy(move.owner(), epoch));
+        editedRanges.put(range.from(), range.withOwner(move.owner(), nextEpoch));
     }
 
     private void release(ShardMapStep.Release release) {
-        Draft range = at(release, release.from());
+        EditedRange range = rangeStartingAt(release, release.from());
         if (range.owner() == null) {
             throw new InvalidStepException(release, "nobody owns the range");
         }
-        drafts.put(range.from(), range.ownedBy(null, epoch));
+        editedRanges.put(range.from(), range.withOwner(null, nextEpoch));
     }
 
     private void split(ShardMapStep.Split split) {
-        Draft range = at(split, split.from());
+        EditedRange range = rangeStartingAt(split, split.from());
         if (split.at() <= range.from() || split.at() >= range.to()) {
             throw new InvalidStepException(
                     split,
                     "a destination inside of the range from " + range.from() + " to " + range.to() + " was expected");
         }
-        drafts.put(range.from(), range.between(range.from(), split.at()));
-        drafts.put(split.at(), range.between(split.at(), range.to()));
+        editedRanges.put(range.from(), range.subrange(range.from(), split.at()));
+        editedRanges.put(split.at(), range.subrange(split.at(), range.to()));
     }
 
     private void merge(ShardMapStep.Merge merge) {
-        Draft first = at(merge, merge.from());
+        EditedRange first = rangeStartingAt(merge, merge.from());
         if (first.to() == base.to()) {
             throw new InvalidStepException(merge, "there is no range behind it");
         }
-        Draft second = at(merge, first.to());
+        EditedRange second = rangeStartingAt(merge, first.to());
         if (!first.region().equals(second.region()) || !Objects.equals(first.owner(), second.owner())) {
             throw new InvalidStepException(merge, "the range behind it has another owner or region");
         }
         long movedAt = Math.max(first.movedAt(), second.movedAt());
-        drafts.put(first.from(), new Draft(first.from(), second.to(), first.owner(), first.region(), movedAt, false));
-        drafts.put(
-                second.from(), new Draft(second.from(), second.to(), second.owner(), second.region(), movedAt, true));
-    }
-
-    /** The range that begins at that destination, as it stands now. */
-    private Draft at(ShardMapStep step, int from) {
-        Draft draft = drafts.get(from);
-        if (draft == null && from >= base.from() && from < base.to()) {
+        editedRanges.put(
+                first.from(),
+                new EditedRange(first.from(), second.to(), first.owner(), first.region(), movedAt, false));
+        editedRanges.put(
+                second.from(),
+                new EditedRange(second.from(), second.to(), second.owner(), second.region(), movedAt, true));
+    }
+
+    /** Returns the range that starts at the destination after the steps applied so far. */
+    private EditedRange rangeStartingAt(ShardMapStep step, int from) {
+        EditedRange edited = editedRanges.get(from);
+        if (edited == null && from >= base.from() && from < base.to()) {
             ShardRange range = base.rangeOf(from);
             if (range.from() == from) {
-                draft = new Draft(from, range.to(), range.owner(), range.region(), range.movedAt(), false);
+                edited = new EditedRange(from, range.to(), range.owner(), range.region(), range.movedAt(), false);
             }
         }
-        if (draft == null || draft.merged()) {
+        if (edited == null || edited.merged()) {
             throw new InvalidStepException(step, "no range begins at " + from);
         }
-        return draft;
+        return edited;
     }
 
     private ShardMap build() {
-        RelayTable table = changedRelays == null ? base.table() : newTable();
-        int[] owners = newOwners(table);
-        int[] regions = newRegions(table);
-        RangeColumns old = base.columns();
-        RangeColumns columns = new RangeColumns(old.size() + drafts.size());
-        Map.Entry<Integer, Draft> draft = drafts.firstEntry();
-        for (int i = 0; i < old.size(); i++) {
-            int start = old.start(i);
-            while (draft != null && draft.getKey() < start) {
-                add(columns, table, draft.getValue());
-                draft = drafts.higherEntry(draft.getKey());
+        RelayTable table = editedRelays == null ? base.table() : newTable();
+        int[] owners = ownerIndexes(table);
+        int[] regions = regionIndexes(table);
+        RangeColumns baseColumns = base.columns();
+        RangeColumns columns = new RangeColumns(baseColumns.size() + editedRanges.size());
+        Map.Entry<Integer, EditedRange> edited = editedRanges.firstEntry();
+        for (int i = 0; i < baseColumns.size(); i++) {
+            int start = baseColumns.start(i);
+            while (edited != null && edited.getKey() < start) {
+                addEditedRange(columns, table, edited.getValue());
+                edited = editedRanges.higherEntry(edited.getKey());
             }
-            if (draft != null && draft.getKey() == start) {
-                add(columns, table, draft.getValue());
-                draft = drafts.higherEntry(start);
+            if (edited != null && edited.getKey() == start) {
+                addEditedRange(columns, table, edited.getValue());
+                edited = editedRanges.higherEntry(start);
             } else {
-                int owner = old.owner(i) == RangeColumns.UNOWNED ? RangeColumns.UNOWNED : owners[old.owner(i)];
+                int owner = baseColumns.owner(i) == RangeColumns.UNOWNED
+                        ? RangeColumns.UNOWNED
+                        : owners[baseColumns.owner(i)];
                 if (owner == RelayTable.UNKNOWN) {
-                    throw removedOwner(base.table().relay(old.owner(i)).name(), start);
+                    throw ownerRemovedException(
+                            base.table().relay(baseColumns.owner(i)).name(), start);
                 }
-                columns.add(start, owner, regions[old.region(i)], old.movedAt(i));
+                columns.add(start, owner, regions[baseColumns.region(i)], baseColumns.movedAt(i));
             }
         }
-        while (draft != null) {
-            add(columns, table, draft.getValue());
-            draft = drafts.higherEntry(draft.getKey());
+        while (edited != null) {
+            addEditedRange(columns, table, edited.getValue());
+            edited = editedRanges.higherEntry(edited.getKey());
         }
-        return new ShardMap(epoch, base.from(), base.to(), table, columns);
+        return new ShardMap(nextEpoch, base.from(), base.to(), table, columns);
     }
 
     private RelayTable newTable() {
@@ -175,11 +189,11 @@
         for (int i = 0; i < base.columns().size(); i++) {
             rangeRegions.add(base.table().region(base.columns().region(i)));
         }
-        return new RelayTable(changedRelays.values(), rangeRegions);
+        return new RelayTable(editedRelays.values(), rangeRegions);
     }
 
-    /** For each relay of the base its index in the next map. */
-    private int[] newOwners(RelayTable table) {
+    /** Maps the index of each relay in the base map to its index in the next map. */
+    private int[] ownerIndexes(RelayTable table) {
         int[] indexes = new int[base.table().size()];
         for (int i = 0; i < indexes.length; i++) {
             indexes[i] = table == base.table()
@@ -189,8 +203,8 @@
         return indexes;
     }
 
-    /** For each region of the base its index in the next map. */
-    private int[] newRegions(RelayTable table) {
+    /** Maps the index of each region in the base map to its index in the next map. */
+    private int[] regionIndexes(RelayTable table) {
         int[] indexes = new int[base.table().regionCount()];
         for (int i = 0; i < indexes.length; i++) {
             indexes[i] = table.regionIndex(base.table().region(i));
@@ -198,18 +212,18 @@
         return indexes;
     }
 
-    private static void add(RangeColumns columns, RelayTable table, Draft draft) {
-        if (draft.merged()) {
+    private static void addEditedRange(RangeColumns columns, RelayTable table, EditedRange range) {
+        if (range.merged()) {
             return;
         }
-        int owner = draft.owner() == null ? RangeColumns.UNOWNED : table.indexOf(draft.owner());
+        int owner = range.owner() == null ? RangeColumns.UNOWNED : table.indexOf(range.owner());
         if (owner == RelayTable.UNKNOWN) {
-            throw removedOwner(draft.owner(), draft.from());
+            throw ownerRemovedException(range.owner(), range.from());
         }
-        columns.add(draft.from(), owner, table.regionIndex(draft.region()), draft.movedAt());
+        columns.add(range.from(), owner, table.regionIndex(range.region()), range.movedAt());
     }
 
-    private static InvalidMapException removedOwner(String owner, int from) {
+    private static InvalidMapException ownerRemovedException(String owner, int from) {
         return new InvalidMapException("relay '" + owner + "' is removed and owns the range from " + from + " on");
     }
 }
--- a/src/main/java/juniperusher/shard/ShardMapException.java
+++ b/src/main/java/juniperusher/shard/ShardMapException.java
@@ -1,6 +1,6 @@
 package juniperusher.shard;
 
-/** Whatever the shard map refuses. The message is one line that says what was expected. */
+/** Base class of all exceptions of this package. The message is a single line that describes the problem. */
 public abstract class ShardMapException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/juniperusher/shard/ShardMapStep.java
+++ b/src/main/java/juniperusher/shard/ShardMapStep.java
@@ -1,28 +1,31 @@
 package juniperusher.shard;
 
 /**
- * One change on the way from an epoch to the next. Ranges are named by their first destination, as they stand after
- * the steps before. {@link ShardMap#next} takes all steps of an epoch or none.
+ * A change to a {@link ShardMap}. A step refers to a range by its first destination; the preceding steps of the same
+ * epoch are already applied. {@link ShardMap#next} applies either all steps of an epoch or none. Immutable.
  */
 public sealed interface ShardMapStep {
-    /** The range that begins at {@code from} gets another owner, of the range's region. */
+    /** Assigns the range that starts at {@code from} to another relay, which must be of the range's region. */
     record Move(int from, String owner) implements ShardMapStep {}
 
-    /** The range that begins at {@code from} is owned by nobody from now on. */
+    /** Makes the range that starts at {@code from} unowned. */
     record Release(int from) implements ShardMapStep {}
 
-    /** The range that begins at {@code from} becomes two, the second from {@code at} on; neither has moved. */
+    /**
+     * Splits the range that starts at {@code from} into two. The second one starts at {@code at}. The owner and the
+     * epoch of the last move stay the same.
+     */
     record Split(int from, int at) implements ShardMapStep {}
 
     /**
-     * The range that begins at {@code from} and the one behind it become one; both have the same owner and region. It
-     * counts as moved when the later of the two was.
+     * Merges the range that starts at {@code from} with the next one. Both must have the same owner and region. The
+     * epoch of the last move is the later one of the two.
      */
     record Merge(int from) implements ShardMapStep {}
 
-    /** A relay joins, or has another zone or weight; its region may change only while it owns nothing. */
+    /** Adds a relay, or replaces the one with the same name. The region of a relay that owns ranges must not change. */
     record PutRelay(RelayInfo relay) implements ShardMapStep {}
 
-    /** A relay that owns nothing at the end of the epoch's steps is no longer known. */
+    /** Removes a relay from the map. It must not own any range after all steps of the epoch. */
     record RemoveRelay(String name) implements ShardMapStep {}
 }
--- a/src/main/java/juniperusher/shard/WrongBaseException.java
+++ b/src/main/java/juniperusher/shard/WrongBaseException.java
@@ -1,6 +1,6 @@
 package juniperusher.shard;
 
-/** A delta was applied to another map than the one that it was made from. That map stays as it was. */
+/** Thrown if a delta is applied to another map than the one that it was computed from. The map does not change. */
 public final class WrongBaseException extends ShardMapException {
     private static final long serialVersionUID = 1;
 
@@ -16,12 +16,12 @@
         this.actualEpoch = actualEpoch;
     }
 
-    /** The epoch that the delta was made from. */
+    /** Returns the epoch of the map that the delta was computed from. */
     public long expectedEpoch() {
         return expectedEpoch;
     }
 
-    /** The epoch of the map that it was to be applied to. */
+    /** Returns the epoch of the map that the delta was applied to. */
     public long actualEpoch() {
         return actualEpoch;
     }
--- a/src/main/java/juniperusher/shard/assign/Assignment.java
+++ b/src/main/java/juniperusher/shard/assign/Assignment.java
@@ -12,57 +12,58 @@
 import juniperusher.shard.ShardRange;
 
 /**
- * Assigns the ranges of a map to the relays that are available, each region by itself. Without state and random: the
- * same map and relays give the same plan.
+ * Assigns the ranges of a map to the available relays, separately for each region. Deterministic: the same map and
+ * relays always give the same plan. Stateless and safe to share between threads.
  *
- * <p>What holds after a plan's steps, for each region with an available relay: every range is owned by an available
- * relay of its region, and every relay's load is within the {@link LoadBounds} of its fair share, rounded outward to
- * whole destinations. The load is the number of destinations. The plan moves little more than any such assignment has
- * to, see {@link AssignmentPlan#minimum}; where no range fits, one is split.
+ * <p>After the steps of a plan, every range of a region that has an available relay is owned by an available relay of
+ * that region, and the load of each available relay is within {@link LoadBounds}, rounded outward to whole
+ * destinations. The load of a relay is the number of its destinations. The plan moves few destinations more than the
+ * lower bound {@link AssignmentPlan#minimum}. It splits a range if no whole range fits.
  *
- * <p>In a region without an available relay nothing changes: from outside, a region that is cut off looks like one that
- * has failed, and its relays go on under the map that they have. Taking their ranges would make second owners, and move
- * everything twice.
+ * <p>The plan changes nothing in a region without an available relay. A region that is disconnected looks from outside
+ * like one that has failed, but its relays continue to work with the map that they have. If their ranges were
+ * assigned to others, destinations would have two owners, and all ranges would move twice.
  */
 public final class Assignment {
     private final LoadBounds bounds;
 
-    /** An assignment within these bounds. */
+    /** Creates an assignment that keeps the load of each relay within the bounds. */
     public Assignment(LoadBounds bounds) {
         this.bounds = bounds;
     }
 
     /**
-     * The steps to an assignment over the available relays.
+     * Computes the steps that assign the ranges to the available relays.
      *
-     * @throws IllegalArgumentException where one of them is not in the map
+     * @param available the names of the available relays
+     * @throws IllegalArgumentException if one of them is not in the map
      */
     public AssignmentPlan plan(ShardMap map, Set<String> available) {
-        Map<String, List<RelayInfo>> relays = byRegion(map, available);
+        Map<String, List<RelayInfo>> relays = availableRelaysByRegion(map, available);
         Map<String, List<ShardRange>> ranges = new TreeMap<>();
         map.ranges()
                 .forEach(range -> ranges.computeIfAbsent(range.region(), any -> new ArrayList<>())
                         .add(range));
         List<ShardMapStep> steps = new ArrayList<>();
-        List<String> abandoned = new ArrayList<>();
+        List<String> unavailableRegions = new ArrayList<>();
         long moved = 0;
-        long minimum = 0;
+        long minMoved = 0;
         for (Map.Entry<String, List<ShardRange>> region : ranges.entrySet()) {
             List<RelayInfo> owners = relays.getOrDefault(region.getKey(), List.of());
             if (owners.isEmpty()) {
-                abandoned.add(region.getKey());
+                unavailableRegions.add(region.getKey());
                 continue;
             }
             RegionPlanner planner = new RegionPlanner(bounds, owners, region.getValue());
-            minimum += planner.minimum();
-            planner.run();
-            moved += planner.moved();
+            minMoved += planner.minMovedDestinations();
+            planner.assign();
+            moved += planner.movedDestinations();
             steps.addAll(planner.steps());
         }
-        return new AssignmentPlan(List.copyOf(steps), moved, minimum, List.copyOf(abandoned));
+        return new AssignmentPlan(List.copyOf(steps), moved, minMoved, List.copyOf(unavailableRegions));
     }
 
-    private static Map<String, List<RelayInfo>> byRegion(ShardMap map, Set<String> available) {
+    private static Map<String, List<RelayInfo>> availableRelaysByRegion(ShardMap map, Set<String> available) {
         for (String name : available) {
             if (map.relay(name) == null) {
                 throw new IllegalArgumentException("relay '" + name + "' is not in the map of epoch " + map.epoch());
@@ -78,33 +79,36 @@
     }
 
     /**
-     * A first map, of epoch 1: each region's destinations in ranges of equal size, assigned to all relays.
+     * Creates a map of epoch 1. The destinations of each region are divided into ranges of equal size, which are
+     * assigned to all of the region's relays.
      *
      * @param from the first destination
-     * @param regions the regions in the order of their destinations, with how many each has
-     * @param rangesPerRelay how many ranges there are for each of a region's relays
+     * @param regions the number of destinations of each region, in the order of the destinations
+     * @param relays all relays of the map
+     * @param rangesPerRelay the number of ranges per relay; there are fewer if a region has too few destinations
      */
     public ShardMap firstMap(int from, Map<String, Integer> regions, List<RelayInfo> relays, int rangesPerRelay) {
         List<ShardRange> ranges = new ArrayList<>();
-        int next = from;
+        int nextDestination = from;
         for (Map.Entry<String, Integer> region : regions.entrySet()) {
-            long owners = relays.stream()
+            long relayCount = relays.stream()
                     .filter(relay -> relay.region().equals(region.getKey()))
                     .count();
             int size = region.getValue();
-            long count = Math.max(1, Math.min(size, owners * rangesPerRelay));
-            for (long i = 0; i < count; i++) {
-                int start = next + (int) (size * i / count);
-                int end = next + (int) (size * (i + 1) / count);
+            long rangeCount = Math.max(1, Math.min(size, relayCount * rangesPerRelay));
+            for (long i = 0; i < rangeCount; i++) {
+                int start = nextDestination + (int) (size * i / rangeCount);
+                int end = nextDestination + (int) (size * (i + 1) / rangeCount);
                 ranges.add(ShardRange.unowned(start, end, region.getKey(), 0));
             }
-            next += size;
+            nextDestination += size;
         }
-        ShardMap unowned = ShardMap.of(0, from, next, relays, ranges);
-        Set<String> all = new TreeSet<>();
-        relays.forEach(relay -> all.add(relay.name()));
-        List<ShardMapStep> steps = plan(unowned, all).steps().stream()
-                .filter(step -> !(step instanceof ShardMapStep.Merge)) // the ranges were cut on purpose
+        ShardMap unowned = ShardMap.of(0, from, nextDestination, relays, ranges);
+        Set<String> relayNames = new TreeSet<>();
+        relays.forEach(relay -> relayNames.add(relay.name()));
+        // Merges are left out to keep the number of ranges that the caller asked for.
+        List<ShardMapStep> steps = plan(unowned, relayNames).steps().stream()
+                .filter(step -> !(step instanceof ShardMapStep.Merge))
                 .toList();
         return unowned.next(steps);
     }
--- a/src/main/java/juniperusher/shard/assign/AssignmentPlan.java
+++ b/src/main/java/juniperusher/shard/assign/AssignmentPlan.java
@@ -5,15 +5,15 @@
 import juniperusher.shard.ShardMapStep;
 
 /**
- * What is to change for the available relays to own everything within the bounds.
+ * The changes that assign all ranges to available relays within the load bounds. Immutable.
  *
- * @param steps of one epoch; empty where nothing is to change
- * @param moved how many destinations get another owner
- * @param minimum no assignment within the bounds moves fewer
- * @param abandonedRegions the regions without an available relay; their ranges keep the owners that they have
+ * @param steps the steps of one epoch; empty if nothing changes
+ * @param moved the number of destinations that get another owner
+ * @param minimum a lower bound of the number of destinations that any assignment within the bounds moves
+ * @param unavailableRegions the regions without an available relay; the owners of their ranges do not change
  */
-public record AssignmentPlan(List<ShardMapStep> steps, long moved, long minimum, List<String> abandonedRegions) {
-    /** The map with the steps taken, the same one where there is none. */
+public record AssignmentPlan(List<ShardMapStep> steps, long moved, long minimum, List<String> unavailableRegions) {
+    /** Applies the steps and returns the next map, or returns the given map if there are no steps. */
     public ShardMap applyTo(ShardMap map) {
         return steps.isEmpty() ? map : map.next(steps);
     }
--- a/src/main/java/juniperusher/shard/assign/LoadBounds.java
+++ b/src/main/java/juniperusher/shard/assign/LoadBounds.java
@@ -1,29 +1,33 @@
 package juniperusher.shard.assign;
 
 /**
- * Between which loads a relay is left as it is, as parts of its fair share: its weight's part of its region's
- * destinations, over the region's available relays.
+ * The permitted load of a relay, relative to its fair share. The fair share of an available relay is a part of its
+ * region's destinations, in proportion to its weight among the region's available relays. Immutable.
  *
- * @param lowest below it a relay is given ranges, from 0 to 1
- * @param highest above it a relay is relieved of ranges, from 1 on
+ * @param minLoadRatio the lower bound, from 0 to 1; a relay with less load is assigned more destinations
+ * @param maxLoadRatio the upper bound, at least 1; destinations are moved away from a relay with more load
  */
-public record LoadBounds(double lowest, double highest) {
-    /** A tenth below and above. */
+public record LoadBounds(double minLoadRatio, double maxLoadRatio) {
+    /** Permits loads from 10 % below to 10 % above the fair share. */
     public static final LoadBounds USUAL = new LoadBounds(0.9, 1.1);
 
-    /** Refuses bounds that no assignment could keep. */
+    /**
+     * Checks the bounds.
+     *
+     * @throws IllegalArgumentException if no assignment could keep them
+     */
     public LoadBounds {
-        if (!(lowest >= 0 && lowest <= 1 && highest >= 1 && highest < Double.POSITIVE_INFINITY)) {
+        if (!(minLoadRatio >= 0 && minLoadRatio <= 1 && maxLoadRatio >= 1 && maxLoadRatio < Double.POSITIVE_INFINITY)) {
             throw new IllegalArgumentException(
-                    "bounds on both sides of 1 were expected, got " + lowest + " and " + highest);
+                    "bounds on both sides of 1 were expected, got " + minLoadRatio + " and " + maxLoadRatio);
         }
     }
 
-    long lowest(double fairShare) {
-        return (long) Math.floor(lowest * fairShare);
+    long minLoad(double fairShare) {
+        return (long) Math.floor(minLoadRatio * fairShare);
     }
 
-    long highest(double fairShare) {
-        return (long) Math.ceil(highest * fairShare);
+    long maxLoad(double fairShare) {
+        return (long) Math.ceil(maxLoadRatio * fairShare);
     }
 }
--- a/src/main/java/juniperusher/shard/assign/Piece.java
+++ b/src/main/java/juniperusher/shard/assign/Piece.java
@@ -2,30 +2,30 @@
 
 import juniperusher.shard.ShardRange;
 
-/** A part of a range of the map, or all of it, and who is to own it. */
+/** A whole range of the map or a part of one, with its planned owner. Not thread-safe. */
 final class Piece {
-    private final ShardRange range;
+    private final ShardRange mapRange;
     private final int from;
     private int to;
-    private RelayLoad owner; // null while nobody is to own it
+    private RelayLoad owner; // null while unassigned
 
     Piece(ShardRange range, int from, int to, RelayLoad owner) {
-        this.range = range;
+        this.mapRange = range;
         this.from = from;
         this.to = to;
         this.owner = owner;
     }
 
-    /** Keeps the first destinations, and gives back the others as a piece of the same owner. */
-    Piece split(long size) {
-        int at = (int) (from + size);
-        Piece rest = new Piece(range, at, to, owner);
-        to = at;
+    /** Shortens this piece to its first {@code firstSize} destinations, and returns the rest with the same owner. */
+    Piece split(long firstSize) {
+        int splitAt = (int) (from + firstSize);
+        Piece rest = new Piece(mapRange, splitAt, to, owner);
+        to = splitAt;
         return rest;
     }
 
-    ShardRange range() {
-        return range;
+    ShardRange mapRange() {
+        return mapRange;
     }
 
     int from() {
@@ -48,8 +48,8 @@
         owner = relay;
     }
 
-    /** Whether its destinations get another owner. */
-    boolean moves() {
-        return owner != null && !owner.name().equals(range.owner());
+    /** Returns whether the planned owner differs from the owner in the map. False while the piece is unassigned. */
+    boolean changesOwner() {
+        return owner != null && !owner.name().equals(mapRange.owner());
     }
 }
--- a/src/main/java/juniperusher/shard/assign/RelayLoad.java
+++ b/src/main/java/juniperusher/shard/assign/RelayLoad.java
@@ -5,24 +5,24 @@
 import java.util.List;
 import juniperusher.shard.RelayInfo;
 
-/** An available relay, the pieces that it is to own, and its bounds. */
+/** The planned pieces and load of an available relay, with its load bounds in destinations. Not thread-safe. */
 final class RelayLoad {
-    /** By load for the weight; relays of equal load by their names. */
-    static final Comparator<RelayLoad> BY_LOAD = (one, other) -> {
+    /** Orders relays by the ratio of load to weight, then by name. */
+    static final Comparator<RelayLoad> BY_RELATIVE_LOAD = (one, other) -> {
         int byLoad = Long.compare(one.load * other.relay.weight(), other.load * one.relay.weight());
         return byLoad != 0 ? byLoad : one.name().compareTo(other.name());
     };
 
     private final RelayInfo relay;
-    private final long lowest;
-    private final long highest;
+    private final long minLoad;
+    private final long maxLoad;
     private final List<Piece> pieces = new ArrayList<>();
     private long load;
 
-    RelayLoad(RelayInfo relay, long lowest, long highest) {
+    RelayLoad(RelayInfo relay, long minLoad, long maxLoad) {
         this.relay = relay;
-        this.lowest = lowest;
-        this.highest = highest;
+        this.minLoad = minLoad;
+        this.maxLoad = maxLoad;
     }
 
     String name() {
@@ -36,56 +36,68 @@
     }
 
     /**
-     * Gives away a piece of at most {@code most} destinations, and of at least half of them unless it has no more: a
-     * whole one where one fits, else part of the smallest that is larger. Pieces that move anyhow go first.
+     * Removes a piece of at most {@code maxSize} destinations and returns it without an owner. If some pieces already
+     * change their owner in this plan, only these are candidates. A whole piece is removed if it has at least half of
+     * {@code maxSize} destinations, or if no candidate is larger. Otherwise the smallest larger candidate is split.
+     *
+     * @param allPieces receives the remainder of a piece that is split
      */
-    Piece give(long most, List<Piece> allPieces) {
-        List<Piece> moving = pieces.stream().filter(Piece::moves).toList();
-        Piece given = choose(moving.isEmpty() ? pieces : moving, most);
-        if (given.size() > most) {
-            Piece rest = given.split(most);
-            allPieces.add(rest);
-            pieces.add(rest);
+    Piece removePiece(long maxSize, List<Piece> allPieces) {
+        List<Piece> movingPieces = pieces.stream().filter(Piece::changesOwner).toList();
+        Piece removed = choosePiece(movingPieces.isEmpty() ? pieces : movingPieces, maxSize);
+        if (removed.size() > maxSize) {
+            Piece remainder = removed.split(maxSize);
+            allPieces.add(remainder);
+            pieces.add(remainder);
         }
-        pieces.remove(given);
-        load -= given.size();
-        given.setOwner(null);
-        return given;
+        pieces.remove(removed);
+        load -= removed.size();
+        removed.setOwner(null);
+        return removed;
     }
 
-    /** The largest that fits, or the smallest that does not where no other makes up half. */
-    private static Piece choose(List<Piece> from, long most) {
-        Piece fitting = null;
-        Piece larger = null;
-        for (Piece piece : from) {
-            if (piece.size() <= most) {
-                fitting = fitting == null || piece.size() > fitting.size() ? piece : fitting;
+    /**
+     * Returns the largest candidate of at most {@code maxSize} destinations. If it has less than half of them, returns
+     * the smallest larger candidate, if there is one.
+     */
+    private static Piece choosePiece(List<Piece> candidates, long maxSize) {
+        Piece largestFitting = null;
+        Piece smallestTooLarge = null;
+        for (Piece piece : candidates) {
+            if (piece.size() <= maxSize) {
+                largestFitting =
+                        largestFitting == null || piece.size() > largestFitting.size() ? piece : largestFitting;
             } else {
-                larger = larger == null || piece.size() < larger.size() ? piece : larger;
+                smallestTooLarge =
+                        smallestTooLarge == null || piece.size() < smallestTooLarge.size() ? piece : smallestTooLarge;
             }
         }
-        return larger == null || fitting != null && 2 * fitting.size() >= most ? fitting : larger;
+        return smallestTooLarge == null || largestFitting != null && 2 * largestFitting.size() >= maxSize
+                ? largestFitting
+                : smallestTooLarge;
     }
 
     boolean hasMovingPieces() {
-        return pieces.stream().anyMatch(Piece::moves);
+        return pieces.stream().anyMatch(Piece::changesOwner);
     }
 
+    /** Returns the number of destinations that the relay lacks to reach its lower bound, 0 if none. */
     long deficit() {
-        return Math.max(0, lowest - load);
+        return Math.max(0, minLoad - load);
     }
 
+    /** Returns the number of destinations above the upper bound, 0 if none. */
     long excess() {
-        return Math.max(0, load - highest);
+        return Math.max(0, load - maxLoad);
     }
 
-    /** What it may give away before it falls below its bound. */
-    long spare() {
-        return load - lowest;
+    /** Returns the load that can be removed before the relay is below its lower bound; negative if it already is. */
+    long removableLoad() {
+        return load - minLoad;
     }
 
-    /** What it may take before it rises above its bound. */
-    long room() {
-        return highest - load;
+    /** Returns the load that can be added before the relay is above its upper bound; negative if it already is. */
+    long remainingCapacity() {
+        return maxLoad - load;
     }
 }
--- a/src/main/java/juniperusher/shard/assign/package-info.java
+++ b/src/main/java/juniperusher/shard/assign/package-info.java
@@ -1,7 +1,9 @@
 /**
- * Which relay is to own which ranges of the shard map. The door is {@link juniperusher.shard.assign.Assignment}: it is
- * given a map and the relays that are available, and gives the steps to the next map.
+ * Decides which relay owns which ranges of the shard map. The entry point is
+ * {@link juniperusher.shard.assign.Assignment}: from a map and the set of available relays it computes the steps to the
+ * next map.
  *
- * <p>Must not know: sockets, threads, clocks, files, how availability is found out, when a change may be made.
+ * <p>This package must not depend on sockets, threads, clocks or files, on how availability is detected, or on when a
+ * change of the map is allowed.
  */
 package juniperusher.shard.assign;
--- a/src/test/java/juniperusher/shard/ShardMapCodecTest.java
+++ b/src/test/java/juniperusher/shard/ShardMapCodecTest.java
@@ -12,10 +12,10 @@
 import java.util.zip.CRC32C;
 import org.junit.jupiter.api.Test;
 
-/** The binary forms: round trips, damage at every byte, and deltas for maps that are not there. */
+/** Tests the binary forms: round trips, damage at every byte, and deltas that are applied to the wrong map. */
 class ShardMapCodecTest {
     private static final long SEED = 20261202;
-    private static final int FORGERIES = 20_000;
+    private static final int FORGERY_COUNT = 20_000;
 
     private final ShardMapCodec codec = new ShardMapCodec();
     private final ShardMap base = ShardMapTest.map();
@@ -26,7 +26,7 @@
             new ShardMapStep.Release(40),
             new ShardMapStep.RemoveRelay("c"));
 
-    private static byte[] sealed(byte[] bytes) {
+    private static byte[] withValidChecksum(byte[] bytes) {
         CRC32C checksum = new CRC32C();
         checksum.update(bytes, 0, bytes.length - 4);
         byte[] sealed = bytes.clone();
@@ -36,13 +36,13 @@
         return sealed;
     }
 
-    private static void damaged(String message, Function<byte[], ?> decoding, byte[] bytes) {
+    private static void assertDamaged(String message, Function<byte[], ?> decoding, byte[] bytes) {
         DamagedMapException refusal = assertThrows(DamagedMapException.class, () -> decoding.apply(bytes));
         assertTrue(refusal.getMessage().contains(message), refusal.getMessage());
     }
 
     @Test
-    void aSnapshotComesBackEqualAndWithEqualBytes() {
+    void decodedSnapshotIsEqualAndEncodesToTheSameBytes() {
         byte[] bytes = codec.encode(next);
         ShardMap decoded = codec.decode(bytes);
         assertEquals(next, decoded);
@@ -52,19 +52,19 @@
     }
 
     @Test
-    void aDeltaLeadsToTheMapThatItWasMadeFor() {
+    void deltaAppliedToItsBaseYieldsItsResult() {
         byte[] bytes = codec.encodeDelta(base, next);
         assertEquals(next, codec.apply(base, bytes));
         assertEquals(next.relays(), codec.apply(base, bytes).relays());
         ShardMapDelta delta = codec.decodeDelta(bytes);
         assertEquals(7, delta.fromEpoch());
         assertEquals(8, delta.toEpoch());
-        assertEquals(3, delta.changedRanges());
+        assertEquals(3, delta.changedRangeCount());
         assertArrayEquals(bytes, codec.encode(delta));
     }
 
     @Test
-    void aDeltaMayLeadOverSeveralEpochs() {
+    void deltaMaySpanSeveralEpochs() {
         ShardMap third = next.next(
                         new ShardMapStep.Move(20, "b"), new ShardMapStep.Merge(10), new ShardMapStep.Split(0, 5))
                 .next(new ShardMapStep.Move(5, "b"));
@@ -73,74 +73,77 @@
     }
 
     @Test
-    void cutsAndFlipsAtEveryByteAreRefused() {
+    void truncationAtEveryByteAndEveryFlippedBitAreRefused() {
         byte[] snapshot = codec.encode(next);
         byte[] delta = codec.encodeDelta(base, next);
         for (int length = 0; length < snapshot.length; length++) {
-            damaged("", codec::decode, Arrays.copyOf(snapshot, length));
+            assertDamaged("", codec::decode, Arrays.copyOf(snapshot, length));
         }
         for (int length = 0; length < delta.length; length++) {
-            damaged("", cut -> codec.apply(base, cut), Arrays.copyOf(delta, length));
+            assertDamaged("", cut -> codec.apply(base, cut), Arrays.copyOf(delta, length));
         }
         for (int bit = 0; bit < 8 * snapshot.length; bit++) {
             byte[] flipped = snapshot.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
-            damaged("", codec::decode, flipped);
+            assertDamaged("", codec::decode, flipped);
         }
         for (int bit = 0; bit < 8 * delta.length; bit++) {
             byte[] flipped = delta.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
-            damaged("", broken -> codec.apply(base, broken), flipped);
+            assertDamaged("", broken -> codec.apply(base, broken), flipped);
         }
     }
 
     @Test
-    void bytesLeftOverAreRefused() {
+    void trailingBytesAreRefused() {
         byte[] snapshot = codec.encode(next);
-        damaged("left over", codec::decode, sealed(Arrays.copyOf(snapshot, snapshot.length + 1)));
+        assertDamaged("left over", codec::decode, withValidChecksum(Arrays.copyOf(snapshot, snapshot.length + 1)));
         byte[] delta = codec.encodeDelta(base, next);
-        damaged("left over", codec::decodeDelta, sealed(Arrays.copyOf(delta, delta.length + 1)));
+        assertDamaged("left over", codec::decodeDelta, withValidChecksum(Arrays.copyOf(delta, delta.length + 1)));
     }
 
-    /** With a checksum that matches, what is decoded is valid or refused; nothing else happens. */
+    /**
+     * Guards against damage that the checksum does not detect. Such input must be refused by one of the expected
+     * exceptions or decode to a valid map; any other exception fails the test.
+     */
     @Test
-    void forgeriesWithAMatchingChecksumAreRefusedOrValid() {
+    void changedBytesWithAValidChecksumAreRefusedOrDecodeToAValidMap() {
         SplittableRandom random = new SplittableRandom(SEED);
         byte[] snapshot = codec.encode(next);
         byte[] delta = codec.encodeDelta(base, next);
         int refused = 0;
-        for (int i = 0; i < FORGERIES; i++) {
+        for (int i = 0; i < FORGERY_COUNT; i++) {
             byte[] forged = (i % 2 == 0 ? snapshot : delta).clone();
             for (int changes = random.nextInt(1, 4); changes > 0; changes--) {
                 forged[random.nextInt(4, forged.length - 4)] = (byte) random.nextInt(256);
             }
             try {
                 if (i % 2 == 0) {
-                    ShardMap decoded = codec.decode(sealed(forged));
+                    ShardMap decoded = codec.decode(withValidChecksum(forged));
                     assertEquals(decoded, codec.decode(codec.encode(decoded)));
                 } else {
-                    assertEquals(next, codec.apply(base, sealed(forged)));
+                    assertEquals(next, codec.apply(base, withValidChecksum(forged)));
                 }
             } catch (DamagedMapException | WrongBaseException expected) {
                 refused++;
             }
         }
-        assertTrue(refused > FORGERIES / 2, "seed " + SEED + ", refused " + refused);
+        assertTrue(refused > FORGERY_COUNT / 2, "seed " + SEED + ", refused " + refused);
     }
 
     @Test
-    void otherVersionsAndKindsAreNamed() {
+    void errorsNameTheUnexpectedVersionOrKind() {
         byte[] newer = codec.encode(next);
         newer[3] = 2;
-        damaged("version 1 was expected, got 2", codec::decode, sealed(newer));
-        damaged("kind 'S' was expected, got 'D'", codec::decode, codec.encodeDelta(base, next));
-        damaged("kind 'D' was expected, got 'S'", codec::decodeDelta, codec.encode(base));
-        damaged("no shard map", codec::decode, sealed(new byte[40]));
-        damaged("at least 8 bytes", codec::decode, new byte[0]);
+        assertDamaged("version 1 was expected, got 2", codec::decode, withValidChecksum(newer));
+        assertDamaged("kind 'S' was expected, got 'D'", codec::decode, codec.encodeDelta(base, next));
+        assertDamaged("kind 'D' was expected, got 'S'", codec::decodeDelta, codec.encode(base));
+        assertDamaged("not a shard map", codec::decode, withValidChecksum(new byte[40]));
+        assertDamaged("at least 8 bytes", codec::decode, new byte[0]);
     }
 
     @Test
-    void aDeltaTwiceOrOutOfOrderOrForAMapThatIsNotThereIsRefused() {
+    void deltaIsRefusedWhenAppliedTwiceOutOfOrderOrToAnotherEpoch() {
         ShardMap third = next.next(new ShardMapStep.Move(0, "b"));
         byte[] first = codec.encodeDelta(base, next);
         byte[] second = codec.encodeDelta(next, third);
@@ -150,27 +153,30 @@
         ShardMap applied = codec.apply(base, first);
         assertThrows(WrongBaseException.class, () -> codec.apply(applied, first), "twice");
         assertEquals(third, codec.apply(applied, second));
-        assertThrows(WrongBaseException.class, () -> codec.apply(third, first), "late");
+        assertThrows(WrongBaseException.class, () -> codec.apply(third, first), "late, after a newer epoch");
     }
 
     @Test
-    void aDeltaForAnotherMapOfTheSameEpochIsRefused() {
+    void deltaForAnotherMapOfTheSameEpochIsRefused() {
         ShardMap other = base.next(new ShardMapStep.Move(0, "b"));
         byte[] delta = codec.encodeDelta(next, next.next(new ShardMapStep.Release(0)));
         WrongBaseException refusal = assertThrows(WrongBaseException.class, () -> codec.apply(other, delta));
         assertEquals("the delta was made from another map of epoch 8", refusal.getMessage());
     }
 
-    /** As when two makers of maps went on from one epoch, and the relay has to follow the other one. */
+    /**
+     * Two control processes may have continued independently from the same epoch. A relay that has the map of one of
+     * them must be able to change to the map of the other.
+     */
     @Test
-    void aDeltaMayLeadToAMapThatHasNotComeFromItsBase() {
+    void deltaMayLeadToAMapNotDerivedFromItsBase() {
         ShardMap one = base.next(new ShardMapStep.Move(30, "a"));
         ShardMap other = base.next(new ShardMapStep.Move(30, "b")).next(new ShardMapStep.Split(0, 5));
         assertEquals(other, codec.apply(one, codec.encodeDelta(one, other)));
     }
 
     @Test
-    void theSpaceMayBeAsWideAsTheNumbers() {
+    void spaceMayCoverTheWholeIntRange() {
         ShardMap wide = ShardMap.of(
                 1,
                 Integer.MIN_VALUE,
@@ -185,18 +191,18 @@
     }
 
     @Test
-    void aRelayManyEpochsBehindFollowsByOneDelta() {
+    void deltaOverManyEpochsContainsOnlyTheFinalChanges() {
         ShardMap last = base;
         for (int epoch = 0; epoch < 30; epoch++) {
             last = last.next(new ShardMapStep.Move(30, epoch % 2 == 0 ? "a" : "b"));
         }
         byte[] delta = codec.encodeDelta(base, last);
         assertEquals(last, codec.apply(base, delta));
-        assertEquals(1, codec.decodeDelta(delta).changedRanges(), "only where it ends counts");
+        assertEquals(1, codec.decodeDelta(delta).changedRangeCount(), "one changed range");
     }
 
     @Test
-    void deltasGoForwardInOneSpaceOnly() {
+    void deltaNeedsALaterEpochAndTheSameSpace() {
         assertThrows(IllegalArgumentException.class, () -> ShardMapDelta.between(next, base));
         assertThrows(IllegalArgumentException.class, () -> ShardMapDelta.between(base, base));
         ShardMap narrow = ShardMap.of(9, 0, 10, List.of(), List.of(ShardRange.unowned(0, 10, "north", 0)));
--- a/src/test/java/juniperusher/shard/ShardMapPropertyTest.java
+++ b/src/test/java/juniperusher/shard/ShardMapPropertyTest.java
@@ -14,19 +14,19 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Drawn scripts of steps, against a model that keeps the owner of each destination by itself. jqwik prints the seed and
- * shrinks a script that fails.
+ * Applies random scripts of steps to a map, and compares it with a model that stores the owner of each destination
+ * separately. jqwik prints the seed and shrinks a failing script.
  */
 class ShardMapPropertyTest {
     private static final String SEED = "20261202";
     private static final int FROM = -20;
     private static final int TO = 60;
     private static final int NORTH_END = 30;
-    private static final String[] NAMES = {"a", "b", "c", "d", "e"};
+    private static final String[] RELAY_NAMES = {"a", "b", "c", "d", "e"};
 
     private final ShardMapCodec codec = new ShardMapCodec();
 
-    /** The owner and the last move of each destination. */
+    /** The owner of each destination, and the epoch of its last move. */
     private static final class Model {
         private final String[] owners = new String[TO - FROM];
         private final long[] movedAt = new long[TO - FROM];
@@ -38,7 +38,7 @@
             return copy;
         }
 
-        void own(ShardRange range, String owner, long epoch) {
+        void setOwner(ShardRange range, String owner, long epoch) {
             Arrays.fill(owners, range.from() - FROM, range.to() - FROM, owner);
             Arrays.fill(movedAt, range.from() - FROM, range.to() - FROM, epoch);
         }
@@ -46,17 +46,19 @@
         void check(ShardMap map) {
             for (int destination = FROM; destination < TO; destination++) {
                 assertEquals(owners[destination - FROM], map.ownerOf(destination));
-                assertTrue(map.movedAt(destination) >= movedAt[destination - FROM], "moved, and the map hides it");
+                assertTrue(
+                        map.movedAt(destination) >= movedAt[destination - FROM],
+                        "the map reports an earlier epoch than that of the last move");
             }
         }
     }
 
     private static RelayInfo relay(int number, int code) {
         String region = number % 2 == 0 ? "north" : "south";
-        return new RelayInfo(NAMES[number], region, region + code % 3, 1 + code % 4);
+        return new RelayInfo(RELAY_NAMES[number], region, region + code % 3, 1 + code % 4);
     }
 
-    private static ShardMap first() {
+    private static ShardMap firstMap() {
         return ShardMap.of(
                 0,
                 FROM,
@@ -67,36 +69,36 @@
                         ShardRange.unowned(NORTH_END, TO, "south", 0)));
     }
 
-    /** A step that the code stands for; many of them do not fit. */
-    private static ShardMapStep step(ShardMap map, int code) {
+    /** Returns the step that the number encodes. Many of these steps cannot be applied to the map. */
+    private static ShardMapStep stepForCode(ShardMap map, int code) {
         ShardRange range = map.ranges().get(code / 10 % map.rangeCount());
-        int number = code / 1_000 % NAMES.length;
+        int number = code / 1_000 % RELAY_NAMES.length;
         return switch (code % 10) {
-            case 0, 1, 2 -> new ShardMapStep.Move(range.from(), NAMES[number]);
+            case 0, 1, 2 -> new ShardMapStep.Move(range.from(), RELAY_NAMES[number]);
             case 3, 4, 5 -> new ShardMapStep.Split(range.from(), range.from() + code / 1_000 % 20);
             case 6 -> new ShardMapStep.Merge(range.from());
             case 7 -> new ShardMapStep.Release(range.from());
             case 8 -> new ShardMapStep.PutRelay(relay(number, code / 10_000));
-            default -> new ShardMapStep.RemoveRelay(NAMES[number]);
+            default -> new ShardMapStep.RemoveRelay(RELAY_NAMES[number]);
         };
     }
 
-    private static void play(Model model, ShardMap before, ShardMapStep step, long epoch) {
+    private static void applyScript(Model model, ShardMap before, ShardMapStep step, long epoch) {
         if (step instanceof ShardMapStep.Move move) {
-            model.own(before.rangeOf(move.from()), move.owner(), epoch);
+            model.setOwner(before.rangeOf(move.from()), move.owner(), epoch);
         } else if (step instanceof ShardMapStep.Release release) {
-            model.own(before.rangeOf(release.from()), null, epoch);
+            model.setOwner(before.rangeOf(release.from()), null, epoch);
         }
     }
 
     private static void assertCovered(ShardMap map) {
         int next = FROM;
         for (ShardRange range : map.ranges()) {
-            assertEquals(next, range.from(), "neither gap nor overlap");
+            assertEquals(next, range.from(), "the ranges have a gap or overlap");
             assertTrue(range.size() > 0);
             assertTrue(range.movedAt() <= map.epoch());
             assertEquals(range.from() < NORTH_END ? "north" : "south", range.region());
-            if (range.owned()) {
+            if (range.isOwned()) {
                 RelayInfo owner = map.relay(range.owner());
                 assertEquals(range.region(), owner.region());
                 assertEquals(owner.zone(), range.zone());
@@ -105,33 +107,33 @@
         }
         assertEquals(TO, next);
         long owned = map.relays().stream()
-                .flatMap(relay -> map.ownedBy(relay.name()).stream())
+                .flatMap(relay -> map.rangesOwnedBy(relay.name()).stream())
                 .mapToLong(ShardRange::size)
                 .sum();
-        long unowned = map.unowned().stream().mapToLong(ShardRange::size).sum();
-        assertEquals(TO - FROM, owned + unowned, "each destination is listed once");
+        long unowned = map.unownedRanges().stream().mapToLong(ShardRange::size).sum();
+        assertEquals(TO - FROM, owned + unowned, "each destination is in exactly one listed range");
     }
 
-    /** The maps of all epochs of the script, each checked against the model. */
-    private static List<ShardMap> play(List<Integer> script) {
-        List<ShardMap> maps = new ArrayList<>(List.of(first()));
+    /** Applies the script and returns the maps of all epochs, each of them checked against the model. */
+    private static List<ShardMap> applyScript(List<Integer> script) {
+        List<ShardMap> maps = new ArrayList<>(List.of(firstMap()));
         Model model = new Model();
         for (int code : script) {
             ShardMap before = maps.get(maps.size() - 1);
-            ShardMapStep step = step(before, code);
+            ShardMapStep step = stepForCode(before, code);
             ShardMap copy = ShardMap.of(before.epoch(), FROM, TO, before.relays(), before.ranges());
             Model next = model.copy();
             try {
                 ShardMap after = before.next(step);
-                play(next, before, step, after.epoch());
-                assertEquals(before.epoch() + 1, after.epoch(), "epochs only grow, by one");
+                applyScript(next, before, step, after.epoch());
+                assertEquals(before.epoch() + 1, after.epoch(), "each batch of steps increases the epoch by one");
                 maps.add(after);
                 model = next;
             } catch (InvalidStepException refused) {
                 assertTrue(refused.getMessage().startsWith(step.toString())
                         || refused.getMessage().startsWith("the steps leave no valid map"));
             }
-            assertEquals(copy, before, "a map never changes");
+            assertEquals(copy, before, "the base map must not change");
             ShardMap last = maps.get(maps.size() - 1);
             assertCovered(last);
             model.check(last);
@@ -140,16 +142,16 @@
     }
 
     @Property(tries = 1_000, seed = SEED)
-    void everyEpochCoversTheSpaceWithOneOwnerAtMost(
+    void everyEpochCoversTheSpaceWithAtMostOneOwnerEach(
             @ForAll @Size(max = 60) List<@IntRange(max = 99_999) Integer> script) {
-        play(script);
+        applyScript(script);
     }
 
     @Property(tries = 500, seed = SEED)
-    void everySnapshotAndEveryDeltaLeadsToItsMap(
+    void everySnapshotAndDeltaDecodesToItsMap(
             @ForAll @Size(max = 40) List<@IntRange(max = 99_999) Integer> script,
             @ForAll @IntRange(max = 999) int pick) {
-        List<ShardMap> maps = play(script);
+        List<ShardMap> maps = applyScript(script);
         for (ShardMap map : maps) {
             ShardMap decoded = codec.decode(codec.encode(map));
             assertEquals(map, decoded);
@@ -165,13 +167,17 @@
         }
     }
 
-    /** A batch is one epoch with the end of its steps one by one, or is refused as they are. */
+    /**
+     * Steps that are applied as one batch must yield the same relays, ranges and owners as the same steps applied one
+     * by one, but increase the epoch only by one.
+     */
     @Property(tries = 500, seed = SEED)
-    void aBatchOwnsWhatItsStepsOneByOneOwn(@ForAll @Size(max = 30) List<@IntRange(max = 99_999) Integer> script) {
-        ShardMap oneByOne = first();
+    void batchYieldsTheSameOwnersAsItsStepsOneByOne(
+            @ForAll @Size(max = 30) List<@IntRange(max = 99_999) Integer> script) {
+        ShardMap oneByOne = firstMap();
         List<ShardMapStep> steps = new ArrayList<>();
         for (int code : script) {
-            ShardMapStep step = step(oneByOne, code);
+            ShardMapStep step = stepForCode(oneByOne, code);
             try {
                 oneByOne = oneByOne.next(step);
                 steps.add(step);
@@ -180,7 +186,7 @@
             }
         }
         if (!steps.isEmpty()) {
-            ShardMap batch = first().next(steps);
+            ShardMap batch = firstMap().next(steps);
             assertEquals(1, batch.epoch());
             assertEquals(oneByOne.relays(), batch.relays());
             assertEquals(oneByOne.rangeCount(), batch.rangeCount());
--- a/src/test/java/juniperusher/shard/assign/AssignmentPropertyTest.java
+++ b/src/test/java/juniperusher/shard/assign/AssignmentPropertyTest.java
@@ -18,25 +18,28 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Drawn losses and returns of relays, zones and regions, and changes of weight. jqwik prints the seed. */
+/**
+ * Plans assignments after random losses and returns of relays, zones and regions, and after changes of weight. jqwik
+ * prints the seed.
+ */
 class AssignmentPropertyTest {
     private static final String SEED = "20261202";
     private static final int REGIONS = 3;
     private static final int ZONES = 3;
     private static final int RELAYS = 45;
-    private static final int HEAVIEST = 4;
+    private static final int MAX_WEIGHT = 4;
     private static final Assignment ASSIGNMENT = new Assignment(LoadBounds.USUAL);
 
-    /** What a plan may move beyond the minimum, as a part of the mean load of a relay. */
-    private static final double MOST_EXTRA = 0.25;
+    /** The load that a plan may move beyond the minimum, as a share of the mean load of a relay. */
+    private static final double MAX_EXTRA_SHARE = 0.25;
 
-    /** As {@link #MOST_EXTRA}, in destinations, where relays have only a few. */
-    private static final long FEW = 2;
+    /** The destinations that a plan may always move beyond the minimum, for relays that have only a few. */
+    private static final long MIN_EXTRA_DESTINATIONS = 2;
 
     private static List<RelayInfo> relays(boolean weighted) {
         List<RelayInfo> relays = new ArrayList<>();
         for (int i = 0; i < RELAYS; i++) {
-            relays.add(relay(i, weighted ? 1 + i % HEAVIEST : 1));
+            relays.add(relay(i, weighted ? 1 + i % MAX_WEIGHT : 1));
         }
         return relays;
     }
@@ -47,7 +50,7 @@
         return new RelayInfo("relay-%02d".formatted(number), "r" + region, "r" + region + "z" + zone, weight);
     }
 
-    private static Map<String, Integer> sizes(int destinations) {
+    private static Map<String, Integer> regionSizes(int destinations) {
         Map<String, Integer> sizes = new LinkedHashMap<>();
         for (int region = 0; region < REGIONS; region++) {
             sizes.put("r" + region, destinations * (1 + region));
@@ -55,8 +58,11 @@
         return sizes;
     }
 
-    /** What the code stands for: a change of the available relays, or the steps of another weight. */
-    private static ShardMap play(ShardMap map, Set<String> available, int code) {
+    /**
+     * Applies the change that the number encodes: either a change of the available relays, or another weight of a
+     * relay, which leads to a new map.
+     */
+    private static ShardMap applyCode(ShardMap map, Set<String> available, int code) {
         RelayInfo relay = map.relays().get(code / 10 % RELAYS);
         switch (code % 10) {
             case 0, 1, 2 -> available.remove(relay.name());
@@ -68,7 +74,7 @@
                         .filter(one -> one.region().equals(relay.region()))
                         .forEach(one -> available.add(one.name()));
             default -> {
-                int weight = 1 + code / 1_000 % HEAVIEST;
+                int weight = 1 + code / 1_000 % MAX_WEIGHT;
                 return map.next(
                         new ShardMapStep.PutRelay(new RelayInfo(relay.name(), relay.region(), relay.zone(), weight)));
             }
@@ -76,7 +82,7 @@
         return map;
     }
 
-    private static long moved(ShardMap before, ShardMap after) {
+    private static long countMoved(ShardMap before, ShardMap after) {
         long moved = 0;
         for (int i = before.from(); i < before.to(); i++) {
             moved += before.ownerOf(i).equals(after.ownerOf(i)) ? 0 : 1;
@@ -84,37 +90,41 @@
         return moved;
     }
 
-    private static void check(ShardMap before, AssignmentPlan plan, Set<String> available) {
+    private static void checkPlan(ShardMap before, AssignmentPlan plan, Set<String> available) {
         ShardMap after = plan.applyTo(before);
         AssignmentTest.assertWithinBounds(after, available, LoadBounds.USUAL);
-        assertEquals(moved(before, after), plan.moved());
+        assertEquals(countMoved(before, after), plan.moved());
         assertTrue(plan.moved() >= plan.minimum());
         for (ShardRange range : after.ranges()) {
-            if (plan.abandonedRegions().contains(range.region())) {
-                assertEquals(range, before.rangeOf(range.from()), "of a region without relays");
+            if (plan.unavailableRegions().contains(range.region())) {
+                assertEquals(
+                        range,
+                        before.rangeOf(range.from()),
+                        "a range of a region without available relays has changed");
             }
         }
-        long extra = Math.max(FEW, (long) (MOST_EXTRA * (before.to() - before.from()) / RELAYS));
+        long extra =
+                Math.max(MIN_EXTRA_DESTINATIONS, (long) (MAX_EXTRA_SHARE * (before.to() - before.from()) / RELAYS));
         assertTrue(
                 plan.moved() <= plan.minimum() + extra,
                 () -> plan.moved() + " moved, the minimum is " + plan.minimum());
-        assertEquals(List.of(), ASSIGNMENT.plan(after, available).steps(), "nothing is left to do");
+        assertEquals(List.of(), ASSIGNMENT.plan(after, available).steps(), "a second plan must not change anything");
     }
 
     @Property(tries = 300, seed = SEED)
-    void loadsStayWithinTheirBoundsAndMovesNearTheMinimum(
+    void loadsStayWithinBoundsAndMovesNearTheMinimum(
             @ForAll @Size(max = 20) List<@IntRange(max = 99_999) Integer> script,
             @ForAll @IntRange(min = 1, max = 3_000) int destinations,
             @ForAll @IntRange(min = 1, max = 16) int rangesPerRelay,
             @ForAll boolean weighted) {
         List<RelayInfo> relays = relays(weighted);
         Set<String> available = new TreeSet<>(AssignmentTest.names(relays));
-        ShardMap map = ASSIGNMENT.firstMap(0, sizes(destinations), relays, rangesPerRelay);
+        ShardMap map = ASSIGNMENT.firstMap(0, regionSizes(destinations), relays, rangesPerRelay);
         AssignmentTest.assertWithinBounds(map, available, LoadBounds.USUAL);
         for (int code : script) {
-            map = play(map, available, code);
+            map = applyCode(map, available, code);
             AssignmentPlan plan = ASSIGNMENT.plan(map, available);
-            check(map, plan, available);
+            checkPlan(map, plan, available);
             map = plan.applyTo(map);
         }
     }
--- a/src/test/java/juniperusher/shard/assign/AssignmentTest.java
+++ b/src/test/java/juniperusher/shard/assign/AssignmentTest.java
@@ -19,12 +19,12 @@
 import juniperusher.shard.ShardRange;
 import org.junit.jupiter.api.Test;
 
-/** Loads within their bounds and few moves, at losses and returns of relays, zones and regions. */
+/** Tests that loads stay within bounds and few ranges move when relays, zones and regions fail and recover. */
 class AssignmentTest {
     private static final int ZONES = 3;
     private static final Assignment ASSIGNMENT = new Assignment(LoadBounds.USUAL);
 
-    /** Regions r0, r1, ... of equal size, each with its zones and relays. */
+    /** Creates the relays of regions r0, r1, ..., the same number for each, spread over the zones of the region. */
     static List<RelayInfo> relays(int regions, int relaysPerRegion) {
         List<RelayInfo> relays = new ArrayList<>();
         for (int region = 0; region < regions; region++) {
@@ -48,7 +48,10 @@
         return relays.stream().map(RelayInfo::name).collect(Collectors.toCollection(TreeSet::new));
     }
 
-    /** What every assignment promises, against the bounds computed anew from the map. */
+    /**
+     * Asserts that all ranges of regions with available relays have an available owner, and that the loads are within
+     * the bounds. Computes loads and fair shares from the map, independently of the planner.
+     */
     static void assertWithinBounds(ShardMap map, Set<String> available, LoadBounds bounds) {
         Map<String, Long> loads = new HashMap<>();
         Map<String, Long> totals = new HashMap<>();
@@ -58,7 +61,9 @@
         }
         for (ShardRange range : map.ranges()) {
             if (weights.containsKey(range.region())) {
-                assertTrue(range.owned() && available.contains(range.owner()), () -> "owned by none: " + range);
+                assertTrue(
+                        range.isOwned() && available.contains(range.owner()),
+                        () -> "not owned by an available relay: " + range);
                 loads.merge(range.owner(), range.size(), Long::sum);
                 totals.merge(range.region(), range.size(), Long::sum);
             }
@@ -69,12 +74,12 @@
                     (double) totals.getOrDefault(relay.region(), 0L) * relay.weight() / weights.get(relay.region());
             long load = loads.getOrDefault(name, 0L);
             assertTrue(
-                    load >= Math.floor(bounds.lowest() * fair) && load <= Math.ceil(bounds.highest() * fair),
+                    load >= Math.floor(bounds.minLoadRatio() * fair) && load <= Math.ceil(bounds.maxLoadRatio() * fair),
                     () -> relay + " has " + load + ", its fair share is " + fair);
         }
     }
 
-    private static long moved(ShardMap before, ShardMap after) {
+    private static long countMoved(ShardMap before, ShardMap after) {
         long moved = 0;
         for (int i = before.from(); i < before.to(); i++) {
             moved += Objects.equals(before.ownerOf(i), after.ownerOf(i)) ? 0 : 1;
@@ -82,66 +87,73 @@
         return moved;
     }
 
-    /** Applies the plan and checks it: bounds, the moves that it tells, and at most that much above the minimum. */
-    private static ShardMap replanned(ShardMap map, Set<String> available, double mostOverMinimum) {
+    /**
+     * Plans for the available relays and applies the plan. Asserts that the loads are within the bounds, that the plan
+     * reports the right number of moved destinations, and that this is at most the given multiple of the minimum.
+     */
+    private static ShardMap applyCheckedPlan(ShardMap map, Set<String> available, double maxMovedToMinimumRatio) {
         AssignmentPlan plan = ASSIGNMENT.plan(map, available);
         ShardMap next = plan.applyTo(map);
         assertWithinBounds(next, available, LoadBounds.USUAL);
-        assertEquals(moved(map, next), plan.moved());
+        assertEquals(countMoved(map, next), plan.moved());
         assertTrue(plan.moved() >= plan.minimum(), plan.moved() + " of at least " + plan.minimum());
         assertTrue(
-                plan.moved() <= mostOverMinimum * plan.minimum(), plan.moved() + " moved, minimum " + plan.minimum());
+                plan.moved() <= maxMovedToMinimumRatio * plan.minimum(),
+                plan.moved() + " moved, minimum " + plan.minimum());
         return next;
     }
 
     @Test
-    void aFirstMapGivesEachRelayItsShareAndRanges() {
+    void firstMapGivesEachRelayItsShareAndRangeCount() {
         List<RelayInfo> relays = relays(2, 30);
         ShardMap map = map(relays, 2, 9_000, 8);
         assertEquals(1, map.epoch());
         assertWithinBounds(map, names(relays), LoadBounds.USUAL);
-        assertEquals(8, map.ownedBy("relay-1-0007").size());
-        assertEquals(List.of(), ASSIGNMENT.plan(map, names(relays)).steps(), "nothing more to do");
+        assertEquals(8, map.rangesOwnedBy("relay-1-0007").size());
+        assertEquals(List.of(), ASSIGNMENT.plan(map, names(relays)).steps(), "a second plan must not change anything");
     }
 
     @Test
-    void atTheLossOfARelayOnlyItsRangesMoveAndAtItsReturnOnlyWhatItNeeds() {
+    void lossMovesOnlyTheRangesOfTheLostRelayAndItsReturnFewMore() {
         List<RelayInfo> relays = relays(2, 30);
         Set<String> available = names(relays);
         ShardMap map = map(relays, 2, 9_000, 4);
         available.remove("relay-0-0003");
-        ShardMap without = replanned(map, available, 1);
-        assertEquals(300, moved(map, without));
-        assertEquals(List.of(), without.ownedBy("relay-0-0003"));
-        assertEquals(map.ownedBy("relay-1-0003"), without.ownedBy("relay-1-0003"), "another region");
+        ShardMap without = applyCheckedPlan(map, available, 1);
+        assertEquals(300, countMoved(map, without));
+        assertEquals(List.of(), without.rangesOwnedBy("relay-0-0003"));
+        assertEquals(
+                map.rangesOwnedBy("relay-1-0003"),
+                without.rangesOwnedBy("relay-1-0003"),
+                "a relay of another region keeps its ranges");
         available.add("relay-0-0003");
-        ShardMap again = replanned(without, available, 1.05);
-        assertTrue(again.ownedBy("relay-0-0003").stream()
+        ShardMap again = applyCheckedPlan(without, available, 1.05);
+        assertTrue(again.rangesOwnedBy("relay-0-0003").stream()
                         .mapToLong(ShardRange::size)
                         .sum()
                 >= 270);
     }
 
     @Test
-    void aZoneThatFailsIsSpreadOverTheOthersOfItsRegion() {
+    void failedZoneIsSpreadOverTheOtherZonesOfItsRegion() {
         List<RelayInfo> relays = relays(2, 30);
         Set<String> available = names(relays);
         ShardMap map = map(relays, 2, 9_000, 4);
         available.removeIf(name -> map.relay(name).zone().equals("r0z1"));
         assertEquals(50, available.size());
-        ShardMap without = replanned(map, available, 1);
+        ShardMap without = applyCheckedPlan(map, available, 1);
         available.addAll(names(relays));
-        replanned(without, available, 1.05);
+        applyCheckedPlan(without, available, 1.05);
     }
 
     @Test
-    void aRegionWithoutAnyRelayKeepsItsOwners() {
+    void regionWithoutAvailableRelayKeepsItsOwners() {
         List<RelayInfo> relays = relays(2, 30);
         Set<String> available = names(relays);
         ShardMap map = map(relays, 2, 9_000, 4);
         available.removeIf(name -> map.relay(name).region().equals("r0"));
         AssignmentPlan plan = ASSIGNMENT.plan(map, available);
-        assertEquals(List.of("r0"), plan.abandonedRegions());
+        assertEquals(List.of("r0"), plan.unavailableRegions());
         assertEquals(map, plan.applyTo(map));
     }
 
@@ -151,34 +163,34 @@
         Set<String> available = names(relays);
         ShardMap map = map(relays, 1, 12_000, 8);
         ShardMap heavier = map.next(new ShardMapStep.PutRelay(new RelayInfo("relay-0-0000", "r0", "r0z0", 5)));
-        ShardMap next = replanned(heavier, available, 1.05);
-        assertTrue(next.ownedBy("relay-0-0000").stream()
+        ShardMap next = applyCheckedPlan(heavier, available, 1.05);
+        assertTrue(next.rangesOwnedBy("relay-0-0000").stream()
                         .mapToLong(ShardRange::size)
                         .sum()
                 >= 3_375);
     }
 
     @Test
-    void whatNobodyOwnsIsAssignedAndWhatARemovedRelayHadAsWell() {
+    void unownedRangesAndRangesOfARemovedRelayAreAssigned() {
         List<RelayInfo> relays = relays(1, 10);
         ShardMap map = map(relays, 1, 1_000, 4);
-        ShardMap released = map.next(map.ownedBy("relay-0-0001").stream()
+        ShardMap released = map.next(map.rangesOwnedBy("relay-0-0001").stream()
                 .map(range -> (ShardMapStep) new ShardMapStep.Release(range.from()))
                 .toList());
         ShardMap removed = released.next(new ShardMapStep.RemoveRelay("relay-0-0001"));
         Set<String> available = names(removed.relays());
-        replanned(removed, available, 1);
+        applyCheckedPlan(removed, available, 1);
         assertThrows(IllegalArgumentException.class, () -> ASSIGNMENT.plan(removed, Set.of("relay-0-0001")));
     }
 
     @Test
-    void aRegionMayHaveFewerDestinationsThanRelays() {
+    void regionMayHaveFewerDestinationsThanRelays() {
         List<RelayInfo> relays = relays(1, 10);
         Set<String> available = names(relays);
         ShardMap map = map(relays, 1, 3, 4);
         assertEquals(3, map.rangeCount());
         available.remove(map.ownerOf(0));
-        replanned(map, available, 1);
+        applyCheckedPlan(map, available, 1);
     }
 
     @Test
@@ -191,7 +203,7 @@
     }
 
     @Test
-    void boundsThatNobodyCanKeepAreRefused() {
+    void unsatisfiableBoundsAreRefused() {
         assertThrows(IllegalArgumentException.class, () -> new LoadBounds(1.1, 1.2));
         assertThrows(IllegalArgumentException.class, () -> new LoadBounds(0.9, 0.99));
         assertThrows(IllegalArgumentException.class, () -> new LoadBounds(Double.NaN, 1.1));
