--- a/src/main/java/juniperusher/shard/ByteReader.java
+++ b/src/main/java/juniperusher/shard/ByteReader.java
@@ -15,9 +15,10 @@
     private final int endPosition;
     private int position;
 
-    ByteReader(byte[] bytes, int from, int end) {
+    /** Reads the bytes from index {@code from} up to {@code endPosition}, exclusive. */
+    ByteReader(byte[] bytes, int from, int endPosition) {
         this.bytes = bytes;
-        this.endPosition = end;
+        this.endPosition = endPosition;
         position = from;
     }
 
@@ -28,6 +29,7 @@
         return bytes[position++] & 0xFF;
     }
 
+    /** Reads what {@link ByteWriter#putVarint} wrote. */
     long getVarint() {
         long value = 0;
         for (int shift = 0; shift < LONG_BITS; shift += 7) {
@@ -40,6 +42,7 @@
         throw new DamagedMapException("a variable-length number has too many bytes");
     }
 
+    /** Reads what {@link ByteWriter#putZigZagVarint} wrote. */
     long getZigZagVarint() {
         long value = getVarint();
         return (value >>> 1) ^ -(value & 1);
@@ -62,6 +65,7 @@
         return getBounded(endPosition - position, "a number of " + elementName);
     }
 
+    /** Reads a number of {@code width} bytes, the most significant byte first. */
     long getFixed(int width) {
         long value = 0;
         for (int i = 0; i < width; i++) {
@@ -84,6 +88,7 @@
         }
     }
 
+    /** Throws an exception if there are unread bytes. */
     void expectEnd() {
         if (position != endPosition) {
             throw new DamagedMapException((endPosition - position) + " bytes are left over");
--- a/src/main/java/juniperusher/shard/RelayInfo.java
+++ b/src/main/java/juniperusher/shard/RelayInfo.java
@@ -6,8 +6,7 @@
  * @param name unique in the fleet
  * @param region the region whose destinations it may own
  * @param zone the relay's failure domain within the region; zones of different regions may have the same name
- * @param weight the relay's share of its region's load, relative to the weights of the region's other relays; at least
- *     1
+ * @param weight its share of the region's load, relative to the weights of the region's other relays; at least 1
  */
 public record RelayInfo(String name, String region, String zone, int weight) {
     private static final int MAX_NAME_LENGTH = 255;
@@ -15,8 +14,7 @@
     /**
      * Checks the names and the weight.
      *
-     * @throws InvalidMapException if a name is empty, too long or contains invisible characters, or the weight is below
-     *     1
+     * @throws InvalidMapException if a name is empty, too long or has invisible characters, or the weight is below 1
      */
     public RelayInfo {
         checkName("a relay's name", name);
@@ -30,17 +28,18 @@
     /**
      * Checks that the name has 1 to 255 visible characters, all of them in Unicode's basic multilingual plane.
      *
-     * @throws InvalidMapException if it has not
+     * @param description what the name belongs to, for the error message
+     * @throws InvalidMapException if the name is not valid
      */
     static void checkName(String description, String name) {
-        if (name.isEmpty() || name.length() > MAX_NAME_LENGTH || !isVisible(name)) {
+        if (name.isEmpty() || name.length() > MAX_NAME_LENGTH || !hasOnlyVisibleCharacters(name)) {
             throw new InvalidMapException(description + " was expected to have 1 to " + MAX_NAME_LENGTH
                     + " visible characters, got '" + name + "'");
         }
     }
 
     // A loop because a stream is slower, and a map checks the names of thousands of relays at once.
-    private static boolean isVisible(String name) {
+    private static boolean hasOnlyVisibleCharacters(String name) {
         for (int i = 0; i < name.length(); i++) {
             char character = name.charAt(i);
             if (character <= ' ' || Character.isISOControl(character) || Character.isSurrogate(character)) {
--- a/src/main/java/juniperusher/shard/RelayTable.java
+++ b/src/main/java/juniperusher/shard/RelayTable.java
@@ -9,13 +9,13 @@
 
 /** The relays of a map ordered by name, and the names of all its regions in ascending order. Immutable. */
 final class RelayTable {
-    /** The index of a relay or region that the table does not contain. */
+    /** The index of a relay or region that the table does not contain; differs from {@link RangeColumns#UNOWNED}. */
     static final int UNKNOWN = -2;
 
     private final RelayInfo[] relays;
     private final String[] names;
     private final String[] regions;
-    private final short[] regionOfRelay;
+    private final short[] regionOfRelay; // region index by relay index
     private final List<RelayInfo> relayList;
     private final List<String> regionList;
 
@@ -92,6 +92,7 @@
         return regionList;
     }
 
+    /** Returns whether both tables have the same regions, and therefore the same region indexes. */
     boolean sameRegions(RelayTable other) {
         return Arrays.equals(regions, other.regions);
     }
--- a/src/main/java/juniperusher/shard/ShardMap.java
+++ b/src/main/java/juniperusher/shard/ShardMap.java
@@ -131,7 +131,7 @@
      * Returns the map of the next epoch, which results from applying the steps in the given order. This map does not
      * change.
      *
-     * @throws InvalidStepException if a step cannot be applied, or the list is empty
+     * @throws InvalidStepException if a step cannot be applied, the list is empty, or the result is not a valid map
      */
     public ShardMap next(List<ShardMapStep> steps) {
         return new ShardMapEditor(this).next(steps);
--- a/src/main/java/juniperusher/shard/ShardMapCodec.java
+++ b/src/main/java/juniperusher/shard/ShardMapCodec.java
@@ -89,6 +89,11 @@
         return BinaryFrame.finish(writer);
     }
 
+    /**
+     * Writes the number of kept ranges, shifted left by one bit. The lowest bit is set if the edit replaces one range
+     * by one; otherwise the numbers of removed and added ranges follow. Then writes the added ranges: the length of the
+     * previous range except for the first one, and the owner.
+     */
     private static void putEdit(ByteWriter writer, ShardMapDelta delta, ShardMapDelta.Edit edit, int firstAddedRange) {
         boolean replacesOneByOne = edit.removedCount() == 1 && edit.addedCount() == 1;
         writer.putVarint((long) edit.keptCount() << 1 | (replacesOneByOne ? 1 : 0));
@@ -302,6 +307,7 @@
         return length;
     }
 
+    /** Converts the value to an int; throws {@link DamagedMapException} if it does not fit. */
     private static int checkedInt(long value) {
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
             throw new DamagedMapException("a number of 32 bits was expected, got " + value);
--- a/src/main/java/juniperusher/shard/ShardMapEditor.java
+++ b/src/main/java/juniperusher/shard/ShardMapEditor.java
@@ -40,6 +40,11 @@
         nextEpoch = base.epoch() + 1;
     }
 
+    /**
+     * Applies the steps in the given order and returns the map of the next epoch.
+     *
+     * @throws InvalidStepException if a step cannot be applied, the list is empty, or the result is not a valid map
+     */
     ShardMap next(List<ShardMapStep> steps) {
         if (steps.isEmpty()) {
             throw new InvalidStepException("at least one step was expected");
--- a/src/test/java/juniperusher/shard/ShardMapCodecTest.java
+++ b/src/test/java/juniperusher/shard/ShardMapCodecTest.java
@@ -26,6 +26,7 @@
             new ShardMapStep.Release(40),
             new ShardMapStep.RemoveRelay("c"));
 
+    /** Returns a copy of the bytes in which the checksum matches the content. */
     private static byte[] withValidChecksum(byte[] bytes) {
         CRC32C checksum = new CRC32C();
         checksum.update(bytes, 0, bytes.length - 4);
--- a/src/test/java/juniperusher/shard/ShardMapPropertyTest.java
+++ b/src/test/java/juniperusher/shard/ShardMapPropertyTest.java
@@ -83,7 +83,7 @@
         };
     }
 
-    private static void applyScript(Model model, ShardMap before, ShardMapStep step, long epoch) {
+    private static void applyToModel(Model model, ShardMap before, ShardMapStep step, long epoch) {
         if (step instanceof ShardMapStep.Move move) {
             model.setOwner(before.rangeOf(move.from()), move.owner(), epoch);
         } else if (step instanceof ShardMapStep.Release release) {
@@ -125,7 +125,7 @@
             Model next = model.copy();
             try {
                 ShardMap after = before.next(step);
-                applyScript(next, before, step, after.epoch());
+                applyToModel(next, before, step, after.epoch());
                 assertEquals(before.epoch() + 1, after.epoch(), "each batch of steps increases the epoch by one");
                 maps.add(after);
                 model = next;
