--- a/src/main/java/juniperusher/lab/ClientModel.java
+++ b/src/main/java/juniperusher/lab/ClientModel.java
@@ -4,64 +4,66 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What the clients of one destination ask for, and whether and when a refused one returns. What is asked for
- * is drawn
- * apart from the returns, so that it is the same whatever becomes of it.
+ * The clients of one destination: when they request messages, and whether and when they resubmit refused ones. Requests
+ * and resubmissions use separate random streams, so that the requests do not depend on the outcome of earlier messages.
+ * Not thread-safe.
  */
 public final class ClientModel {
-    private static final double SOONEST = 0.68; // s of a client's own first wait, which doubles
-    private static final double LATEST = 1.4;
-    private static final double UNREACHED_SOONEST = 0.3; // s until one that found no relay tries again
-    private static final double UNREACHED_LATEST = 1.2;
+    // Backoff after the first refusal without a usable retry-after delay; it doubles with each further submission.
+    private static final double MIN_FIRST_BACKOFF_SECONDS = 0.68;
+    private static final double MAX_FIRST_BACKOFF_SECONDS = 1.4;
+    // Delay before a client that did not reach its relay tries again.
+    private static final double MIN_RECONNECT_SECONDS = 0.3;
+    private static final double MAX_RECONNECT_SECONDS = 1.2;
 
-    private final Clients habits;
-    private final UniformRandomProvider asking;
-    private final UniformRandomProvider returning;
+    private final Clients behavior;
+    private final UniformRandomProvider requestRandom;
+    private final UniformRandomProvider resubmissionRandom;
 
-    /** Clients with these habits, and random numbers for what they ask and for how they return. */
+    /** Creates clients with this behavior and separate random streams for requests and resubmissions. */
     public ClientModel(Clients habits, UniformRandomProvider asking, UniformRandomProvider returning) {
-        this.habits = habits;
-        this.asking = asking;
-        this.returning = returning;
+        this.behavior = habits;
+        this.requestRandom = asking;
+        this.resubmissionRandom = returning;
     }
 
-    /** s from one message for a destination to the next, where so many a second are asked for. */
-    public double gap(double rate) {
-        return -Math.log(1 - asking.nextDouble()) / rate;
+    /** Draws the time to the next request in seconds, at a mean rate per second. */
+    public double nextGap(double rate) {
+        return -Math.log(1 - requestRandom.nextDouble()) / rate;
     }
 
-    /** Whether the next message is one that may not be repeated. */
-    public boolean order() {
-        return asking.nextDouble() < habits.orders();
+    /** Draws whether the next message is an order, which must not be repeated once it may have run. */
+    public boolean nextIsOrder() {
+        return requestRandom.nextDouble() < behavior.orderShare();
     }
 
-    /** The place of the relay that the next message goes to. */
-    public int relay(int relays) {
-        return asking.nextInt(relays);
+    /** Draws the index of the relay that the next message goes to. */
+    public int nextRelay(int relays) {
+        return requestRandom.nextInt(relays);
     }
 
     /**
-     * s until a client comes again that has been refused.
+     * Draws the delay before a client resubmits a refused message.
      *
-     * @param tries how often it has handed the message in
-     * @param told  s that it was told, 0 for nothing
-     * @return infinite if it does not come again
+     * @param submissions submissions of the message so far, at least 1
+     * @param retryAfter  s, the retry-after delay of the refusal; 0 for none
+     * @return s; infinite if the client gives up
      */
-    public double back(int tries, double told) {
-        if (tries > habits.returns()) {
+    public double resubmissionDelay(int submissions, double retryAfter) {
+        if (submissions > behavior.maxResubmissions()) {
             return Double.POSITIVE_INFINITY;
         }
-        double own = between(SOONEST, LATEST) * Math.pow(2, tries - 1);
-        boolean heeds = returning.nextDouble() < habits.heed();
-        return heeds && told > 0 ? told : own;
+        double backoff = between(MIN_FIRST_BACKOFF_SECONDS, MAX_FIRST_BACKOFF_SECONDS) * Math.pow(2, submissions - 1);
+        boolean heeds = resubmissionRandom.nextDouble() < behavior.retryAfterShare();
+        return heeds && retryAfter > 0 ? retryAfter : backoff;
     }
 
-    /** s until a client tries again that has found no relay; that is no refusal. */
-    public double unreached() {
-        return between(UNREACHED_SOONEST, UNREACHED_LATEST);
+    /** Draws the delay in seconds before a client that did not reach its relay tries again; this is no refusal. */
+    public double reconnectDelay() {
+        return between(MIN_RECONNECT_SECONDS, MAX_RECONNECT_SECONDS);
     }
 
     private double between(double low, double high) {
-        return low + returning.nextDouble() * (high - low);
+        return low + resubmissionRandom.nextDouble() * (high - low);
     }
 }
--- a/src/main/java/juniperusher/lab/Demand.java
+++ b/src/main/java/juniperusher/lab/Demand.java
@@ -6,65 +6,71 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What the clients of all destinations ask for: each next message with its class, tenant, key and relay. It is the same
- * whatever becomes of the messages, and the same in variants that differ in what relays are told.
+ * Generates the messages that the clients of all destinations request, each with its class, tenant, key and relay. The
+ * sequence does not depend on the outcome of earlier messages, nor on whether relays know about keys and tenants, so
+ * variants of an experiment can be compared. Not thread-safe.
  */
 public final class Demand {
     private final Plan plan;
     private final List<MessageClass> classes;
-    private final List<ClientModel> clients = new ArrayList<>();
-    private final List<UniformRandomProvider> traits = new ArrayList<>(); // by destination
-    private final KeyModel keys;
+    private final List<ClientModel> clientModels = new ArrayList<>();
+    private final List<UniformRandomProvider> traitRandoms = new ArrayList<>(); // by destination
+    private final KeyModel keyModel;
 
-    /** The demand of a plan's clients. */
+    /** Creates the demand of the clients in a plan. */
     public Demand(Plan plan) {
         this.plan = plan;
         classes = LabSettings.classes(plan);
         for (int i = 0; i < plan.destinations().size(); i++) {
-            clients.add(plan.clients(i));
-            traits.add(plan.traits(i));
+            clientModels.add(plan.clients(i));
+            traitRandoms.add(plan.traitRandom(i));
         }
-        keys = plan.keyModel();
+        keyModel = plan.keyModel();
     }
 
-    /** s from one message for a destination to the next. */
-    public double gap(int destination) {
-        return clients.get(destination).gap(plan.asked(destination));
+    /** Draws the time to the next message for a destination, in seconds. */
+    public double nextGap(int destination) {
+        return clientModels.get(destination).nextGap(plan.requestRate(destination));
     }
 
-    /** The next message for a destination, asked for at that time; times may not go back by much. */
-    public Wish next(int destination, double from) {
-        ClientModel model = clients.get(destination);
-        boolean order = model.order();
-        int relay = model.relay(plan.relays().count());
-        UniformRandomProvider random = traits.get(destination);
-        int tenant = tenant(random.nextDouble());
+    /**
+     * Creates the next message for a destination.
+     *
+     * @param requestedAt s from the start of the run; must not decrease, except slightly between destinations
+     */
+    public ClientMessage nextMessage(int destination, double requestedAt) {
+        ClientModel model = clientModels.get(destination);
+        boolean order = model.nextIsOrder();
+        int relay = model.nextRelay(plan.relays().count());
+        UniformRandomProvider random = traitRandoms.get(destination);
+        int tenant = tenantAt(random.nextDouble());
         boolean sequenced = random.nextDouble() < plan.sequenced().share();
-        boolean keyed = random.nextDouble() < plan.sequenced().keyed();
+        boolean keyed = random.nextDouble() < plan.sequenced().keyedShare();
         int messageClass =
-                sequenced ? LabSettings.SEQUENCED : order ? LabSettings.UNREPEATABLE : LabSettings.REPEATABLE;
-        double until = from + classes.get(messageClass).deadline();
+                sequenced ? LabSettings.SEQUENCED_INDEX : order ? LabSettings.ORDER_INDEX : LabSettings.NOTICE_INDEX;
+        double deadline = requestedAt + classes.get(messageClass).deadline();
         if (!sequenced) {
-            return new Wish(destination, messageClass, tenant, relay, 0, from, until);
+            return new ClientMessage(destination, messageClass, tenant, relay, 0, requestedAt, deadline);
         }
-        KeyModel.Key key = keys.next(from);
-        return new Wish(destination, messageClass, tenant, key.relay(), keyed ? key.number() : 0, from, until);
+        KeyModel.Key key = keyModel.nextKey(requestedAt);
+        return new ClientMessage(
+                destination, messageClass, tenant, key.relay(), keyed ? key.number() : 0, requestedAt, deadline);
     }
 
-    /** The tenant at that point of the traffic of all, from 0 to 1. */
-    private int tenant(double point) {
-        double left = point * plan.usage();
+    /** Selects a tenant in proportion to its traffic; {@code point} is uniform from 0 to 1. */
+    private int tenantAt(double point) {
+        double remaining = point * plan.totalUsage();
         for (int i = 0; i < plan.tenants().size(); i++) {
-            left -= plan.tenants().get(i).traffic();
-            if (left < 0) {
+            remaining -= plan.tenants().get(i).traffic();
+            if (remaining < 0) {
                 return i;
             }
         }
-        return Math.max(0, plan.tenants().size() - 1); // rounding
+        return Math.max(0, plan.tenants().size() - 1); // reached only through rounding errors
     }
 
-    /** Whether and when the clients of a destination come again. */
+    /** The model of a destination's clients, which decides whether and when they resubmit. */
     public ClientModel clients(int destination) {
-        return clients.get(destination);
+        return clientModels.get(destination);
     }
 }
--- a/src/main/java/juniperusher/lab/DestinationModel.java
+++ b/src/main/java/juniperusher/lab/DestinationModel.java
@@ -10,148 +10,154 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A destination: what it takes from all relays together (a rate, or so many calls under way with a queue
- * before
- * them), its answer times, and its troubles, after which it comes back cold and falls over if it is pushed.
- * Above
- * what it takes it refuses without running the message. It counts by how much it was pushed.
+ * A destination with a capacity for all relays together: either a rate, or a number of concurrent calls with a queue.
+ * It refuses calls above its capacity without running them. After a trouble it recovers with a reduced, rising capacity
+ * and collapses again if it is overloaded meanwhile. The model records by how much calls exceeded the capacity. Times
+ * are seconds from the start of the run. Not thread-safe.
  */
 public final class DestinationModel {
-    /** s over which it is judged whether it was pushed. */
-    public static final double WINDOW = 1.5;
+    /** Length of the sliding window in which calls are compared with the capacity. */
+    public static final double WINDOW_SECONDS = 1.5;
 
-    private static final double DEPTH = 0.4; // s of its rate that it takes at once
-    private static final double FAST = 0.02; // s to a refusal
-    private static final double SLACK = 3; // calls by which chance alone may exceed what it takes in a window
-    private static final double SIGMA = 0.8; // of the logarithm of answer times that are spread so
+    private static final double BURST_SECONDS = 0.4; // of its rate; the size of the token bucket
+    private static final double REFUSAL_SECONDS = 0.02;
+    private static final double CHANCE_CALLS = 3; // allowed beyond the capacity of a window
+    private static final double LOG_SIGMA = 0.8; // of lognormal answer times
 
     /**
-     * What a call brings.
+     * The answer to a call.
      *
-     * @param after s until the answer; infinite for none
-     * @param told  s to wait before the next call, 0 if it says nothing
+     * @param delay      s until the answer; infinite if there is none
+     * @param retryAfter retry-after delay, s; 0 for none
      */
-    public record Answer(Outcome outcome, double after, double told) {}
+    public record Answer(Outcome outcome, double delay, double retryAfter) {}
 
     private final Destination plan;
     private final UniformRandomProvider random;
-    private final Deque<Double> window = new ArrayDeque<>(); // calls since the return, over WINDOW
-    private final PriorityQueue<Double> busy = new PriorityQueue<>(); // ends of what is under way or queued
-    private int trouble = -1; // the one that is on, or was the last
-    private double outUntil;
+    private final Deque<Double> recentCalls =
+            new ArrayDeque<>(); // times of the calls in the window, since the recovery began
+    private final PriorityQueue<Double> callEnds =
+            new PriorityQueue<>(); // end times of the calls that run or are queued
+    private int troubleIndex = -1; // the current or last one; -1 before the first
+    private double outageUntil;
     private double tokens;
-    private double tokensAt;
-    private double above;
-    private double overBudget;
-    private int refused;
-    private int fell;
+    private double tokensUpdatedAt;
+    private double maxExcess;
+    private double maxOverBudget;
+    private int refusedCalls;
+    private int collapses;
 
-    /** A destination that plays its part of a plan. */
+    /** Creates the model of a destination in a plan, with a random stream for its answer times. */
     public DestinationModel(Destination plan, UniformRandomProvider random) {
         this.plan = plan;
         this.random = random;
-        tokens = plan.rate() * DEPTH;
+        tokens = plan.rate() * BURST_SECONDS;
     }
 
-    private Trouble trouble(double now) {
-        while (trouble + 1 < plan.troubles().size()
-                && now >= plan.troubles().get(trouble + 1).from()) {
-            trouble++;
-            outUntil = Math.max(outUntil, plan.troubles().get(trouble).until());
-            window.clear();
+    private Trouble currentTrouble(double now) {
+        while (troubleIndex + 1 < plan.troubles().size()
+                && now >= plan.troubles().get(troubleIndex + 1).from()) {
+            troubleIndex++;
+            outageUntil =
+                    Math.max(outageUntil, plan.troubles().get(troubleIndex).until());
+            recentCalls.clear();
         }
-        return trouble < 0 ? null : plan.troubles().get(trouble);
+        return troubleIndex < 0 ? null : plan.troubles().get(troubleIndex);
     }
 
-    /** Calls a second that it takes at the time; 0 while it is out. Times may not go back. */
+    /** The capacity in calls per second at a time; 0 during an outage. Times must not decrease. */
     public double capacity(double now) {
-        Trouble last = trouble(now);
+        Trouble last = currentTrouble(now);
         return last == null ? plan.rate() : capacity(last, now);
     }
 
     private double capacity(Trouble last, double now) {
         if (last.kind() == Kind.SLOW) {
-            return now < outUntil && plan.queue() >= 0 ? plan.rate() / last.slower() : plan.rate();
+            return now < outageUntil && plan.queue() >= 0 ? plan.rate() / last.slowdown() : plan.rate();
         }
-        return now < outUntil
+        return now < outageUntil
                 ? 0
-                : plan.rate() * Math.min(1, last.cold() + (1 - last.cold()) * (now - outUntil) / last.warm());
+                : plan.rate()
+                        * Math.min(1, last.coldShare() + (1 - last.coldShare()) * (now - outageUntil) / last.warmUp());
     }
 
-    /** A call's last byte arrives. Times may not go back. */
+    /** Answers a call whose last byte arrives now. Times must not decrease. */
     public Answer call(double now) {
-        Trouble last = trouble(now);
-        double slower = 1;
+        Trouble last = currentTrouble(now);
+        double slowdown = 1;
         if (last != null && last.kind() == Kind.SLOW) {
-            slower = now < outUntil ? last.slower() : 1;
+            slowdown = now < outageUntil ? last.slowdown() : 1;
         } else if (last != null) {
-            if (now < outUntil) {
-                return out(last.kind());
+            if (now < outageUntil) {
+                return outageAnswer(last.kind());
             }
-            if (now < outUntil + last.warm() && pushed(last, now)) {
-                fell++;
-                outUntil = now + (last.until() - last.from()); // it stays down for as long again
-                window.clear();
-                return out(last.kind());
+            if (now < outageUntil + last.warmUp() && collapsesUnderCall(last, now)) {
+                collapses++;
+                outageUntil = now + (last.until() - last.from()); // the new outage is as long as the last one
+                recentCalls.clear();
+                return outageAnswer(last.kind());
             }
         }
-        double service = answerTime() * slower;
-        double after = plan.queue() < 0 ? byRate(now, service) : byPlaces(now, service);
+        double service = answerTime() * slowdown;
+        double after = plan.queue() < 0 ? delayByRate(now, service) : delayBySlots(now, service);
         if (after < 0) {
-            refused++;
-            return new Answer(Outcome.FULL, FAST, plan.toldWait());
+            refusedCalls++;
+            return new Answer(Outcome.FULL, REFUSAL_SECONDS, plan.retryAfter());
         }
         return new Answer(Outcome.DELIVERED, after, 0);
     }
 
-    /** Notes a call of a cold return; whether it falls over on it. */
-    private boolean pushed(Trouble last, double now) {
-        window.add(now);
-        while (window.peek() < now - WINDOW) {
-            window.poll();
+    /** Records a call during the recovery. Returns whether the destination collapses under it. */
+    private boolean collapsesUnderCall(Trouble last, double now) {
+        recentCalls.add(now);
+        while (recentCalls.peek() < now - WINDOW_SECONDS) {
+            recentCalls.poll();
         }
         double capacity = capacity(last, now);
-        double from = Math.max(outUntil, now - WINDOW);
-        double takes = (capacity(last, from) + capacity) / 2 * (now - from) + Math.max(SLACK, DEPTH * capacity);
-        above = Math.max(above, window.size() - takes);
-        double budget = last.tip() * capacity * WINDOW;
-        double over = window.size() - budget - 2 * Math.sqrt(budget) - 2;
-        overBudget = Math.max(overBudget, over);
+        double from = Math.max(outageUntil, now - WINDOW_SECONDS);
+        double takes =
+                (capacity(last, from) + capacity) / 2 * (now - from) + Math.max(CHANCE_CALLS, BURST_SECONDS * capacity);
+        maxExcess = Math.max(maxExcess, recentCalls.size() - takes);
+        double budget = last.overloadFactor() * capacity * WINDOW_SECONDS;
+        double over = recentCalls.size() - budget - 2 * Math.sqrt(budget) - 2;
+        maxOverBudget = Math.max(maxOverBudget, over);
         return over > 0;
     }
 
-    private double byRate(double now, double service) {
+    private double delayByRate(double now, double service) {
         double capacity = capacity(now);
-        tokens = Math.min(Math.max(1, capacity * DEPTH), tokens + capacity * (now - tokensAt));
-        tokensAt = now;
-        return tokens < 1 ? -1 : take(service);
+        tokens = Math.min(Math.max(1, capacity * BURST_SECONDS), tokens + capacity * (now - tokensUpdatedAt));
+        tokensUpdatedAt = now;
+        return tokens < 1 ? -1 : consumeToken(service);
     }
 
-    private double take(double service) {
+    private double consumeToken(double service) {
         tokens--;
         return service;
     }
 
-    private double byPlaces(double now, double service) {
-        while (!busy.isEmpty() && busy.peek() <= now) {
-            busy.poll();
+    private double delayBySlots(double now, double service) {
+        while (!callEnds.isEmpty() && callEnds.peek() <= now) {
+            callEnds.poll();
         }
         double share = capacity(now) / plan.rate();
-        int places = (int) Math.max(1, Math.round(plan.rate() * plan.latency() * Math.max(share, 0)));
-        if (trouble >= 0 && plan.troubles().get(trouble).kind() == Kind.SLOW) {
-            places = (int) Math.max(1, Math.round(plan.rate() * plan.latency())); // as many, each for longer
+        int slots = (int) Math.max(1, Math.round(plan.rate() * plan.latency() * Math.max(share, 0)));
+        if (troubleIndex >= 0 && plan.troubles().get(troubleIndex).kind() == Kind.SLOW) {
+            slots = (int) Math.max(
+                    1,
+                    Math.round(plan.rate() * plan.latency())); // SLOW keeps the number of slots; each call takes longer
         }
-        if (busy.size() >= places + plan.queue()) {
+        if (callEnds.size() >= slots + plan.queue()) {
             return -1;
         }
         double start = now;
-        if (busy.size() >= places) {
-            // It begins once so many have ended that it is among the first 'places'.
-            Double[] ends = busy.toArray(new Double[0]);
+        if (callEnds.size() >= slots) {
+            // The call starts when enough earlier ones have ended for it to get one of the slots.
+            Double[] ends = callEnds.toArray(new Double[0]);
             java.util.Arrays.sort(ends);
-            start = ends[ends.length - places];
+            start = ends[ends.length - slots];
         }
-        busy.add(start + service);
+        callEnds.add(start + service);
         return start + service - now;
     }
 
@@ -162,44 +168,45 @@
             case EXPONENTIAL -> plan.latency() * -Math.log(u);
             case LOGNORMAL ->
                 plan.latency()
-                        * Math.exp(-SIGMA * SIGMA / 2
-                                + SIGMA * Math.sqrt(-2 * Math.log(u)) * Math.cos(2 * Math.PI * random.nextDouble()));
+                        * Math.exp(-LOG_SIGMA * LOG_SIGMA / 2
+                                + LOG_SIGMA
+                                        * Math.sqrt(-2 * Math.log(u))
+                                        * Math.cos(2 * Math.PI * random.nextDouble()));
         };
     }
 
-    private Answer out(Kind kind) {
+    private Answer outageAnswer(Kind kind) {
         return switch (kind) {
-            case SHUT -> new Answer(Outcome.FULL, FAST, plan.toldWait());
-            case FAST_ERRORS -> new Answer(Outcome.ERROR, FAST, 0);
-            case DOWN -> new Answer(Outcome.NOT_CONNECTED, FAST, 0);
+            case SHUT -> new Answer(Outcome.FULL, REFUSAL_SECONDS, plan.retryAfter());
+            case FAST_ERRORS -> new Answer(Outcome.ERROR, REFUSAL_SECONDS, 0);
+            case DOWN -> new Answer(Outcome.NOT_CONNECTED, REFUSAL_SECONDS, 0);
             default -> new Answer(Outcome.TIMED_OUT, Double.POSITIVE_INFINITY, 0);
         };
     }
 
-    /** How often it has fallen over. */
-    public int fell() {
-        return fell;
+    /** How often the destination collapsed under overload. */
+    public int collapses() {
+        return collapses;
     }
 
-    /** Calls that it refused for want of capacity. */
-    public int refused() {
-        return refused;
+    /** Calls refused for lack of capacity, not counting refusals during an outage. */
+    public int refusedCalls() {
+        return refusedCalls;
     }
 
     /**
-     * The most calls that it got beyond what it takes, over any window of a return; 0 if it never got more.
-     * Chance
-     * is allowed for by as many calls as a warm one takes at once.
+     * The largest number of calls beyond the capacity in any window of a recovery; 0 if there were none. Random
+     * variation is allowed for by the burst that the current capacity permits.
      */
-    public double above() {
-        return above;
+    public double maxExcess() {
+        return maxExcess;
     }
 
     /**
-     * The most calls that it got beyond the budget of a cold one, N, and 2 x root of N + 2 for chance, over
-     * any window of a return; 0 if it never got more.
+     * The largest number of calls beyond the overload budget in any window of a recovery; 0 if there were none. With a
+     * budget of N calls, 2 x root of N + 2 more are allowed for random variation.
      */
-    public double overBudget() {
-        return overBudget;
+    public double maxOverBudget() {
+        return maxOverBudget;
     }
 }
--- a/src/main/java/juniperusher/lab/Experiment.java
+++ b/src/main/java/juniperusher/lab/Experiment.java
@@ -9,33 +9,43 @@
 import java.util.Map;
 
 /**
- * An experiment file: what is played with which seeds, and what is expected of it. Files are read and
- * checked before;
- * this is free of I/O.
+ * An experiment: its variants, the plans that they run with different seeds, and the expected results. The caller reads
+ * and validates the file; this class does no I/O. Immutable.
  *
- * @param plans by variant, one for each seed
+ * @param engine {@code virtual} or {@code sockets}
+ * @param plans  by variant, one for each seed
  */
 public record Experiment(String title, String engine, Map<String, List<Plan>> plans, List<Expectation> expected) {
-    /** The only variant of a file that names none. */
+    /** The name of the only variant where a file defines none. */
     public static final String AS_WRITTEN = "as written";
 
     /**
-     * What is expected of a figure of some variants.
+     * An expected bound on a figure.
      *
-     * @param of      the variants, each judged by itself
-     * @param over    mean, max or min of the runs
-     * @param against the variant whose mean it is compared with, or null
-     * @param atLeast bound of the figure, or of its difference to the other variant's mean; or null
-     * @param atMost  the same
-     * @param times   bound of the figure over the other variant's mean, or null
+     * @param variants  the variants, each judged separately
+     * @param aggregate how the runs are aggregated: mean, max or min
+     * @param baseline  the variant whose mean the figure is compared with, or null
+     * @param atLeast   lower bound of the figure, or of its difference to the baseline; or null
+     * @param atMost    upper bound, as {@code atLeast}
+     * @param maxRatio  upper bound of the ratio of the figure to the baseline, or null
      */
     public record Expectation(
-            String figure, List<String> of, String over, String against, Double atLeast, Double atMost, Double times) {}
+            String figure,
+            List<String> variants,
+            String aggregate,
+            String baseline,
+            Double atLeast,
+            Double atMost,
+            Double maxRatio) {}
 
-    /** An expectation of one variant: whether it holds, in one line. */
-    public record Judged(boolean held, String text) {}
+    /** Whether an expectation is met by one variant, with a line of text for the report. */
+    public record Verdict(boolean met, String text) {}
 
-    /** The names of the variants of a file and what each sets, as KEY=VALUE. */
+    /**
+     * Reads the variants of a file: their names, and the settings that each overrides as KEY=VALUE.
+     *
+     * @throws IllegalArgumentException if two variants have the same name
+     */
     public static Map<String, List<String>> variants(JsonObject file) {
         Map<String, List<String>> out = new LinkedHashMap<>();
         for (JsonValue value : file.get("variants").asArray()) {
@@ -50,11 +60,11 @@
     }
 
     /**
-     * An experiment.
+     * Creates an experiment from its file.
      *
-     * @param file     the file as it is written
-     * @param variants the file as each variant has it
-     * @throws IllegalArgumentException in one line, if its parts do not go together
+     * @param file     the file without the settings of any variant
+     * @param variants by variant, the file with its settings applied
+     * @throws IllegalArgumentException with a one-line message, if parts of the file contradict each other
      */
     public static Experiment of(JsonObject file, Map<String, JsonObject> variants) {
         Map<String, List<Plan>> plans = new LinkedHashMap<>();
@@ -118,32 +128,32 @@
         return table.get(key) == null ? null : table.get(key).asDouble();
     }
 
-    /** Judges all expectations on the runs. */
-    public List<Judged> judge(List<Run> runs) {
-        List<Judged> out = new ArrayList<>();
+    /** Compares the runs with all expectations. */
+    public List<Verdict> judge(List<Run> runs) {
+        List<Verdict> out = new ArrayList<>();
         for (Expectation one : expected) {
-            for (String variant : one.of()) {
+            for (String variant : one.variants()) {
                 out.add(judge(one, variant, runs));
             }
         }
         return out;
     }
 
-    private static Judged judge(Expectation one, String variant, List<Run> runs) {
-        double value = over(one.over(), values(runs, variant, one.figure()));
-        String text = String.format(Locale.ROOT, "%s of %s, %s: %.4f", one.over(), one.figure(), variant, value);
+    private static Verdict judge(Expectation one, String variant, List<Run> runs) {
+        double value = aggregate(one.aggregate(), values(runs, variant, one.figure()));
+        String text = String.format(Locale.ROOT, "%s of %s, %s: %.4f", one.aggregate(), one.figure(), variant, value);
         boolean held = true;
         double bounded = value;
-        if (one.against() != null) {
-            double other = over("mean", values(runs, one.against(), one.figure()));
+        if (one.baseline() != null) {
+            double other = aggregate("mean", values(runs, one.baseline(), one.figure()));
             bounded = value - other;
-            text += String.format(Locale.ROOT, ", %s: %.4f", one.against(), other);
-            if (one.times() != null) {
-                held = value <= one.times() * other;
-                text += String.format(Locale.ROOT, "; %.3f times, at most %.3f", value / other, one.times());
+            text += String.format(Locale.ROOT, ", %s: %.4f", one.baseline(), other);
+            if (one.maxRatio() != null) {
+                held = value <= one.maxRatio() * other;
+                text += String.format(Locale.ROOT, "; %.3f times, at most %.3f", value / other, one.maxRatio());
             }
         }
-        String what = one.against() == null ? "" : "difference ";
+        String what = one.baseline() == null ? "" : "difference ";
         if (one.atLeast() != null) {
             held &= bounded >= one.atLeast();
             text += "; " + what + "at least " + one.atLeast();
@@ -152,10 +162,10 @@
             held &= bounded <= one.atMost();
             text += "; " + what + "at most " + one.atMost();
         }
-        return new Judged(held, text);
+        return new Verdict(held, text);
     }
 
-    /** The values of a figure in a variant's runs. */
+    /** The values of a figure in the runs of a variant. */
     public static double[] values(List<Run> runs, String variant, String figure) {
         return runs.stream()
                 .filter(run -> run.variant().equals(variant))
@@ -163,7 +173,7 @@
                 .toArray();
     }
 
-    private static double over(String how, double... values) {
+    private static double aggregate(String how, double... values) {
         double out = how.equals("min") ? Double.POSITIVE_INFINITY : how.equals("max") ? Double.NEGATIVE_INFINITY : 0;
         for (double value : values) {
             out = switch (how) {
--- a/src/main/java/juniperusher/lab/KeyModel.java
+++ b/src/main/java/juniperusher/lab/KeyModel.java
@@ -5,47 +5,53 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The keys that clients use, over all destinations. Each lives for a while, its messages come one mean gap apart and go
- * to one relay. As many keys are in use at once as the rate of messages needs for that gap.
+ * The keys that clients use for messages in order, over all destinations. A key is used for a limited time, and all its
+ * messages go to one relay. The number of active keys follows from the message rate and the mean gap between two
+ * messages of a key. Not thread-safe.
  */
 final class KeyModel {
-    private static final double SHORTEST = 0.5; // of the mean life
-    private static final double LONGEST = 1.5;
+    private static final double MIN_LIFETIME_FACTOR = 0.5; // of the mean lifetime
+    private static final double MAX_LIFETIME_FACTOR = 1.5;
 
-    private final int atOnce;
-    private final double life;
+    private final int maxActiveKeys;
+    private final double meanLifetime;
     private final int relays;
     private final UniformRandomProvider random;
-    private final List<Live> live = new ArrayList<>();
-    private long opened;
+    private final List<ActiveKey> activeKeys = new ArrayList<>();
+    private long lastNumber;
 
-    /** A key and the relay that gets its messages; numbers count from 1. */
+    /** A key, numbered from 1, and the index of the relay that gets its messages. */
     record Key(long number, int relay) {}
 
-    private record Live(Key key, double until) {}
+    private record ActiveKey(Key key, double until) {}
 
     /**
-     * Keys of which none has been used.
+     * Creates a model without active keys.
      *
-     * @param rate messages a second that carry a key
-     * @param gap  mean s between two messages of a key
-     * @param life mean s for which a key is used
+     * @param rate sequenced messages per second, over all destinations
+     * @param gap  mean time between two messages of a key, s
+     * @param life mean time for which a key is used, s
      */
     KeyModel(double rate, double gap, double life, int relays, UniformRandomProvider random) {
-        atOnce = (int) Math.max(1, Math.round(rate * gap));
-        this.life = life;
+        maxActiveKeys = (int) Math.max(1, Math.round(rate * gap));
+        this.meanLifetime = life;
         this.relays = relays;
         this.random = random;
     }
 
-    /** The key of a message that is asked for now. Times may not go back. */
-    Key next(double now) {
-        live.removeIf(one -> one.until() <= now);
-        if (live.size() < atOnce) {
-            Key key = new Key(++opened, random.nextInt(relays));
-            live.add(new Live(key, now + life * (SHORTEST + random.nextDouble() * (LONGEST - SHORTEST))));
+    /** Selects the key of a message that is requested now. Times must not decrease. */
+    Key nextKey(double now) {
+        activeKeys.removeIf(one -> one.until() <= now);
+        if (activeKeys.size() < maxActiveKeys) {
+            Key key = new Key(++lastNumber, random.nextInt(relays));
+            activeKeys.add(new ActiveKey(
+                    key,
+                    now
+                            + meanLifetime
+                                    * (MIN_LIFETIME_FACTOR
+                                            + random.nextDouble() * (MAX_LIFETIME_FACTOR - MIN_LIFETIME_FACTOR))));
             return key;
         }
-        return live.get(random.nextInt(live.size())).key();
+        return activeKeys.get(random.nextInt(activeKeys.size())).key();
     }
 }
--- a/src/main/java/juniperusher/lab/KeyOrder.java
+++ b/src/main/java/juniperusher/lab/KeyOrder.java
@@ -7,147 +7,149 @@
 import java.util.Optional;
 
 /**
- * Sequencing by key: messages that one relay has taken with the same key are sent one at a time, in the order in which
- * it took them. A message may have its first attempt once every message before it is over and has no attempt out, and
- * once the key has rested since the last attempt that ended without an answer. Its own further attempts are free.
+ * Checks the order of messages by key: messages that one relay accepted with the same key are sent one at a time, in
+ * the order of their acceptance. The first attempt of a message may start once every earlier message of the key is
+ * finished without an attempt in flight, and the quiet time since the last attempt without an answer has passed.
+ * Further attempts of the same message are not restricted.
  *
- * <p>Times are seconds of one clock that never goes back. Not safe for threads.
+ * <p>Times are seconds of one monotonic clock. Not thread-safe.
  */
 final class KeyOrder {
-    private final double quiet;
+    private final double quietSeconds;
     private final Map<SequenceId, Sequence> sequences = new HashMap<>();
-    private final Map<Object, Entry> entries = new HashMap<>(); // by message
+    private final Map<Object, Entry> entries = new HashMap<>(); // by message id
 
-    /** Keys are counted at each relay apart. */
+    /** Equal keys at different relays are independent. */
     private record SequenceId(int relay, String key) {}
 
     /** The messages of one key at one relay. */
     private static final class Sequence {
         final SequenceId id;
-        final Map<Object, Entry> open = new LinkedHashMap<>(); // in the order taken
-        double restsUntil = Double.NEGATIVE_INFINITY;
-        Object restsAfter; // the message whose attempt may still run
+        final Map<Object, Entry> unfinished = new LinkedHashMap<>(); // in the order of acceptance
+        double quietUntil = Double.NEGATIVE_INFINITY;
+        Object abandonedMessage; // the one whose attempt may still run during the quiet time
 
         Sequence(SequenceId id) {
             this.id = id;
         }
     }
 
-    /** A message that is not over, or that has an attempt out. */
+    /** A message that is not finished, or that still has an attempt in flight. */
     private static final class Entry {
         final Sequence sequence;
-        boolean begun;
-        boolean over;
-        int out;
+        boolean started;
+        boolean finished;
+        int attemptsInFlight;
 
         Entry(Sequence sequence) {
             this.sequence = sequence;
         }
     }
 
-    /** An order in which a key rests for so many seconds after an attempt that ended without an answer. */
+    /** Creates a check with this quiet time of a key after an attempt that ended without an answer, in seconds. */
     KeyOrder(double quiet) {
-        this.quiet = quiet;
+        this.quietSeconds = quiet;
     }
 
-    /** A relay has taken a message with a key, after all that it took before. */
-    void taken(int relay, String key, Object message) {
+    /** Records that a relay accepted a message with a key, after those it accepted before. */
+    void messageAccepted(int relay, String key, Object message) {
         Sequence sequence = sequences.computeIfAbsent(new SequenceId(relay, key), Sequence::new);
         Entry entry = new Entry(sequence);
-        sequence.open.put(message, entry);
+        sequence.unfinished.put(message, entry);
         entries.put(message, entry);
     }
 
-    /** An attempt begins; what is wrong with it, if anything. */
-    Optional<String> begun(Object message, double now) {
+    /** Records the start of an attempt. Returns the violation, if it breaks the order. */
+    Optional<String> attemptStarted(Object message, double now) {
         Entry entry = entries.get(message);
         if (entry == null) {
             return Optional.empty();
         }
-        entry.out++;
-        if (entry.begun) {
+        entry.attemptsInFlight++;
+        if (entry.started) {
             return Optional.empty();
         }
-        entry.begun = true;
+        entry.started = true;
         Sequence sequence = entry.sequence;
-        Map.Entry<Object, Entry> first = sequence.open.entrySet().iterator().next();
+        Map.Entry<Object, Entry> first =
+                sequence.unfinished.entrySet().iterator().next();
         if (first.getValue() != entry) {
             return Optional.of(String.format(
                     Locale.ROOT,
                     "of key %s is sent while message %s, taken before it, %s",
                     sequence.id.key(),
                     first.getKey(),
-                    first.getValue().over ? "has an attempt out" : "is not over"));
+                    first.getValue().finished ? "has an attempt out" : "is not over"));
         }
-        if (now < sequence.restsUntil) {
+        if (now < sequence.quietUntil) {
             return Optional.of(String.format(
                     Locale.ROOT,
                     "of key %s is sent %.3f s before the key has rested after an attempt of message %s",
                     sequence.id.key(),
-                    sequence.restsUntil - now,
-                    sequence.restsAfter));
+                    sequence.quietUntil - now,
+                    sequence.abandonedMessage));
         }
         return Optional.empty();
     }
 
-    /** An attempt was answered, or never reached its destination. */
-    void ended(Object message) {
+    /** Records an attempt that was answered or never reached its destination. */
+    void attemptEnded(Object message) {
         Entry entry = entries.get(message);
         if (entry != null) {
-            entry.out = Math.max(0, entry.out - 1);
-            forgetIfDone(message, entry);
+            entry.attemptsInFlight = Math.max(0, entry.attemptsInFlight - 1);
+            removeIfFinished(message, entry);
         }
     }
 
-    /** An attempt ended without an answer, and may still run. */
-    void abandoned(Object message, double now) {
+    /** Records an attempt that ended without an answer and may still run. */
+    void attemptAbandoned(Object message, double now) {
         Entry entry = entries.get(message);
         if (entry != null) {
-            rest(entry.sequence, message, now);
-            ended(message);
+            startQuietTime(entry.sequence, message, now);
+            attemptEnded(message);
         }
     }
 
-    /** The relay has died: its attempts ended without an answer; what it has taken and not ended is still open. */
-    void restarted(int relay, double now) {
+    /** Records the death of a relay: its attempts end without an answer, and its messages stay unfinished. */
+    void relayRestarted(int relay, double now) {
         for (Object message : entries.keySet().toArray()) {
             Entry entry = entries.get(message);
-            if (entry.sequence.id.relay() == relay && entry.out > 0) {
-                rest(entry.sequence, message, now);
-                entry.out = 0;
-                forgetIfDone(message, entry);
+            if (entry.sequence.id.relay() == relay && entry.attemptsInFlight > 0) {
+                startQuietTime(entry.sequence, message, now);
+                entry.attemptsInFlight = 0;
+                removeIfFinished(message, entry);
             }
         }
     }
 
-    /** The message is over; an attempt that is still out holds its key for longer. */
-    void over(Object message) {
+    /** Records that a message is finished. An attempt still in flight blocks the key until it ends. */
+    void messageFinished(Object message) {
         Entry entry = entries.get(message);
         if (entry != null) {
-            entry.over = true;
-            forgetIfDone(message, entry);
+            entry.finished = true;
+            removeIfFinished(message, entry);
         }
     }
 
-    /** Nothing that is done with the message counts any more. */
-    void withdrawn(Object message) {
+    /** Stops checking a message that its client withdrew. */
+    void messageWithdrawn(Object message) {
         Entry entry = entries.get(message);
         if (entry != null) {
-            entry.over = true;
-            entry.out = 0;
-            forgetIfDone(message, entry);
+            entry.finished = true;
+            entry.attemptsInFlight = 0;
+            removeIfFinished(message, entry);
         }
     }
 
-    private void rest(Sequence sequence, Object message, double now) {
-        sequence.restsUntil = now + quiet;
-        sequence.restsAfter = message;
+    private void startQuietTime(Sequence sequence, Object message, double now) {
+        sequence.quietUntil = now + quietSeconds;
+        sequence.abandonedMessage = message;
     }
 
-    private void forgetIfDone(Object message, Entry entry) {
-        if (entry.over && entry.out == 0) {
+    private void removeIfFinished(Object message, Entry entry) {
+        if (entry.finished && entry.attemptsInFlight == 0) {
             entries.remove(message);
-            entry.sequence.open.remove(message);
+            entry.sequence.unfinished.remove(message);
         }
     }
 }
--- a/src/main/java/juniperusher/lab/LabSettings.java
+++ b/src/main/java/juniperusher/lab/LabSettings.java
@@ -13,54 +13,54 @@
 import juniperusher.Protocol.Tenant;
 import juniperusher.Protocol.Weight;
 
-/** What the relays of a plan are told at their start: for the module, and as a configuration file. */
+/** The settings of the relays in a plan, for the decision module and as a configuration file. */
 public final class LabSettings {
-    /** A notice: it may be repeated. */
+    /** Notices, which may be repeated. */
     public static final MessageClass NOTICE =
             new MessageClass("aviso-push", Effect.SAFE, false, 5, false, 0.8, 6, 1, 0.1);
-    /** An order: once it may have run it is never sent again. */
+    /** Orders, which must not be sent again once they may have run. */
     public static final MessageClass ORDER =
             new MessageClass("ordem-build", Effect.UNSAFE, false, 5, false, 4, 20, 3, 0.5);
-    /** The names of the classes that every plan has, notices first. */
-    public static final List<String> NAMES = List.of(NOTICE.name(), ORDER.name());
+    /** The names of the classes in every plan, in the order of their indexes. */
+    public static final List<String> CLASS_NAMES = List.of(NOTICE.name(), ORDER.name());
 
-    /** Place of {@link #NOTICE} in the settings. */
-    public static final int REPEATABLE = 0;
-    /** Place of {@link #ORDER}. */
-    public static final int UNREPEATABLE = 1;
-    /** Place of the class in order, in plans that have one. */
-    public static final int SEQUENCED = 2;
+    /** Index of {@link #NOTICE} among the classes. */
+    public static final int NOTICE_INDEX = 0;
+    /** Index of {@link #ORDER} among the classes. */
+    public static final int ORDER_INDEX = 1;
+    /** Index of the sequenced class, in plans that have one. */
+    public static final int SEQUENCED_INDEX = 2;
 
-    private static final double ANSWER = 0.3; // s, a usual answer with its way
-    private static final int LEAST = 12; // messages held
-    private static final int ATTEMPTS = 12;
-    private static final double MOST_RETURN = 2; // s, the longest told time that clients heed
-    private static final double KEEP_ALIVE = 10;
+    private static final double TYPICAL_ANSWER_SECONDS = 0.3; // including the network
+    private static final int MIN_PENDING_LIMIT = 12; // messages
+    private static final int MAX_ATTEMPTS = 12;
+    private static final double MAX_RETRY_AFTER_SECONDS = 2; // longer delays than this are not heeded by clients
+    private static final double KEEP_ALIVE_SECONDS = 10;
 
     private LabSettings() {}
 
-    /** The classes of a plan's messages. */
+    /** The message classes of a plan. */
     public static List<MessageClass> classes(Plan plan) {
         if (plan.sequenced().share() == 0) {
             return List.of(NOTICE, ORDER);
         }
         Effect effect = plan.sequenced().unsafe() ? Effect.UNSAFE : Effect.SAFE;
-        boolean ordered = plan.relays().keys();
+        boolean ordered = plan.relays().keysEnabled();
         return List.of(NOTICE, ORDER, new MessageClass("etapa-registo", effect, false, 5, ordered, 2, 16, 1, 0.3));
     }
 
-    /** The longest time in which any message may be delivered. */
+    /** The longest deadline of any message class, s. */
     public static double longestDeadline(Plan plan) {
         return classes(plan).stream().mapToDouble(MessageClass::deadline).max().orElseThrow();
     }
 
-    private static boolean tenantsTold(Plan plan) {
-        return plan.relays().tenants() && !plan.tenants().isEmpty();
+    private static boolean usesTenants(Plan plan) {
+        return plan.relays().tenantsEnabled() && !plan.tenants().isEmpty();
     }
 
-    /** Those of the plan and, as a relay that reads its settings has it, one for all whom they do not name. */
+    /** The tenants of the plan and, as in settings read from a file, one for all that they do not name. */
     private static List<Tenant> tenants(Plan plan) {
-        if (!tenantsTold(plan)) {
+        if (!usesTenants(plan)) {
             return List.of();
         }
         List<Tenant> out = new ArrayList<>();
@@ -69,41 +69,53 @@
         return out;
     }
 
-    private static int held(Plan plan) {
-        return (int) Math.max(LEAST, plan.relays().held() * part(plan));
+    private static int maxPending(Plan plan) {
+        return (int) Math.max(MIN_PENDING_LIMIT, plan.relays().maxPendingSeconds() * ratePerRelay(plan));
     }
 
-    private static int calls(Plan plan) {
-        return (int) Math.max(3, Math.ceil(plan.relays().calls() * part(plan) * ANSWER));
+    private static int maxCalls(Plan plan) {
+        return (int)
+                Math.max(3, Math.ceil(plan.relays().maxCallsFactor() * ratePerRelay(plan) * TYPICAL_ANSWER_SECONDS));
     }
 
-    private static double part(Plan plan) {
+    private static double ratePerRelay(Plan plan) {
         return plan.destinations().stream().mapToDouble(Plan.Destination::rate).sum()
                 / plan.relays().count();
     }
 
-    /** For the module. */
+    /** The settings for the decision module. */
     public static Settings of(Plan plan) {
         return new Settings(
                 plan.relays().count(),
                 0,
                 false,
                 Weight.NOMINAL,
-                tenantsTold(plan) ? plan.relays().overShareWorth() : 1,
+                usesTenants(plan) ? plan.relays().overShareWorth() : 1,
                 true,
                 0,
                 List.of(0.0),
-                new Rules(0.5, 0.14, 13, 2.5, DestinationModel.WINDOW, 0.5, 10),
+                new Rules(0.5, 0.14, 13, 2.5, DestinationModel.WINDOW_SECONDS, 0.5, 10),
                 new Allowed(
-                        ATTEMPTS, held(plan), calls(plan), true, false, true, true, true, MOST_RETURN, 1, KEEP_ALIVE),
+                        MAX_ATTEMPTS,
+                        maxPending(plan),
+                        maxCalls(plan),
+                        true,
+                        false,
+                        true,
+                        true,
+                        true,
+                        MAX_RETRY_AFTER_SECONDS,
+                        1,
+                        KEEP_ALIVE_SECONDS),
                 classes(plan),
                 List.of(new Kind(1, false)),
                 tenants(plan));
     }
 
     /**
-     * The same as the {@code settings} of a relay's configuration file.
+     * The same settings as the {@code settings} object in the configuration file of a relay.
      *
+     * @param me        the index of the relay
      * @param keepAlive s after which an endpoint closes an idle connection
      */
     public static JsonObject json(Plan plan, int me, double keepAlive) {
@@ -125,7 +137,7 @@
                     .add("effect", kind.effect() == Effect.SAFE ? "idempotent" : "at_most_once"));
         }
         JsonArray tenants = new JsonArray();
-        for (Plan.Tenant tenant : tenantsTold(plan) ? plan.tenants() : List.<Plan.Tenant>of()) {
+        for (Plan.Tenant tenant : usesTenants(plan) ? plan.tenants() : List.<Plan.Tenant>of()) {
             tenants.add(new JsonObject()
                     .add("name", tenant.name())
                     .add("share", tenant.share())
--- a/src/main/java/juniperusher/lab/Plan.java
+++ b/src/main/java/juniperusher/lab/Plan.java
@@ -10,12 +10,11 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One run of an experiment: what is played, free of the engine that plays it. Times are in seconds from its
- * start,
- * rates a second. The keys and bounds are those of {@code experiment.schema.json}.
+ * The input of one run of an experiment, independent of the engine that executes it. Times are seconds from the start
+ * of the run, rates are per second. The schema of the file is {@code experiment.schema.json}.
  *
- * @param seconds      for which clients hand in
- * @param measuredFrom worth counts for what is asked for from here on
+ * @param seconds      how long clients request messages
+ * @param measuredFrom time from which requested messages count towards the worth; earlier ones are warm-up
  */
 public record Plan(
         long seed,
@@ -24,75 +23,98 @@
         Relays relays,
         Notes notes,
         Clients clients,
-        Sequenced sequenced,
+        SequencedClass sequenced,
         List<Tenant> tenants,
         List<Destination> destinations,
         List<Crash> crashes) {
-    private static final int EACH = 4; // kinds of random numbers of a destination, after the common ones:
-    private static final int NOTES = 0;
-    private static final int RELAYS = 1;
-    private static final int KEYS = 2;
-    private static final int ACKNOWLEDGEMENTS = 3;
-    private static final int TRAITS = -1; // and below, one for each destination
-    private static final double SHARES_ROUNDING = 0.01;
+    // Numbers of the independent random streams. Those below STREAMS_PER_DESTINATION are shared by all destinations;
+    // each destination then has that many of its own, and one more at or below TRAITS_STREAM.
+    private static final int STREAMS_PER_DESTINATION = 4;
+    private static final int NOTES_STREAM = 0;
+    private static final int RELAYS_STREAM = 1;
+    private static final int KEYS_STREAM = 2;
+    private static final int ACKNOWLEDGEMENTS_STREAM = 3;
+    private static final int TRAITS_STREAM = -1;
+    private static final double SHARE_SUM_TOLERANCE = 0.01;
 
     /**
-     * The relays.
+     * The relays and what they know.
      *
-     * @param storm          whether the storm package is on
-     * @param held           s of its share of the whole rate that a relay may hold
-     * @param calls          calls out at once, over its share of what usual answer times need
-     * @param keys           whether relays are told of keys; without, what they do breaks the order
-     * @param tenants        whether relays are told of tenants and their shares
-     * @param overShareWorth part of its worth that a message keeps beyond its tenant's share
+     * @param stormEnabled      whether the storm package is on
+     * @param maxPendingSeconds bound on the pending messages of a relay, in s of its part of the total rate
+     * @param maxCallsFactor    bound on its calls in flight, as a multiple of those that its part of the total
+     *                          rate needs at a typical answer time
+     * @param keysEnabled       whether relays know the class as ordered; if not, they break the order of keys
+     * @param tenantsEnabled    whether relays know the tenants and their quotas
+     * @param overShareWorth    factor on the worth of a message beyond the quota of its tenant
      */
     public record Relays(
             int count,
-            boolean storm,
-            double held,
-            double calls,
-            boolean keys,
-            boolean tenants,
+            boolean stormEnabled,
+            double maxPendingSeconds,
+            double maxCallsFactor,
+            boolean keysEnabled,
+            boolean tenantsEnabled,
             double overShareWorth) {}
 
-    /** The network of the notes: shares of notes, and seconds. */
-    public record Notes(double lost, double doubled, double late, double lateBy) {}
+    /**
+     * The network that carries notes between relays.
+     *
+     * @param lostShare       share of notes that are lost
+     * @param duplicatedShare share of the other notes that arrive twice
+     * @param lateShare       share of copies that arrive later by {@code extraDelay}
+     * @param extraDelay      s
+     */
+    public record Notes(double lostShare, double duplicatedShare, double lateShare, double extraDelay) {}
 
-    /** The clients' habits. */
-    public record Clients(double load, double orders, int returns, double heed) {}
+    /**
+     * The behavior of the clients.
+     *
+     * @param load             requested messages over the rate of a destination, where it has no load of its own
+     * @param orderShare       share of messages whose class may not be repeated
+     * @param maxResubmissions how often a client resubmits a refused message
+     * @param retryAfterShare  share of refusals after which clients wait for the retry-after delay
+     */
+    public record Clients(double load, double orderShare, int maxResubmissions, double retryAfterShare) {}
 
     /**
-     * The class in order.
+     * The class whose messages are delivered in the order of their key.
      *
-     * @param share             of all messages, before what is drawn of the other classes
-     * @param unsafe            whether what may have run may never be repeated
-     * @param keyed             share of its messages that carry their key
-     * @param gap               mean s between two messages of a key
-     * @param life              mean s for which a key is used
-     * @param acknowledgedAfter mean s until the notice of a message's end is acknowledged; 0 for at once
+     * @param share                    share of all messages; the rest is divided among the other classes
+     * @param unsafe                   whether a message that may have run must not be repeated
+     * @param keyedShare               share of its messages that have a key
+     * @param meanGap                  mean time between two messages of a key, s
+     * @param meanLifetime             mean time for which a key is used, s
+     * @param meanAcknowledgementDelay mean time until a client acknowledges the status report of an
+     *                                 undelivered message, s; 0 for immediately
      */
-    public record Sequenced(
-            double share, boolean unsafe, double keyed, double gap, double life, double acknowledgedAfter) {}
+    public record SequencedClass(
+            double share,
+            boolean unsafe,
+            double keyedShare,
+            double meanGap,
+            double meanLifetime,
+            double meanAcknowledgementDelay) {}
 
     /**
-     * A tenant.
+     * A tenant, which is entitled to a share of the load.
      *
-     * @param share of the load that is its own; all shares add up to 1
-     * @param usage how much of its share it asks for
+     * @param share share of the load that it is entitled to; all shares add up to 1
+     * @param usage its requested traffic as a multiple of its share
      */
     public record Tenant(String name, double share, double usage) {
-        /** What it asks for, over the load. */
+        /** Its requested traffic as a fraction of the load. */
         public double traffic() {
             return share * usage;
         }
     }
 
     /**
-     * A destination.
+     * A destination and its troubles in order of time.
      *
-     * @param queue    calls that may wait where the limit is on calls under way, -1 where it is a rate
-     * @param load     messages asked for, over its rate
-     * @param toldWait s that it tells to wait where it refuses, 0 for none
+     * @param queue      length of the queue before its call slots; -1 if it limits the rate instead
+     * @param load       requested messages over its rate
+     * @param retryAfter retry-after delay of its refusals, s; 0 if they state none
      */
     public record Destination(
             String name,
@@ -102,22 +124,25 @@
             double latency,
             Spread spread,
             double load,
-            double toldWait,
+            double retryAfter,
             List<Trouble> troubles) {
-        /** Whether it has trouble at any time. */
-        public boolean struck() {
+        /** Whether it has trouble at any time of the run. */
+        public boolean hasTrouble() {
             return !troubles.isEmpty();
         }
     }
 
-    /** How answer times are spread round their mean. */
+    /** The distribution of answer times around their mean. */
     public enum Spread {
         EXPONENTIAL,
         LOGNORMAL,
         CONSTANT
     }
 
-    /** How a destination is out; {@code DOWN}: connections are refused. */
+    /**
+     * How a destination fails: {@code SHUT} refuses all calls as full, {@code FAST_ERRORS} answers with errors,
+     * {@code HANG} never answers, {@code SLOW} answers late, {@code DOWN} refuses connections.
+     */
     public enum Kind {
         SHUT,
         FAST_ERRORS,
@@ -126,18 +151,32 @@
         DOWN
     }
 
-    /** A trouble and the return from it. */
-    public record Trouble(Kind kind, double from, double until, double cold, double warm, double tip, double slower) {}
+    /**
+     * A trouble and the recovery from it.
+     *
+     * @param coldShare      share of the rate that the destination can take at the start of its recovery
+     * @param warmUp         s from there until it can take its full rate again
+     * @param overloadFactor multiple of its capacity beyond which it collapses while it recovers
+     * @param slowdown       factor on answer times during {@code SLOW}
+     */
+    public record Trouble(
+            Kind kind,
+            double from,
+            double until,
+            double coldShare,
+            double warmUp,
+            double overloadFactor,
+            double slowdown) {}
 
-    /** A relay is killed and comes back with its journal. */
-    public record Crash(int relay, double at, double down) {}
+    /** A relay is killed at a time and restarts with its journal after {@code downSeconds}. */
+    public record Crash(int relay, double at, double downSeconds) {}
 
     public Plan {
         tenants = List.copyOf(tenants);
         destinations = List.copyOf(destinations);
         crashes = List.copyOf(crashes);
         double shares = tenants.stream().mapToDouble(Tenant::share).sum();
-        if (!tenants.isEmpty() && Math.abs(shares - 1) > SHARES_ROUNDING) {
+        if (!tenants.isEmpty() && Math.abs(shares - 1) > SHARE_SUM_TOLERANCE) {
             throw new IllegalArgumentException(
                     String.format(Locale.ROOT, "tenants: their shares add up to %.3f; expected 1", shares));
         }
@@ -160,7 +199,7 @@
         }
     }
 
-    /** Reads a checked file with its defaults filled in. */
+    /** Reads a plan from an experiment file that was validated and has its defaults filled in. */
     public static Plan of(JsonObject file, long seed) {
         JsonObject relays = file.get("relays").asObject();
         JsonObject notes = file.get("notes").asObject();
@@ -189,19 +228,22 @@
                         number(notes, "late"),
                         number(notes, "late_by")),
                 habits,
-                new Sequenced(
+                new SequencedClass(
                         number(sequenced, "share"),
                         sequenced.getString("effect", "").equals("unsafe"),
                         number(sequenced, "keyed"),
                         number(sequenced, "gap"),
                         number(sequenced, "life"),
                         number(sequenced, "acknowledged_after")),
-                all(
+                readAll(
                         file,
                         "tenants",
                         one -> new Tenant(one.getString("name", ""), number(one, "share"), number(one, "usage"))),
-                all(file, "destinations", one -> destination(one, habits.load())),
-                all(file, "crashes", one -> new Crash(one.getInt("relay", 0), number(one, "at"), number(one, "down"))));
+                readAll(file, "destinations", one -> destination(one, habits.load())),
+                readAll(
+                        file,
+                        "crashes",
+                        one -> new Crash(one.getInt("relay", 0), number(one, "at"), number(one, "down"))));
     }
 
     private static Destination destination(JsonObject one, double load) {
@@ -214,7 +256,7 @@
                 Spread.valueOf(one.getString("spread", "").toUpperCase(Locale.ROOT)),
                 one.getDouble("load", load),
                 number(one, "told_wait"),
-                all(
+                readAll(
                         one,
                         "troubles",
                         trouble -> new Trouble(
@@ -231,7 +273,7 @@
         return table.get(key).asDouble();
     }
 
-    private static <T> List<T> all(JsonObject table, String key, Function<JsonObject, T> read) {
+    private static <T> List<T> readAll(JsonObject table, String key, Function<JsonObject, T> read) {
         List<T> out = new ArrayList<>();
         for (JsonValue value : table.get(key).asArray()) {
             out.add(read.apply(value.asObject()));
@@ -239,8 +281,8 @@
         return out;
     }
 
-    /** The end of the last trouble, or 0 without any: where a recovery is counted from. */
-    public double lastReturn() {
+    /** The end of the last trouble, from which the recovery time counts; 0 without any trouble. */
+    public double lastTroubleEnd() {
         return destinations.stream()
                 .flatMap(one -> one.troubles().stream())
                 .mapToDouble(Trouble::until)
@@ -248,7 +290,7 @@
                 .orElse(0);
     }
 
-    /** Whether its runs have a figure: those of the class in order and of tenants are of plans that have them. */
+    /** Whether runs of this plan have a figure; some exist only in plans with a sequenced class or tenants. */
     boolean hasFigure(String figure) {
         return switch (figure) {
             case "p50_sequenced", "p99_sequenced" -> sequenced.share() > 0;
@@ -257,21 +299,21 @@
         };
     }
 
-    /** What all tenants ask for, over the load: 1 without tenants. */
-    public double usage() {
+    /** The requested traffic of all tenants as a fraction of the load; 1 without tenants. */
+    public double totalUsage() {
         return tenants.isEmpty()
                 ? 1
                 : tenants.stream().mapToDouble(Tenant::traffic).sum();
     }
 
-    /** Messages a second that are asked for of a destination. */
-    public double asked(int destination) {
+    /** Requested messages per second for a destination. */
+    public double requestRate(int destination) {
         return destinations.get(destination).rate()
                 * destinations.get(destination).load()
-                * usage();
+                * totalUsage();
     }
 
-    /** Messages a second over all relays that are within a tenant's share. */
+    /** The quota of a tenant over all relays, in messages per second. */
     public double quota(Tenant tenant) {
         return tenant.share()
                 * destinations.stream()
@@ -279,51 +321,59 @@
                         .sum();
     }
 
-    /** The model of a destination, by its place; the same in both engines. */
-    public DestinationModel model(int destination) {
-        return new DestinationModel(destinations.get(destination), random((destination + 1) * EACH));
+    /** Creates the model of a destination, by its index. Both engines use the same model. */
+    public DestinationModel destinationModel(int destination) {
+        return new DestinationModel(destinations.get(destination), random((destination + 1) * STREAMS_PER_DESTINATION));
     }
 
-    /** The model of a destination's clients. */
+    /** Creates the model of a destination's clients. */
     public ClientModel clients(int destination) {
-        return new ClientModel(clients, random((destination + 1) * EACH + 1), random((destination + 1) * EACH + 2));
+        return new ClientModel(
+                clients,
+                random((destination + 1) * STREAMS_PER_DESTINATION + 1),
+                random((destination + 1) * STREAMS_PER_DESTINATION + 2));
     }
 
-    /** The model of the network between relays. */
+    /** Creates the model of the network between relays. */
     public NoteModel noteModel() {
-        return new NoteModel(notes, random(NOTES));
+        return new NoteModel(notes, random(NOTES_STREAM));
     }
 
-    /** The model of the keys that clients use. */
+    /** Creates the model of the keys that clients use. */
     KeyModel keyModel() {
         double all = 0;
         for (int i = 0; i < destinations.size(); i++) {
-            all += asked(i);
+            all += requestRate(i);
         }
-        return new KeyModel(all * sequenced.share(), sequenced.gap(), sequenced.life(), relays.count(), random(KEYS));
+        return new KeyModel(
+                all * sequenced.share(),
+                sequenced.meanGap(),
+                sequenced.meanLifetime(),
+                relays.count(),
+                random(KEYS_STREAM));
     }
 
-    /** Random numbers for the times until notices are acknowledged. */
-    UniformRandomProvider acknowledgements() {
-        return random(ACKNOWLEDGEMENTS);
+    /** Random numbers for the delays until status reports are acknowledged. */
+    UniformRandomProvider acknowledgementRandom() {
+        return random(ACKNOWLEDGEMENTS_STREAM);
     }
 
-    /** Random numbers for the tenants, classes in order and keys of a destination's messages. */
-    UniformRandomProvider traits(int destination) {
-        return random(TRAITS - destination);
+    /** Random numbers that select the tenant of a message, and whether it is sequenced and has a key. */
+    UniformRandomProvider traitRandom(int destination) {
+        return random(TRAITS_STREAM - destination);
     }
 
-    /** Random numbers for the ways to a destination; to one beyond the last: of probes. */
-    UniformRandomProvider ways(int destination) {
-        return random((destination + 1) * EACH + 3);
+    /** Random numbers for network delays to a destination; the index after the last one is for probes. */
+    UniformRandomProvider networkRandom(int destination) {
+        return random((destination + 1) * STREAMS_PER_DESTINATION + 3);
     }
 
-    /** Random numbers for the seeds of relays. */
-    UniformRandomProvider seeds() {
-        return random(RELAYS);
+    /** Random numbers for the seeds of the relays' decision modules. */
+    UniformRandomProvider relaySeedRandom() {
+        return random(RELAYS_STREAM);
     }
 
-    private UniformRandomProvider random(int part) {
-        return RandomSource.XO_SHI_RO_256_PP.create(new long[] {seed, part, seed * 31 + part, 0x6a756e69L});
+    private UniformRandomProvider random(int stream) {
+        return RandomSource.XO_SHI_RO_256_PP.create(new long[] {seed, stream, seed * 31 + stream, 0x6a756e69L});
     }
 }
--- a/src/main/java/juniperusher/lab/RuleChecker.java
+++ b/src/main/java/juniperusher/lab/RuleChecker.java
@@ -10,171 +10,180 @@
 import java.util.Set;
 
 /**
- * Checks the rules on what an engine saw of each message: one final answer in time, never two attempts out, nothing
- * that may have run twice, no told wait cut short, messages of one key one at a time and in order. Free of I/O and of
- * the engine; not safe for threads.
+ * Checks the delivery rules on the events that an engine observed: each message gets exactly one final answer in time
+ * and never has two attempts in flight; an unsafe message that may have run is not repeated; retry-after delays are
+ * kept; messages of one key are sent one at a time and in order. Independent of the engine. Times are seconds from the
+ * start of the run. Not thread-safe.
  */
 public final class RuleChecker {
-    private static final int MOST = 20; // breaks that are told in full
+    private static final int MAX_REPORTED_VIOLATIONS = 20;
 
-    private final double lateAnswer; // s by which a final answer may be late
-    private final double lateWait; // s after a told wait's beginning in which calls are let through
-    private final KeyOrder order;
-    private final Map<Object, Life> lives = new LinkedHashMap<>(); // those without a final answer
+    private final double answerTolerance;
+    private final double retryAfterTolerance;
+    private final KeyOrder keyOrder;
+    private final Map<Object, UnansweredMessage> unanswered = new LinkedHashMap<>(); // by message id
     private final Set<Object> withdrawn = new HashSet<>();
-    private final Map<List<Integer>, double[]> waits = new HashMap<>(); // relay and destination: from, until
-    private final List<String> broken = new ArrayList<>();
-    private int count;
+    private final Map<List<Integer>, double[]> retryDelays = new HashMap<>(); // by relay and destination: start and end
+    private final List<String> violations = new ArrayList<>();
+    private int violationCount;
 
     /**
-     * A checker that allows an engine so much for what it cannot see at once.
+     * Creates a checker with tolerances for events that an engine observes late.
      *
-     * @param lateAnswer s by which a final answer may be late
-     * @param lateWait   s after a told wait's beginning in which calls are let through
-     * @param keyQuiet   s for which a key rests after an attempt that ended without an answer
+     * @param answerTolerance     s by which a final answer may be late
+     * @param retryAfterTolerance s after the start of a retry-after delay in which calls are still allowed
+     * @param keyQuiet            s, the quiet time of a key after an attempt that ended without an answer
      */
-    public RuleChecker(double lateAnswer, double lateWait, double keyQuiet) {
-        this.lateAnswer = lateAnswer;
-        this.lateWait = lateWait;
-        order = new KeyOrder(keyQuiet);
+    public RuleChecker(double answerTolerance, double retryAfterTolerance, double keyQuiet) {
+        this.answerTolerance = answerTolerance;
+        this.retryAfterTolerance = retryAfterTolerance;
+        keyOrder = new KeyOrder(keyQuiet);
     }
 
-    /** What is known of a message that a relay has taken. */
-    private static final class Life {
+    /** The state of an accepted message without a final answer. */
+    private static final class UnansweredMessage {
         final boolean unsafe;
-        final double until;
-        int out;
+        final double deadline;
+        int attemptsInFlight;
         boolean mayHaveRun;
-        double excused;
+        double excusedUntil;
 
-        Life(boolean unsafe, double until) {
+        UnansweredMessage(boolean unsafe, double until) {
             this.unsafe = unsafe;
-            this.until = until;
+            this.deadline = until;
         }
     }
 
-    /** A relay has taken a message, whose time ends at {@code until}. */
-    public void taken(Object id, boolean unsafe, double until) {
-        lives.put(id, new Life(unsafe, until));
+    /** Records that a relay accepted a message without a key. */
+    public void messageAccepted(Object id, boolean unsafe, double deadline) {
+        unanswered.put(id, new UnansweredMessage(unsafe, deadline));
     }
 
-    /** A relay has taken a message of a class in order, after all that it took before it with the same key. */
-    public void taken(Object id, boolean unsafe, double until, int relay, String key) {
-        taken(id, unsafe, until);
-        order.taken(relay, key, id);
+    /** Records that a relay accepted a message with a key, after those it accepted before with the same key. */
+    public void messageAccepted(Object id, boolean unsafe, double deadline, int relay, String key) {
+        messageAccepted(id, unsafe, deadline);
+        keyOrder.messageAccepted(relay, key, id);
     }
 
-    /** Its client has turned away: nothing that is done under this id counts any more. */
-    public void withdrawn(Object id) {
-        order.withdrawn(id);
-        lives.remove(id);
+    /** Stops checking a message that its client withdrew. */
+    public void messageWithdrawn(Object id) {
+        keyOrder.messageWithdrawn(id);
+        unanswered.remove(id);
         withdrawn.add(id);
     }
 
-    /** An attempt begins. */
-    public void begun(Object id, double now) {
+    /** Records the start of an attempt. */
+    public void attemptStarted(Object id, double now) {
         if (withdrawn.contains(id)) {
             return;
         }
-        Life life = lives.get(id);
+        UnansweredMessage life = unanswered.get(id);
         if (life == null) {
             broken(now, id, "is sent after its end, or was never taken");
             return;
         }
-        if (life.out > 0) {
+        if (life.attemptsInFlight > 0) {
             broken(now, id, "has two attempts out");
         }
         if (life.mayHaveRun && life.unsafe) {
             broken(now, id, "is sent again though it may have run");
         }
-        order.begun(id, now).ifPresent(how -> broken(now, id, how));
-        life.out++;
+        keyOrder.attemptStarted(id, now).ifPresent(how -> broken(now, id, how));
+        life.attemptsInFlight++;
     }
 
-    /** An attempt was answered, or never reached its destination. */
-    public void ended(Object id, boolean mayHaveRun) {
-        order.ended(id);
-        notOut(id, mayHaveRun);
+    /** Records an attempt that was answered or never reached its destination. */
+    public void attemptEnded(Object id, boolean mayHaveRun) {
+        keyOrder.attemptEnded(id);
+        removeAttempt(id, mayHaveRun);
     }
 
-    /** An attempt ended without an answer (a time-out, reset or cancel): it may still run, and its key rests. */
-    public void abandoned(Object id, double now, boolean mayHaveRun) {
-        order.abandoned(id, now);
-        notOut(id, mayHaveRun);
+    /** Records an attempt without an answer (timeout, reset or cancel), which may still run; the quiet time starts. */
+    public void attemptAbandoned(Object id, double now, boolean mayHaveRun) {
+        keyOrder.attemptAbandoned(id, now);
+        removeAttempt(id, mayHaveRun);
     }
 
-    private void notOut(Object id, boolean mayHaveRun) {
-        Life life = lives.get(id);
+    private void removeAttempt(Object id, boolean mayHaveRun) {
+        UnansweredMessage life = unanswered.get(id);
         if (life != null) {
-            life.out = Math.max(0, life.out - 1);
+            life.attemptsInFlight = Math.max(0, life.attemptsInFlight - 1);
             life.mayHaveRun |= mayHaveRun;
         }
     }
 
     /**
-     * The relay that held it has died: what was out may have run, and nothing is any more.
+     * Records that the relay of a message died. An attempt in flight may have run, and is not in flight any more.
      *
-     * @param excused until when no answer is owed, since the relay has to come up first
+     * @param excusedUntil time until which no final answer is due, because the relay has to restart first
      */
-    public void died(Object id, double excused) {
-        Life life = lives.get(id);
+    public void messageInterrupted(Object id, double excusedUntil) {
+        UnansweredMessage life = unanswered.get(id);
         if (life != null) {
-            life.mayHaveRun |= life.out > 0;
-            life.out = 0;
-            life.excused = excused;
+            life.mayHaveRun |= life.attemptsInFlight > 0;
+            life.attemptsInFlight = 0;
+            life.excusedUntil = excusedUntil;
         }
     }
 
-    /** It is delivered, or its final answer is given and heard: {@code handedBack} for one that may come again. */
-    public void answered(Object id, double now, boolean handedBack) {
-        noticed(id, now, handedBack);
-        acknowledged(id);
+    /**
+     * Records that a message was delivered, or that its client received its final answer.
+     *
+     * @param returned whether the message failed without any effect, so that the client may resubmit it
+     */
+    public void answered(Object id, double now, boolean returned) {
+        statusReported(id, now, returned);
+        reportAcknowledged(id);
     }
 
-    /** Its final answer is given by a notice; in the order of its key it is over once that is acknowledged. */
-    public void noticed(Object id, double now, boolean handedBack) {
-        Life life = lives.remove(id);
+    /**
+     * Records a final answer by status report. The message blocks its key until the client acknowledges the report.
+     *
+     * @param returned whether the message failed without any effect, so that the client may resubmit it
+     */
+    public void statusReported(Object id, double now, boolean returned) {
+        UnansweredMessage life = unanswered.remove(id);
         if (life == null) {
             broken(now, id, "is answered twice, or was never taken");
-        } else if (handedBack && life.unsafe && (life.mayHaveRun || life.out > 0)) {
+        } else if (returned && life.unsafe && (life.mayHaveRun || life.attemptsInFlight > 0)) {
             broken(now, id, "is handed back though it may have run");
-        } else if (now > Math.max(life.until, life.excused) + lateAnswer) {
-            broken(now, id, late(life, now));
+        } else if (now > Math.max(life.deadline, life.excusedUntil) + answerTolerance) {
+            broken(now, id, lateAnswerText(life, now));
         }
     }
 
-    /** The notice of a message's end is acknowledged. */
-    public void acknowledged(Object id) {
-        order.over(id);
+    /** Records that a client acknowledged the status report of a message. */
+    public void reportAcknowledged(Object id) {
+        keyOrder.messageFinished(id);
     }
 
-    /** Whether it still has no final answer. */
-    public boolean open(Object id) {
-        return lives.containsKey(id);
+    /** Whether a message was accepted and has no final answer yet. */
+    public boolean isUnanswered(Object id) {
+        return unanswered.containsKey(id);
     }
 
-    private static String late(Life life, double now) {
-        return String.format(Locale.ROOT, "has its final answer %.3f s after its time", now - life.until);
+    private static String lateAnswerText(UnansweredMessage life, double now) {
+        return String.format(Locale.ROOT, "has its final answer %.3f s after its time", now - life.deadline);
     }
 
-    /** A destination has told a relay to wait until then. */
-    public void told(int relay, int destination, double now, double until) {
-        double[] known = waits.get(List.of(relay, destination));
+    /** Records that a destination told a relay not to call it again before a time. */
+    public void retryAfterReceived(int relay, int destination, double now, double until) {
+        double[] known = retryDelays.get(List.of(relay, destination));
         if (known == null || known[1] < until) {
-            waits.put(List.of(relay, destination), new double[] {now, until});
+            retryDelays.put(List.of(relay, destination), new double[] {now, until});
         }
     }
 
-    /** A relay's process has died: its waits have ended with it, and its attempts have no answer any more. */
-    public void restarted(int relay, double now) {
-        order.restarted(relay, now);
-        waits.keySet().removeIf(key -> key.get(0) == relay);
+    /** Records the death of a relay: its retry-after delays are void, and its attempts end without an answer. */
+    public void relayRestarted(int relay, double now) {
+        keyOrder.relayRestarted(relay, now);
+        retryDelays.keySet().removeIf(key -> key.get(0) == relay);
     }
 
-    /** A relay calls a destination, or probes it. */
-    public void called(int relay, int destination, double now) {
-        double[] wait = waits.get(List.of(relay, destination));
-        if (wait != null && now > wait[0] + lateWait && now < wait[1] - 1e-6) {
+    /** Records that a relay calls or probes a destination. */
+    public void destinationCalled(int relay, int destination, double now) {
+        double[] wait = retryDelays.get(List.of(relay, destination));
+        if (wait != null && now > wait[0] + retryAfterTolerance && now < wait[1] - 1e-6) {
             broken(
                     now,
                     "of relay " + relay,
@@ -186,29 +195,29 @@
         }
     }
 
-    /** The run is over: what has no answer though its time is up never gets one. */
-    public void over(double now) {
-        lives.forEach((id, life) -> {
-            if (now > Math.max(life.until, life.excused) + lateAnswer) {
+    /** Ends the run: each message that should have a final answer by now and has none is a violation. */
+    public void runFinished(double now) {
+        unanswered.forEach((id, life) -> {
+            if (now > Math.max(life.deadline, life.excusedUntil) + answerTolerance) {
                 broken(now, id, "is never answered");
             }
         });
     }
 
     private void broken(double now, Object id, String how) {
-        count++;
-        if (broken.size() < MOST) {
-            broken.add(String.format(Locale.ROOT, "%.3f s: message %s %s", now, id, how));
+        violationCount++;
+        if (violations.size() < MAX_REPORTED_VIOLATIONS) {
+            violations.add(String.format(Locale.ROOT, "%.3f s: message %s %s", now, id, how));
         }
     }
 
-    /** How often a rule was broken. */
-    public int count() {
-        return count;
+    /** The number of violations, including those without a line in {@link #broken()}. */
+    public int violationCount() {
+        return violationCount;
     }
 
-    /** The first breaks, each in one line. */
+    /** The first violations, each in one line. */
     public List<String> broken() {
-        return List.copyOf(broken);
+        return List.copyOf(violations);
     }
 }
--- a/src/main/java/juniperusher/lab/Run.java
+++ b/src/main/java/juniperusher/lab/Run.java
@@ -4,25 +4,26 @@
 import java.util.Map;
 
 /**
- * What came of one run.
+ * The result of one run. Worth is that of delivered over that of requested messages, from the measured time on.
  *
- * @param variant     its name
- * @param figures     by name: {@code worth} (delivered over asked for, from the measured time on; {@code _struck} and
- *                    {@code _sound} of destinations with and without trouble), {@code p50_sound}, {@code p99_sound},
- *                    {@code p99_struck} (s from asking to delivery), {@code p50_sequenced}, {@code p99_sequenced} (the
- *                    same, of the class in order), {@code worth_within_share}, {@code worth_beyond_share} (of tenants
- *                    that ask for no more than their share, or for more), {@code worth_weakest_tenant} (the least that
- *                    a tenant won of what it asked for within its share), {@code above} (calls beyond what a
- *                    destination takes, in the worst 1.5 s of a return), {@code over_budget} (the same, beyond what
- *                    topples a cold one and chance), {@code refused_calls} (by destinations above their limit),
- *                    {@code fell}, {@code turned_away} (messages refused by relays or handed back),
- *                    {@code recovered_after} (s from the last return until 95% of a struck destination's worth is
- *                    delivered again, over 3 s), {@code broken}
+ * @param variant     the name of the variant
+ * @param figures     by name: {@code worth}; {@code worth_struck} and {@code worth_sound} (of destinations with and
+ *                    without trouble); {@code p50_sound}, {@code p99_sound}, {@code p99_struck} (s from the request to
+ *                    the delivery); {@code p50_sequenced}, {@code p99_sequenced} (the same, of the sequenced class);
+ *                    {@code worth_within_share}, {@code worth_beyond_share} (of tenants that request no more than their
+ *                    share, or more); {@code worth_weakest_tenant} (the lowest fraction that a tenant earned of what it
+ *                    requested within its share); {@code above} (most calls beyond the capacity of a destination in a
+ *                    window of 1.5 s during its recovery); {@code over_budget} (the same, beyond its overload budget
+ *                    and an allowance for random variation); {@code refused_calls} (by destinations above their
+ *                    capacity); {@code fell} (collapses under overload); {@code turned_away} (messages that relays
+ *                    refused or returned); {@code recovered_after} (s from the end of the last trouble until 95% of the
+ *                    worth requested of destinations with trouble is earned again over 3 s); {@code broken} (rule
+ *                    violations)
  * @param series      by name, one value a second
- * @param percentiles s, latency by percentile for {@code sound}, {@code struck} and {@code sequenced}, in the order of
- *                    {@link Tally#AT}
- * @param broken      rules broken, the first of them in one line each
- * @param hash        of the history; the same for the same plan and seed in virtual time, 0 on sockets
+ * @param percentiles latency in s by percentile for {@code sound}, {@code struck} and {@code sequenced}, in the order of
+ *                    {@link Tally#PERCENTILES}
+ * @param violations  the first violations of delivery rules, each in one line
+ * @param hash        of the history; equal for equal plans and seeds in virtual time, 0 on sockets
  */
 public record Run(
         String variant,
@@ -30,5 +31,5 @@
         Map<String, Double> figures,
         Map<String, double[]> series,
         Map<String, double[]> percentiles,
-        List<String> broken,
+        List<String> violations,
         long hash) {}
--- a/src/main/java/juniperusher/lab/TenantTally.java
+++ b/src/main/java/juniperusher/lab/TenantTally.java
@@ -4,64 +4,67 @@
 import java.util.stream.IntStream;
 import juniperusher.lab.Plan.Tenant;
 
-/** The worth that each tenant asked for and won. Without tenants all figures are those of nothing asked: 1. */
+/** The worth that each tenant requested and earned. Without tenants, or without requests, all figures are 1. */
 final class TenantTally {
     private final List<Tenant> tenants;
-    private final double[] asked;
-    private final double[] won;
+    private final double[] requestedWorth;
+    private final double[] earnedWorth;
 
     TenantTally(List<Tenant> tenants) {
         this.tenants = List.copyOf(tenants);
-        asked = new double[tenants.size()];
-        won = new double[tenants.size()];
+        requestedWorth = new double[tenants.size()];
+        earnedWorth = new double[tenants.size()];
     }
 
-    /** A tenant asks for a message of that worth. */
-    void asked(int tenant, double worth) {
+    /** Adds the worth of a message that a tenant requested. */
+    void addRequested(int tenant, double worth) {
         if (!tenants.isEmpty()) {
-            asked[tenant] += worth;
+            requestedWorth[tenant] += worth;
         }
     }
 
-    /** A tenant's message has won so much. */
-    void won(int tenant, double worth) {
+    /** Adds the worth that a delivered message of a tenant earned. */
+    void addEarned(int tenant, double worth) {
         if (!tenants.isEmpty()) {
-            won[tenant] += worth;
+            earnedWorth[tenant] += worth;
         }
     }
 
-    private boolean within(int tenant) {
+    private boolean asksWithinShare(int tenant) {
         return tenants.get(tenant).usage() <= 1;
     }
 
-    private IntStream all() {
+    private IntStream tenantIndexes() {
         return IntStream.range(0, tenants.size());
     }
 
-    /** Worth won over asked for, of the tenants that ask for no more than their share. */
+    /** Earned over requested worth of the tenants that request no more than their share. */
     double withinShare() {
-        return share(all().filter(this::within).toArray());
+        return earnedShare(tenantIndexes().filter(this::asksWithinShare).toArray());
     }
 
-    /** Worth won over asked for, of the tenants that ask for more. */
+    /** Earned over requested worth of the tenants that request more than their share. */
     double beyondShare() {
-        return share(all().filter(tenant -> !within(tenant)).toArray());
+        return earnedShare(
+                tenantIndexes().filter(tenant -> !asksWithinShare(tenant)).toArray());
     }
 
-    /** The least that a tenant won of what it asked for within its share. */
-    double weakest() {
-        return all().mapToDouble(this::wonWithin).min().orElse(1);
+    /** The lowest fraction that any tenant earned of the worth it requested within its share. */
+    double lowestEarnedShare() {
+        return tenantIndexes().mapToDouble(this::earnedWithinShare).min().orElse(1);
     }
 
-    private double wonWithin(int tenant) {
-        double entitled = asked[tenant] / Math.max(1, tenants.get(tenant).usage());
-        return entitled == 0 ? 1 : Math.min(1, won[tenant] / entitled);
+    private double earnedWithinShare(int tenant) {
+        double entitled =
+                requestedWorth[tenant] / Math.max(1, tenants.get(tenant).usage());
+        return entitled == 0 ? 1 : Math.min(1, earnedWorth[tenant] / entitled);
     }
 
-    private double share(int... some) {
-        double all = IntStream.of(some).mapToDouble(tenant -> asked[tenant]).sum();
+    private double earnedShare(int... some) {
+        double all =
+                IntStream.of(some).mapToDouble(tenant -> requestedWorth[tenant]).sum();
         return all == 0
                 ? 1
-                : IntStream.of(some).mapToDouble(tenant -> won[tenant]).sum() / all;
+                : IntStream.of(some).mapToDouble(tenant -> earnedWorth[tenant]).sum() / all;
     }
 }
--- a/src/main/java/juniperusher/lab/VirtualEngine.java
+++ b/src/main/java/juniperusher/lab/VirtualEngine.java
@@ -37,210 +37,214 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Plays a plan in virtual time: the relays' own decisions ({@link Control} and the storm package) among the
- * laboratory's models. The same plan gives the same history, bit for bit.
+ * Runs a plan in virtual time: the production decision code of the relays ({@link Control} and the storm package)
+ * against the models of clients, destinations and the network. Equal plans produce identical histories. Not
+ * thread-safe; separate runs are independent.
  */
 public final class VirtualEngine {
-    private static final double GAP = 0.005; // s between two rounds of a relay
-    private static final double NEAR = 0.015; // s, the least way to a destination, and
-    private static final double FAR = 0.045; // the longest
-    private static final double GRACE = 0.05; // s by which a final answer may be late
-    private static final double ROUNDING = 1e-9; // s by which sums of times may differ
-    private static final double PROBE = 1.5; // s after which an unanswered probe has failed
-    private static final double FULL = 0.5; // s that a relay without room tells
+    private static final double ROUND_INTERVAL_SECONDS = 0.005; // between the rounds of a relay
+    private static final double MIN_NETWORK_SECONDS = 0.015; // one way, to a destination
+    private static final double MAX_NETWORK_SECONDS = 0.045;
+    private static final double ANSWER_TOLERANCE_SECONDS = 0.05; // by which a final answer may be late
+    private static final double ROUNDING_SECONDS = 1e-9; // by which sums of times may differ
+    private static final double PROBE_TIMEOUT_SECONDS = 1.5;
+    private static final double FULL_RETRY_AFTER_SECONDS = 0.5; // stated by a relay with too many pending messages
 
     private final Plan plan;
     private final Settings settings;
     private final Demand demand;
     private final NoteModel notes;
-    private final List<UniformRandomProvider> ways = new ArrayList<>();
-    private final UniformRandomProvider probeWays;
-    private final UniformRandomProvider seeds;
-    private final UniformRandomProvider acknowledgements;
+    private final List<UniformRandomProvider> networkRandoms = new ArrayList<>();
+    private final UniformRandomProvider probeNetworkRandom;
+    private final UniformRandomProvider relaySeedRandom;
+    private final UniformRandomProvider acknowledgementRandom;
     private final List<DestinationModel> destinations = new ArrayList<>();
     private final List<Relay> relays = new ArrayList<>();
-    private final PriorityQueue<Timed> queue = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
     private final RuleChecker rules;
     private final Tally tally;
     private double now;
     private long sequence;
     private long hash = 17;
-    private int lastMessage;
+    private int lastMessageId;
 
-    private record Timed(double at, long sequence, Runnable what) implements Comparable<Timed> {
+    private record ScheduledTask(double at, long sequence, Runnable task) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Timed other) {
+        public int compareTo(ScheduledTask other) {
             int first = Double.compare(at, other.at);
             return first != 0 ? first : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** A message taken by a relay. */
-    private static final class Taken {
+    /** A message that a relay accepted; it outlives a restart of the relay, as in its journal. */
+    private static final class AcceptedMessage {
         int id;
-        Wish wish;
+        ClientMessage request;
         int attempts;
-        boolean out;
+        boolean inFlight;
         boolean mayHaveRun;
-        boolean over;
+        boolean finished;
     }
 
     private VirtualEngine(Plan plan) {
         this.plan = plan;
         settings = LabSettings.of(plan);
-        rules = new RuleChecker(GRACE, -ROUNDING, settings.rules().keyQuiet() - ROUNDING);
+        rules = new RuleChecker(
+                ANSWER_TOLERANCE_SECONDS, -ROUNDING_SECONDS, settings.rules().keyQuiet() - ROUNDING_SECONDS);
         tally = new Tally(plan, settings.classes());
         demand = new Demand(plan);
         notes = plan.noteModel();
-        seeds = plan.seeds();
-        acknowledgements = plan.acknowledgements();
-        probeWays = plan.ways(plan.destinations().size());
+        relaySeedRandom = plan.relaySeedRandom();
+        acknowledgementRandom = plan.acknowledgementRandom();
+        probeNetworkRandom = plan.networkRandom(plan.destinations().size());
         for (int i = 0; i < plan.destinations().size(); i++) {
-            destinations.add(plan.model(i));
-            ways.add(plan.ways(i));
+            destinations.add(plan.destinationModel(i));
+            networkRandoms.add(plan.networkRandom(i));
         }
         for (int i = 0; i < plan.relays().count(); i++) {
             relays.add(new Relay(i));
         }
         for (int i = 0; i < destinations.size(); i++) {
-            arrivals(i);
+            scheduleNextArrival(i);
         }
     }
 
-    /** Plays it. */
+    /** Runs a plan to its end. */
     public static Run play(String variant, Plan plan) {
         return new VirtualEngine(plan).play(variant);
     }
 
     private Run play(String variant) {
         for (Crash crash : plan.crashes()) {
-            at(crash.at(), () -> relays.get(crash.relay()).die(crash.down()));
+            schedule(crash.at(), () -> relays.get(crash.relay()).kill(crash.downSeconds()));
         }
         for (double second = 0.5; second < plan.seconds(); second++) {
-            at(second, this::sample);
+            schedule(second, this::recordSamples);
         }
         double last = plan.seconds() + LabSettings.longestDeadline(plan) + 1;
         while (!queue.isEmpty() && queue.peek().at() <= last) {
-            Timed next = queue.poll();
+            ScheduledTask next = queue.poll();
             now = next.at();
-            next.what().run();
+            next.task().run();
         }
-        rules.over(last);
+        rules.runFinished(last);
         return tally.result(variant, destinations, rules, hash);
     }
 
-    private void at(double time, Runnable what) {
-        queue.add(new Timed(time, sequence++, what));
+    private void schedule(double time, Runnable task) {
+        queue.add(new ScheduledTask(time, sequence++, task));
     }
 
-    private void note(int what, int which) {
-        hash = (hash * 31 + Double.hashCode(now)) * 31 + what * 1_000_003L + which;
+    /** Adds an event to the hash of the history. */
+    private void addToHash(int kind, int number) {
+        hash = (hash * 31 + Double.hashCode(now)) * 31 + kind * 1_000_003L + number;
     }
 
-    private static double way(UniformRandomProvider random) {
-        return NEAR + random.nextDouble() * (FAR - NEAR);
+    private static double networkDelay(UniformRandomProvider random) {
+        return MIN_NETWORK_SECONDS + random.nextDouble() * (MAX_NETWORK_SECONDS - MIN_NETWORK_SECONDS);
     }
 
-    private void sample() {
-        int owed = 0;
+    private void recordSamples() {
+        int pending = 0;
         int storms = 0;
         int recovering = 0;
         for (Relay relay : relays) {
-            owed += relay.taken.size();
-            if (relay.storms != null && !relay.away) {
+            pending += relay.pending.size();
+            if (relay.storms != null && !relay.down) {
                 storms += relay.storms.count(StormState.STORM);
                 recovering += relay.storms.count(StormState.RECOVERING);
             }
         }
-        tally.sampled("owed", now, owed);
-        tally.sampled("storms", now, storms);
-        tally.sampled("recovering", now, recovering);
+        tally.addSample("owed", now, pending);
+        tally.addSample("storms", now, storms);
+        tally.addSample("recovering", now, recovering);
         for (int i = 0; i < destinations.size(); i++) {
-            if (plan.destinations().get(i).struck()) {
-                tally.sampled("capacity, struck", now, destinations.get(i).capacity(now));
+            if (plan.destinations().get(i).hasTrouble()) {
+                tally.addSample("capacity, struck", now, destinations.get(i).capacity(now));
             }
         }
     }
 
-    private DestinationModel.Answer reached(int destination) {
-        tally.called(destination, now);
+    private DestinationModel.Answer callDestination(int destination) {
+        tally.callReceived(destination, now);
         DestinationModel.Answer answer = destinations.get(destination).call(now);
         if (answer.outcome() == Outcome.FULL) {
-            tally.refusedCall(destination, now);
+            tally.callRefused(destination, now);
         }
         return answer;
     }
 
     // ---- clients ----
 
-    private void arrivals(int destination) {
-        at(now + demand.gap(destination), () -> {
+    private void scheduleNextArrival(int destination) {
+        schedule(now + demand.nextGap(destination), () -> {
             if (now < plan.seconds()) {
-                Wish wish = demand.next(destination, now);
-                tally.asked(wish);
-                handIn(wish);
-                arrivals(destination);
+                ClientMessage message = demand.nextMessage(destination, now);
+                tally.messageRequested(message);
+                submit(message);
+                scheduleNextArrival(destination);
             }
         });
     }
 
-    private void handIn(Wish wish) {
-        if (relays.get(wish.relay).away) {
-            at(now + demand.clients(wish.destination).unreached(), () -> handIn(wish));
-        } else if (now < wish.until) {
-            wish.handedIn();
-            relays.get(wish.relay).offer(wish);
+    private void submit(ClientMessage message) {
+        if (relays.get(message.relay).down) {
+            schedule(now + demand.clients(message.destination).reconnectDelay(), () -> submit(message));
+        } else if (now < message.deadline) {
+            message.countSubmission();
+            relays.get(message.relay).accept(message);
         }
     }
 
-    private void refused(Wish wish, double after) {
-        tally.turnedAway(now);
-        double back = demand.clients(wish.destination).back(wish.tries(), after);
-        if (back < Double.POSITIVE_INFINITY) {
-            at(now + back, () -> handIn(wish));
+    private void messageRefused(ClientMessage message, double retryAfter) {
+        tally.messageRefused(now);
+        double delay = demand.clients(message.destination).resubmissionDelay(message.submissions(), retryAfter);
+        if (delay < Double.POSITIVE_INFINITY) {
+            schedule(now + delay, () -> submit(message));
         }
     }
 
-    /** Whether the messages behind it wait until the notice of its end is acknowledged. */
-    private boolean awaitsAcknowledgement(Wish wish) {
-        return wish.keyed() && plan.sequenced().acknowledgedAfter() > 0;
+    /** Whether later messages of its key wait until the status report of its end is acknowledged. */
+    private boolean awaitsAcknowledgement(ClientMessage message) {
+        return message.hasKey() && plan.sequenced().meanAcknowledgementDelay() > 0;
     }
 
-    private double acknowledgedIn() {
-        return -Math.log(1 - acknowledgements.nextDouble()) * plan.sequenced().acknowledgedAfter();
+    private double acknowledgementDelay() {
+        return -Math.log(1 - acknowledgementRandom.nextDouble())
+                * plan.sequenced().meanAcknowledgementDelay();
     }
 
-    private boolean unsafe(Wish wish) {
-        return settings.classes().get(wish.messageClass).effect() == Effect.UNSAFE;
+    private boolean isUnsafe(ClientMessage message) {
+        return settings.classes().get(message.messageClass).effect() == Effect.UNSAFE;
     }
 
     // ---- a relay ----
 
     private final class Relay {
         private final int number;
-        private final Map<Integer, Taken> taken = new LinkedHashMap<>();
-        private final Map<Integer, Taken> unacknowledged = new LinkedHashMap<>(); // whose notices have no answer yet
+        private final Map<Integer, AcceptedMessage> pending = new LinkedHashMap<>();
+        private final Map<Integer, AcceptedMessage> unacknowledged = new LinkedHashMap<>(); // with a status report
         private Control control;
         private Storms storms;
         private List<Object> inbox = new ArrayList<>();
-        private boolean due;
+        private boolean roundScheduled;
         private double lastRound = -1;
-        private int life;
-        private boolean away;
+        private int generation;
+        private boolean down;
 
         Relay(int number) {
             this.number = number;
-            begin();
+            start();
         }
 
-        private void begin() {
-            life++;
-            control = new Control(settings, seeds.nextLong());
-            storms = plan.relays().storm()
+        private void start() {
+            generation++;
+            control = new Control(settings, relaySeedRandom.nextLong());
+            storms = plan.relays().stormEnabled()
                     ? new Storms(StormSettings.USUAL, settings, number, 1000 + number * 7.5, now)
                     : null;
             inbox = new ArrayList<>();
-            due = false;
+            roundScheduled = false;
             List<Target> targets = new ArrayList<>();
             for (int i = 0; i < plan.destinations().size(); i++) {
                 targets.add(
@@ -249,66 +253,66 @@
             post(new TargetList(true, targets));
         }
 
-        /** The process is killed; what it had taken is in its journal. */
-        void die(double down) {
-            away = true;
-            life++;
-            rules.restarted(number, now);
-            taken.keySet().forEach(id -> rules.died(id, now + down));
-            at(now + down, () -> {
-                away = false;
-                begin();
-                unacknowledged.values().forEach(this::pending);
-                List.copyOf(taken.values()).forEach(this::recover);
+        /** Kills the process. Its pending messages are in its journal and are recovered after the restart. */
+        void kill(double downSeconds) {
+            down = true;
+            generation++;
+            rules.relayRestarted(number, now);
+            pending.keySet().forEach(id -> rules.messageInterrupted(id, now + downSeconds));
+            schedule(now + downSeconds, () -> {
+                down = false;
+                start();
+                unacknowledged.values().forEach(this::postAnswerPending);
+                List.copyOf(pending.values()).forEach(this::recover);
             });
         }
 
-        /** Takes up a message that the process before has left. */
-        private void recover(Taken message) {
-            message.mayHaveRun |= message.out;
-            message.out = false;
-            if (now < message.wish.until && !(unsafe(message.wish) && message.mayHaveRun)) {
+        /** Resumes or finishes a message that was pending when the process was killed. */
+        private void recover(AcceptedMessage message) {
+            message.mayHaveRun |= message.inFlight;
+            message.inFlight = false;
+            if (now < message.request.deadline && !(isUnsafe(message.request) && message.mayHaveRun)) {
                 post(message);
                 return;
             }
-            if (awaitsAcknowledgement(message.wish)) {
-                pending(message);
+            if (awaitsAcknowledgement(message.request)) {
+                postAnswerPending(message);
             }
-            undelivered(message, !message.mayHaveRun);
+            finishUndelivered(message, !message.mayHaveRun);
             if (!message.mayHaveRun) {
-                refused(message.wish, 0);
+                messageRefused(message.request, 0);
             }
         }
 
-        private void pending(Taken message) {
-            post(new AnswerPending(message.id, message.wish.key));
+        private void postAnswerPending(AcceptedMessage message) {
+            post(new AnswerPending(message.id, message.request.key));
         }
 
-        void offer(Wish wish) {
-            if (taken.size() >= settings.allowed().held()) {
-                refused(wish, FULL);
+        void accept(ClientMessage request) {
+            if (pending.size() >= settings.allowed().held()) {
+                messageRefused(request, FULL_RETRY_AFTER_SECONDS);
                 return;
             }
-            Taken message = new Taken();
-            message.id = ++lastMessage;
-            message.wish = wish;
-            taken.put(message.id, message);
-            if (wish.keyed()) {
-                rules.taken(message.id, unsafe(wish), wish.until, number, wish.subject());
+            AcceptedMessage message = new AcceptedMessage();
+            message.id = ++lastMessageId;
+            message.request = request;
+            pending.put(message.id, message);
+            if (request.hasKey()) {
+                rules.messageAccepted(message.id, isUnsafe(request), request.deadline, number, request.keyText());
             } else {
-                rules.taken(message.id, unsafe(wish), wish.until);
+                rules.messageAccepted(message.id, isUnsafe(request), request.deadline);
             }
             post(message);
         }
 
-        /** An event, or a message that becomes one when the round takes it. */
+        /** Queues an event for the next round, or an accepted message, which becomes an event in that round. */
         private void post(Object event) {
             inbox.add(event);
-            if (!due) {
-                due = true;
-                int of = life;
-                at(Math.max(now, lastRound + GAP), () -> {
-                    if (of == life) {
+            if (!roundScheduled) {
+                roundScheduled = true;
+                int scheduledIn = generation;
+                schedule(Math.max(now, lastRound + ROUND_INTERVAL_SECONDS), () -> {
+                    if (scheduledIn == generation) {
                         round();
                     }
                 });
@@ -316,24 +320,24 @@
         }
 
         private void round() {
-            due = false;
+            roundScheduled = false;
             lastRound = now;
             List<Event> events = new ArrayList<>();
             for (Object one : inbox) {
                 events.add(
-                        one instanceof Taken message
+                        one instanceof AcceptedMessage message
                                 ? new Arrived(new Message(
                                         message.id,
-                                        message.wish.messageClass,
-                                        message.wish.tenant,
-                                        message.wish.destination,
-                                        message.wish.key,
-                                        Math.max(0, message.wish.until - now),
+                                        message.request.messageClass,
+                                        message.request.tenant,
+                                        message.request.destination,
+                                        message.request.key,
+                                        Math.max(0, message.request.deadline - now),
                                         message.attempts,
                                         null,
-                                        message.wish.tries() > 1,
+                                        message.request.submissions() > 1,
                                         0,
-                                        awaitsAcknowledgement(message.wish)))
+                                        awaitsAcknowledgement(message.request)))
                                 : (Event) one);
             }
             inbox = new ArrayList<>();
@@ -346,60 +350,60 @@
 
         private void carryOut(Action action) {
             if (action instanceof Send send) {
-                send(taken.get(send.message()), send);
+                send(pending.get(send.message()), send);
             } else if (action instanceof Refuse refuse) {
-                Taken message = taken.get(refuse.message());
-                note(2, message.id);
-                undelivered(message, true);
-                refused(message.wish, refuse.after());
+                AcceptedMessage message = pending.get(refuse.message());
+                addToHash(2, message.id);
+                finishUndelivered(message, true);
+                messageRefused(message.request, refuse.after());
             } else if (action instanceof Fail fail) {
-                note(3, fail.message());
-                undelivered(taken.get(fail.message()), false);
+                addToHash(3, fail.message());
+                finishUndelivered(pending.get(fail.message()), false);
             } else if (action instanceof WakeAt wake) {
-                later(wake.time(), () -> post(new Woken(wake.token())));
+                scheduleWhileUp(wake.time(), () -> post(new Woken(wake.token())));
             } else if (action instanceof Cancel cancel) {
                 cancel(cancel);
             } else if (action instanceof Probe probe) {
                 probe(probe.target());
             } else if (action instanceof Note note) {
-                tell(note);
+                sendNote(note);
             } else if (action instanceof Log) {
-                note(4, number);
+                addToHash(4, number);
             }
         }
 
-        private void later(double time, Runnable what) {
-            int of = life;
-            at(time, () -> {
-                if (of == life && !away) {
-                    what.run();
+        private void scheduleWhileUp(double time, Runnable task) {
+            int scheduledIn = generation;
+            schedule(time, () -> {
+                if (scheduledIn == generation && !down) {
+                    task.run();
                 }
             });
         }
 
-        private void send(Taken message, Send send) {
-            note(1, message.id);
-            int destination = message.wish.destination;
-            rules.begun(message.id, now);
-            rules.called(number, destination, now);
+        private void send(AcceptedMessage message, Send send) {
+            addToHash(1, message.id);
+            int destination = message.request.destination;
+            rules.attemptStarted(message.id, now);
+            rules.destinationCalled(number, destination, now);
             int attempt = message.attempts++;
-            message.out = true;
-            double left = now;
-            double way = way(ways.get(destination));
-            int of = life;
-            at(now + way, () -> {
-                // A call that has left arrives, whatever becomes of its relay.
-                DestinationModel.Answer answer = reached(destination);
-                double back = now + answer.after() + way;
-                boolean silent = back - left > send.timeout();
-                at(silent ? left + send.timeout() : back, () -> {
-                    if (of == life && !away) {
-                        ended(
+            message.inFlight = true;
+            double sentAt = now;
+            double delay = networkDelay(networkRandoms.get(destination));
+            int scheduledIn = generation;
+            schedule(now + delay, () -> {
+                // A call that was sent arrives even if its relay is killed meanwhile.
+                DestinationModel.Answer answer = callDestination(destination);
+                double answeredAt = now + answer.delay() + delay;
+                boolean timedOut = answeredAt - sentAt > send.timeout();
+                schedule(timedOut ? sentAt + send.timeout() : answeredAt, () -> {
+                    if (scheduledIn == generation && !down) {
+                        attemptEnded(
                                 message,
                                 attempt,
-                                left,
-                                silent ? Outcome.TIMED_OUT : answer.outcome(),
-                                silent ? 0 : answer.told());
+                                sentAt,
+                                timedOut ? Outcome.TIMED_OUT : answer.outcome(),
+                                timedOut ? 0 : answer.retryAfter());
                     } else if (answer.outcome() == Outcome.DELIVERED) {
                         message.mayHaveRun = true;
                     }
@@ -407,39 +411,48 @@
             });
         }
 
-        private void ended(Taken message, int attempt, double left, Outcome outcome, double told) {
-            if (message.over || !message.out || message.attempts - 1 != attempt) {
+        private void attemptEnded(
+                AcceptedMessage message, int attempt, double sentAt, Outcome outcome, double retryAfter) {
+            if (message.finished || !message.inFlight || message.attempts - 1 != attempt) {
                 return;
             }
-            message.out = false;
+            message.inFlight = false;
             message.mayHaveRun |= !outcome.neverRan();
             if (outcome.mayStillRun()) {
-                rules.abandoned(message.id, now, true);
+                rules.attemptAbandoned(message.id, now, true);
             } else {
-                rules.ended(message.id, !outcome.neverRan());
+                rules.attemptEnded(message.id, !outcome.neverRan());
             }
-            if (told > 0) {
-                rules.told(number, message.wish.destination, now, now + told);
+            if (retryAfter > 0) {
+                rules.retryAfterReceived(number, message.request.destination, now, now + retryAfter);
             }
             boolean over = outcome == Outcome.DELIVERED;
             if (over) {
                 rules.answered(message.id, now, false);
-                over(message);
-                tally.delivered(message.wish, now);
+                finish(message);
+                tally.messageDelivered(message.request, now);
             }
-            post(new Ended(message.id, attempt, message.wish.destination + 1, outcome, now - left, over, told, null));
+            post(new Ended(
+                    message.id,
+                    attempt,
+                    message.request.destination + 1,
+                    outcome,
+                    now - sentAt,
+                    over,
+                    retryAfter,
+                    null));
         }
 
         private void cancel(Cancel cancel) {
-            Taken message = taken.get(cancel.message());
-            if (message != null && message.out && message.attempts - 1 == cancel.attempt()) {
+            AcceptedMessage message = pending.get(cancel.message());
+            if (message != null && message.inFlight && message.attempts - 1 == cancel.attempt()) {
                 message.mayHaveRun = true;
-                message.out = false;
-                rules.abandoned(message.id, now, true);
+                message.inFlight = false;
+                rules.attemptAbandoned(message.id, now, true);
                 post(new Ended(
                         message.id,
                         cancel.attempt(),
-                        message.wish.destination + 1,
+                        message.request.destination + 1,
                         Outcome.CANCELLED,
                         0,
                         false,
@@ -449,29 +462,29 @@
         }
 
         private void probe(int target) {
-            double left = now;
-            double way = way(probeWays);
-            rules.called(number, target - 1, now);
-            at(now + way, () -> {
-                DestinationModel.Answer answer = reached(target - 1);
-                later(
-                        Math.min(now + answer.after() + way, left + PROBE),
+            double sentAt = now;
+            double delay = networkDelay(probeNetworkRandom);
+            rules.destinationCalled(number, target - 1, now);
+            schedule(now + delay, () -> {
+                DestinationModel.Answer answer = callDestination(target - 1);
+                scheduleWhileUp(
+                        Math.min(now + answer.delay() + delay, sentAt + PROBE_TIMEOUT_SECONDS),
                         () -> post(new Probed(
                                 target,
                                 answer.outcome() == Outcome.DELIVERED,
                                 answer.outcome() == Outcome.FULL,
-                                now - left)));
+                                now - sentAt)));
             });
         }
 
-        private void tell(Note note) {
+        private void sendNote(Note note) {
             for (Relay other : relays) {
                 if (other == this || note.to() >= 0 && note.to() != other.number) {
                     continue;
                 }
-                for (double took : notes.copies()) {
-                    at(now + took, () -> {
-                        if (!other.away) {
+                for (double took : notes.copyDelays()) {
+                    schedule(now + took, () -> {
+                        if (!other.down) {
                             other.post(new Noted(number, note.note()));
                         }
                     });
@@ -479,31 +492,31 @@
             }
         }
 
-        /** It ends by a notice. */
-        private void undelivered(Taken message, boolean handedBack) {
-            over(message);
-            if (awaitsAcknowledgement(message.wish)) {
-                rules.noticed(message.id, now, handedBack);
+        /** Finishes a message that was not delivered, by a status report where later messages wait for it. */
+        private void finishUndelivered(AcceptedMessage message, boolean returned) {
+            finish(message);
+            if (awaitsAcknowledgement(message.request)) {
+                rules.statusReported(message.id, now, returned);
                 unacknowledged.put(message.id, message);
-                at(now + acknowledgedIn(), () -> acknowledged(message));
+                schedule(now + acknowledgementDelay(), () -> acknowledge(message));
             } else {
-                rules.answered(message.id, now, handedBack);
+                rules.answered(message.id, now, returned);
             }
         }
 
-        private void acknowledged(Taken message) {
-            if (away) {
-                at(now + acknowledgedIn(), () -> acknowledged(message)); // the notice goes again after the restart
+        private void acknowledge(AcceptedMessage message) {
+            if (down) {
+                schedule(now + acknowledgementDelay(), () -> acknowledge(message)); // reported again after the restart
                 return;
             }
             unacknowledged.remove(message.id);
-            rules.acknowledged(message.id);
-            post(new AnswerAcknowledged(message.id, message.wish.key));
+            rules.reportAcknowledged(message.id);
+            post(new AnswerAcknowledged(message.id, message.request.key));
         }
 
-        private void over(Taken message) {
-            message.over = true;
-            taken.remove(message.id);
+        private void finish(AcceptedMessage message) {
+            message.finished = true;
+            pending.remove(message.id);
         }
     }
 }
--- a/src/main/java/juniperusher/lab/package-info.java
+++ b/src/main/java/juniperusher/lab/package-info.java
@@ -1,11 +1,9 @@
 /**
- * The laboratory: models of destinations, clients and the notes' network, free of I/O and of the machine's
- * clock,
- * and experiments that run the relay's own decisions among them in virtual time. The same seed gives the same
- * history. The door is {@link juniperusher.lab.VirtualEngine}.
+ * Simulation of relays: models of destinations, clients and the network between relays, without I/O or wall-clock
+ * time. {@link juniperusher.lab.VirtualEngine}, the entry point, runs the relay's production decision code against
+ * these models in virtual time. Equal plans and seeds produce equal histories.
  *
- * <p>Must not know: sockets, files, threads, the relay's fronts. {@code lab.sockets} plays the same plans on
- * sockets,
- * {@code lab.report} shows what came of them.
+ * <p>This package must not depend on sockets, files, threads or the relay's fronts. {@code lab.sockets} runs the same
+ * plans on real sockets; {@code lab.report} writes the results.
  */
 package juniperusher.lab;
--- a/src/main/java/juniperusher/lab/report/Report.java
+++ b/src/main/java/juniperusher/lab/report/Report.java
@@ -58,18 +58,18 @@
         if (!results.judged().isEmpty()) {
             out.append("<h2>Expected</h2><ul>");
             results.judged()
-                    .forEach(one -> out.append(one.held() ? "<li>holds: " : "<li class=\"fails\">FAILS: ")
+                    .forEach(one -> out.append(one.met() ? "<li>holds: " : "<li class=\"fails\">FAILS: ")
                             .append(Html.escaped(one.text()))
                             .append("</li>"));
             out.append("</ul>");
         }
-        results.runs().stream().filter(run -> !run.broken().isEmpty()).forEach(run -> {
+        results.runs().stream().filter(run -> !run.violations().isEmpty()).forEach(run -> {
             out.append("<h2 class=\"fails\">Broken: ")
                     .append(Html.escaped(run.variant()))
                     .append(", seed ")
                     .append(run.seed())
                     .append("</h2><ul>");
-            run.broken()
+            run.violations()
                     .forEach(one -> out.append("<li>").append(Html.escaped(one)).append("</li>"));
             out.append("</ul>");
         });
@@ -154,7 +154,8 @@
 
     private static XYChart latency(Results results) {
         XYChart chart = chart("latency from asking to delivery", "percentile", "s");
-        double[] at = Tally.AT.stream().mapToDouble(Double::doubleValue).toArray();
+        double[] at =
+                Tally.PERCENTILES.stream().mapToDouble(Double::doubleValue).toArray();
         for (String variant : results.variants()) {
             for (String group : List.of("sound", "struck", Tally.SEQUENCED)) {
                 List<double[]> all = results.runs().stream()
--- a/src/main/java/juniperusher/lab/report/Results.java
+++ b/src/main/java/juniperusher/lab/report/Results.java
@@ -15,7 +15,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import juniperusher.lab.Experiment.Judged;
+import juniperusher.lab.Experiment.Verdict;
 import juniperusher.lab.Run;
 
 /**
@@ -23,13 +23,13 @@
  *
  * @param engine virtual or sockets
  */
-public record Results(String title, String engine, List<Run> runs, List<Judged> judged) {
+public record Results(String title, String engine, List<Run> runs, List<Verdict> judged) {
     private static final String FILE = "result.json";
 
     /** Whether all expectations hold and no rule was broken. */
     public boolean held() {
-        return judged.stream().allMatch(Judged::held)
-                && runs.stream().allMatch(run -> run.broken().isEmpty());
+        return judged.stream().allMatch(Verdict::met)
+                && runs.stream().allMatch(run -> run.violations().isEmpty());
     }
 
     /** The variants in their order. */
@@ -74,17 +74,16 @@
             }
             out.append('\n');
         }
-        judged.forEach(one -> out.append(one.held() ? "holds: " : "FAILS: ")
-                .append(one.text())
-                .append('\n'));
+        judged.forEach(one ->
+                out.append(one.met() ? "holds: " : "FAILS: ").append(one.text()).append('\n'));
         runs.stream()
-                .filter(run -> !run.broken().isEmpty())
+                .filter(run -> !run.violations().isEmpty())
                 .forEach(run -> out.append("BROKEN: ")
                         .append(run.variant())
                         .append(", seed ")
                         .append(run.seed())
                         .append(": ")
-                        .append(run.broken().get(0))
+                        .append(run.violations().get(0))
                         .append('\n'));
         return out.toString();
     }
@@ -101,13 +100,13 @@
                 new JsonObject().add("title", title).add("engine", engine).add("format", 1);
         JsonArray expectations = new JsonArray();
         judged.forEach(
-                one -> expectations.add(new JsonObject().add("held", one.held()).add("text", one.text())));
+                one -> expectations.add(new JsonObject().add("held", one.met()).add("text", one.text())));
         JsonArray all = new JsonArray();
         for (Run run : runs) {
             JsonObject figures = new JsonObject();
             run.figures().forEach((name, value) -> figures.add(name, number(value)));
             JsonArray broken = new JsonArray();
-            run.broken().forEach(broken::add);
+            run.violations().forEach(broken::add);
             all.add(new JsonObject()
                     .add("variant", run.variant())
                     .add("seed", run.seed())
@@ -149,10 +148,10 @@
             if (json.getInt("format", 0) != 1) {
                 throw new IllegalArgumentException("expected format 1");
             }
-            List<Judged> judged = new ArrayList<>();
+            List<Verdict> judged = new ArrayList<>();
             json.get("expect")
                     .asArray()
-                    .forEach(one -> judged.add(new Judged(
+                    .forEach(one -> judged.add(new Verdict(
                             one.asObject().getBoolean("held", false),
                             one.asObject().getString("text", ""))));
             List<Run> runs = new ArrayList<>();
--- a/src/main/java/juniperusher/lab/sockets/Bench.java
+++ b/src/main/java/juniperusher/lab/sockets/Bench.java
@@ -176,7 +176,7 @@
                 process.listen(),
                 rate,
                 seconds,
-                LabSettings.NAMES.get(0),
+                LabSettings.CLASS_NAMES.get(0),
                 0,
                 LabSettings.NOTICE.deadline(),
                 BYTES,
--- a/src/main/java/juniperusher/lab/sockets/Emulation.java
+++ b/src/main/java/juniperusher/lab/sockets/Emulation.java
@@ -175,9 +175,9 @@
             Out call = new Out(id);
             call.brings = models.get(destination).call(watcher.now());
             out.put(connection, call);
-            if (Double.isFinite(call.brings.after())) {
+            if (Double.isFinite(call.brings.delay())) {
                 call.answer = lab.schedule(
-                        () -> answer(connection, call), (long) (call.brings.after() * 1e6), TimeUnit.MICROSECONDS);
+                        () -> answer(connection, call), (long) (call.brings.delay() * 1e6), TimeUnit.MICROSECONDS);
             }
         }
 
@@ -186,7 +186,7 @@
                 return; // given up
             }
             Outcome outcome = call.brings.outcome();
-            double told = call.brings.told();
+            double told = call.brings.retryAfter();
             if (outcome == Outcome.FULL) {
                 watcher.refused(relay, destination, call.id, told);
             }
--- a/src/main/java/juniperusher/lab/sockets/HandInOrder.java
+++ b/src/main/java/juniperusher/lab/sockets/HandInOrder.java
@@ -5,18 +5,18 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import juniperusher.lab.Wish;
+import juniperusher.lab.ClientMessage;
 
 /** Clients hand in messages of one key one after another, each when the one before it has its answer. */
 final class HandInOrder {
-    private final Map<Long, Deque<Wish>> waiting = new HashMap<>(); // by key that awaits an answer
+    private final Map<Long, Deque<ClientMessage>> waiting = new HashMap<>(); // by key that awaits an answer
 
     /** Whether a message may be handed in now; if not, {@link #answered} tells when. */
-    boolean mayGo(Wish wish) {
-        if (!wish.keyed()) {
+    boolean mayGo(ClientMessage wish) {
+        if (!wish.hasKey()) {
             return true;
         }
-        Deque<Wish> before = waiting.get(wish.key);
+        Deque<ClientMessage> before = waiting.get(wish.key);
         if (before == null) {
             waiting.put(wish.key, new ArrayDeque<>());
             return true;
@@ -26,11 +26,11 @@
     }
 
     /** A message has its answer, or is not handed in after all; the next of its key, which may go now. */
-    Optional<Wish> answered(Wish wish) {
-        if (!wish.keyed()) {
+    Optional<ClientMessage> answered(ClientMessage wish) {
+        if (!wish.hasKey()) {
             return Optional.empty();
         }
-        Wish next = waiting.get(wish.key).poll();
+        ClientMessage next = waiting.get(wish.key).poll();
         if (next == null) {
             waiting.remove(wish.key);
         }
--- a/src/main/java/juniperusher/lab/sockets/NoteNetwork.java
+++ b/src/main/java/juniperusher/lab/sockets/NoteNetwork.java
@@ -93,7 +93,7 @@
                 continue;
             }
             int relay = to;
-            for (double after : model.copies()) {
+            for (double after : model.copyDelays()) {
                 lab.schedule(() -> send(relay, way.by(), note), (long) (after * 1e6), TimeUnit.MICROSECONDS);
             }
         }
--- a/src/main/java/juniperusher/lab/sockets/SocketEngine.java
+++ b/src/main/java/juniperusher/lab/sockets/SocketEngine.java
@@ -21,6 +21,7 @@
 import java.util.stream.Stream;
 import juniperusher.Protocol.Effect;
 import juniperusher.Protocol.MessageClass;
+import juniperusher.lab.ClientMessage;
 import juniperusher.lab.Demand;
 import juniperusher.lab.DestinationModel;
 import juniperusher.lab.LabSettings;
@@ -29,7 +30,6 @@
 import juniperusher.lab.RuleChecker;
 import juniperusher.lab.Run;
 import juniperusher.lab.Tally;
-import juniperusher.lab.Wish;
 import juniperusher.net.Network;
 
 /**
@@ -61,7 +61,7 @@
     private final HandInOrder handInOrder = new HandInOrder();
     private final List<Emulation> emulations = new ArrayList<>();
     private final List<RelayProcess> relays = new ArrayList<>();
-    private final Map<String, Wish> wishes = new HashMap<>(); // what a relay has, by id
+    private final Map<String, ClientMessage> wishes = new HashMap<>(); // what a relay has, by id
     private final Set<String> delivered = new HashSet<>(); // that may be repeated
     private final CompletableFuture<Void> end = new CompletableFuture<>();
     private int returning; // clients that will hand a message in again
@@ -86,7 +86,7 @@
         rules = new RuleChecker(
                 LATE_ANSWER, LATE_WAIT, LabSettings.of(plan).rules().keyQuiet() - SLACK);
         for (int i = 0; i < plan.destinations().size(); i++) {
-            models.add(plan.model(i));
+            models.add(plan.destinationModel(i));
         }
     }
 
@@ -141,7 +141,7 @@
                 throw new IOException("the run failed: " + e.getCause(), e.getCause());
             }
             return lab.submit(() -> {
-                        rules.over(now());
+                        rules.runFinished(now());
                         return tally.result(variant, models, rules, 0);
                     })
                     .get();
@@ -158,7 +158,7 @@
         NoteNetwork notes = new NoteNetwork(noteAddresses, plan.noteModel(), lab);
         Path settings = Files.writeString(
                 folder.resolve("operator.toml"),
-                "[storm]\non = " + plan.relays().storm() + "\n");
+                "[storm]\non = " + plan.relays().stormEnabled() + "\n");
         int[] connections = new int[models.size()];
         for (int i = 0; i < plan.relays().count(); i++) {
             Emulation emulation = new Emulation(plan, i, network, lab, models, connections, this);
@@ -216,7 +216,7 @@
         }
     }
 
-    private void comesBack(Wish wish, double after) {
+    private void comesBack(ClientMessage wish, double after) {
         returning++;
         at(now() + after, () -> {
             returning--;
@@ -244,8 +244,8 @@
 
     private void sample() {
         for (int i = 0; i < models.size(); i++) {
-            if (plan.destinations().get(i).struck()) {
-                tally.sampled("capacity, struck", now(), models.get(i).capacity(now()));
+            if (plan.destinations().get(i).hasTrouble()) {
+                tally.addSample("capacity, struck", now(), models.get(i).capacity(now()));
             }
         }
         double at = now();
@@ -253,9 +253,9 @@
             client.metrics(
                     relay.listen(),
                     text -> lab.execute(() -> {
-                        tally.sampled("owed", at, gauge(text, "juniperusher_held "));
-                        tally.sampled("storms", at, gauge(text, "juniperusher_storms "));
-                        tally.sampled("recovering", at, gauge(text, "juniperusher_storms_recovering "));
+                        tally.addSample("owed", at, gauge(text, "juniperusher_held "));
+                        tally.addSample("storms", at, gauge(text, "juniperusher_storms "));
+                        tally.addSample("recovering", at, gauge(text, "juniperusher_storms_recovering "));
                     }));
         }
     }
@@ -271,13 +271,13 @@
     private void crash(Crash crash) {
         RelayProcess relay = relays.get(crash.relay());
         relay.kill();
-        rules.restarted(crash.relay(), now());
+        rules.relayRestarted(crash.relay(), now());
         wishes.forEach((id, wish) -> {
             if (wish.relay == crash.relay()) {
-                rules.died(id, now() + crash.down() + START);
+                rules.messageInterrupted(id, now() + crash.downSeconds() + START);
             }
         });
-        at(now() + crash.down(), () -> {
+        at(now() + crash.downSeconds(), () -> {
             try {
                 relay.start();
             } catch (IOException e) {
@@ -289,41 +289,41 @@
     // ---- clients: open loop, from the time at which each message was meant to be sent ----
 
     private void arrivals(int destination, double from) {
-        double next = from + demand.gap(destination);
+        double next = from + demand.nextGap(destination);
         if (next >= plan.seconds()) {
             return;
         }
         at(next, () -> {
-            Wish wish = demand.next(destination, next);
-            tally.asked(wish);
+            ClientMessage wish = demand.nextMessage(destination, next);
+            tally.messageRequested(wish);
             handIn(wish);
             arrivals(destination, next);
         });
     }
 
     /** Messages of one key are handed in one after another, each when the one before it has its answer. */
-    private void handIn(Wish wish) {
+    private void handIn(ClientMessage wish) {
         if (handInOrder.mayGo(wish)) {
             handInNow(wish);
         }
     }
 
-    private void answered(Wish wish) {
+    private void answered(ClientMessage wish) {
         handInOrder.answered(wish).ifPresent(this::handInNow);
     }
 
-    private void handInNow(Wish wish) {
-        if (now() >= wish.until) {
+    private void handInNow(ClientMessage wish) {
+        if (now() >= wish.deadline) {
             answered(wish);
             return;
         }
-        wish.handedIn();
+        wish.countSubmission();
         String id = Long.toHexString(plan.seed()) + '-' + ++lastId;
         wishes.put(id, wish);
-        if (wish.keyed()) {
-            rules.taken(id, unsafe(wish), wish.until, wish.relay, wish.subject());
+        if (wish.hasKey()) {
+            rules.messageAccepted(id, unsafe(wish), wish.deadline, wish.relay, wish.keyText());
         } else {
-            rules.taken(id, unsafe(wish), wish.until);
+            rules.messageAccepted(id, unsafe(wish), wish.deadline);
         }
         client.handIn(relays.get(wish.relay).listen(), message(id, wish), new Client.Answered() {
             @Override
@@ -335,7 +335,7 @@
             public void refused(double after) {
                 lab.execute(() -> {
                     wishes.remove(id);
-                    rules.withdrawn(id);
+                    rules.messageWithdrawn(id);
                     SocketEngine.this.refused(wish, after);
                     answered(wish);
                 });
@@ -346,37 +346,37 @@
                 lab.execute(() -> {
                     // What the relay still does under this id counts for nothing.
                     wishes.remove(id);
-                    rules.withdrawn(id);
-                    wish.unreached();
-                    tally.sampled("unreached", now(), 1);
-                    comesBack(wish, demand.clients(wish.destination).unreached());
+                    rules.messageWithdrawn(id);
+                    wish.uncountSubmission();
+                    tally.addSample("unreached", now(), 1);
+                    comesBack(wish, demand.clients(wish.destination).reconnectDelay());
                     answered(wish);
                 });
             }
         });
     }
 
-    private Client.Message message(String id, Wish wish) {
+    private Client.Message message(String id, ClientMessage wish) {
         return new Client.Message(
                 id,
                 classes.get(wish.messageClass).name(),
-                wish.keyed() ? wish.subject() : null,
+                wish.hasKey() ? wish.keyText() : null,
                 plan.tenants().isEmpty()
                         ? null
                         : plan.tenants().get(wish.tenant).name(),
                 wish.destination,
-                wish.until - now(),
-                wish.tries() > 1,
+                wish.deadline - now(),
+                wish.submissions() > 1,
                 BODY);
     }
 
-    private boolean unsafe(Wish wish) {
+    private boolean unsafe(ClientMessage wish) {
         return classes.get(wish.messageClass).effect() == Effect.UNSAFE;
     }
 
-    private void refused(Wish wish, double after) {
-        tally.turnedAway(now());
-        double back = demand.clients(wish.destination).back(wish.tries(), after);
+    private void refused(ClientMessage wish, double after) {
+        tally.messageRefused(now());
+        double back = demand.clients(wish.destination).resubmissionDelay(wish.submissions(), after);
         if (back < Double.POSITIVE_INFINITY) {
             comesBack(wish, back);
         }
@@ -389,35 +389,35 @@
         if (id != null && delivered.contains(id)) {
             return false; // of a relay that died before it could note the delivery, or gave up just before it
         }
-        tally.called(destination, now());
-        rules.called(relay, destination, now());
+        tally.callReceived(destination, now());
+        rules.destinationCalled(relay, destination, now());
         if (id != null) {
-            rules.begun(id, now());
+            rules.attemptStarted(id, now());
         }
         return true;
     }
 
     @Override
     public void refused(int relay, int destination, String id, double told) {
-        tally.refusedCall(destination, now());
+        tally.callRefused(destination, now());
         if (told > 0) {
-            rules.told(relay, destination, now(), now() + told);
+            rules.retryAfterReceived(relay, destination, now(), now() + told);
         }
     }
 
     @Override
     public void abandoned(String id, boolean mayHaveRun) {
-        rules.abandoned(id, now(), mayHaveRun);
+        rules.attemptAbandoned(id, now(), mayHaveRun);
     }
 
     @Override
     public void ended(int destination, String id, boolean done, boolean mayHaveRun) {
-        rules.ended(id, mayHaveRun);
-        Wish wish = wishes.get(id);
+        rules.attemptEnded(id, mayHaveRun);
+        ClientMessage wish = wishes.get(id);
         if (done && wish != null) {
             wishes.remove(id);
             rules.answered(id, now(), false);
-            tally.delivered(wish, now());
+            tally.messageDelivered(wish, now());
             if (!unsafe(wish)) {
                 delivered.add(id);
             }
@@ -426,11 +426,11 @@
 
     @Override
     public void notice(int relay, String id, boolean handedBack, double after) {
-        Wish wish = wishes.remove(id);
+        ClientMessage wish = wishes.remove(id);
         if (wish == null) {
             return; // over, withdrawn, or told before: a notice goes again until it is acknowledged
         }
-        rules.noticed(id, now(), handedBack);
+        rules.statusReported(id, now(), handedBack);
         if (handedBack) {
             refused(wish, after);
         }
@@ -438,6 +438,6 @@
 
     @Override
     public void acknowledged(String id) {
-        rules.acknowledged(id);
+        rules.reportAcknowledged(id);
     }
 }
--- a/src/test/java/juniperusher/lab/ExperimentTest.java
+++ b/src/test/java/juniperusher/lab/ExperimentTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 class ExperimentTest {
-    private static final String LEAST = "title = 'a'\n[[destinations]]\nname = 'x'\nrate = 10\n";
+    private static final String MINIMAL_FILE = "title = 'a'\n[[destinations]]\nname = 'x'\nrate = 10\n";
 
     @TempDir
     Path folder;
@@ -41,7 +41,7 @@
         return Experiment.of(written, variants);
     }
 
-    /** All but those of lab hollow and lab scale, whose own tests read them by their own schemas. */
+    /** Experiment files except those of `lab hollow` and `lab scale`, which have their own schemas and tests. */
     static Stream<Path> files() throws IOException {
         return Files.list(Path.of("experiments"))
                 .filter(file -> !file.getFileName().toString().matches("(hollow|scale).*"));
@@ -49,7 +49,7 @@
 
     @ParameterizedTest
     @MethodSource("files")
-    void eachFileOfTheRepositoryCanBeReadAndExpectsSomething(Path file) throws IOException {
+    void everyRepositoryFileIsReadableAndHasExpectations(Path file) throws IOException {
         assertTrue(read(file).expected().size() > 0, file.toString());
     }
 
@@ -73,9 +73,9 @@
             [[expect]];figure = 'p50_sequenced';at_most = 1  | no figure of variant 'as written'; expected
             [[expect]];figure = 'worth_within_share';at_least = 0 | no figure of variant 'as written'
             """)
-    void aMistakeIsOneLine(String text, String expected) {
+    void invalidFilesAreReportedInOneLine(String text, String expected) {
         String message = assertThrows(
-                        IllegalArgumentException.class, () -> read(LEAST + text.replace(';', '\n') + '\n'))
+                        IllegalArgumentException.class, () -> read(MINIMAL_FILE + text.replace(';', '\n') + '\n'))
                 .getMessage();
         assertTrue(message.contains(expected), message);
         assertEquals(1, message.lines().count());
@@ -86,25 +86,25 @@
     }
 
     @Test
-    void expectationsAreJudgedOnEachVariantAlone() throws IOException {
-        Experiment experiment = read(LEAST + "[[variants]]\nname = 'off'\n[[variants]]\nname = 'on'\n"
+    void expectationsAreJudgedPerVariant() throws IOException {
+        Experiment experiment = read(MINIMAL_FILE + "[[variants]]\nname = 'off'\n[[variants]]\nname = 'on'\n"
                 + "[[expect]]\nfigure = 'worth'\nagainst = 'off'\nat_least = 0.0\n"
                 + "[[expect]]\nfigure = 'worth'\nover = 'max'\nat_most = 0.9\n"
                 + "[[expect]]\nfigure = 'worth'\nagainst = 'off'\nat_most_times = 1.1\n");
         List<Run> good = List.of(run("off", 0.8), run("on", 0.7), run("on", 0.9));
         assertEquals(
                 List.of(true, true, true, true),
-                experiment.judge(good).stream().map(Experiment.Judged::held).toList());
+                experiment.judge(good).stream().map(Experiment.Verdict::met).toList());
         List<Run> bad = List.of(run("off", 0.6), run("on", 0.2), run("on", 0.95));
         assertEquals(
                 List.of(false, true, false, true),
-                experiment.judge(bad).stream().map(Experiment.Judged::held).toList());
+                experiment.judge(bad).stream().map(Experiment.Verdict::met).toList());
         assertEquals(
                 false,
                 experiment
                         .judge(List.of(run("off", 0.5), run("on", 0.6)))
                         .get(3)
-                        .held());
+                        .met());
     }
 
     @ParameterizedTest
@@ -114,7 +114,7 @@
         "tenant-share, told, 2",
         "tenant-share, not told, 2"
     })
-    void bothEnginesTellTheRelaysTheSame(String name, String variant, int classes) throws IOException {
+    void bothEnginesConfigureRelaysIdentically(String name, String variant, int classes) throws IOException {
         Plan plan = read(Path.of("experiments/" + name + ".toml"))
                 .plans()
                 .get(variant)
@@ -128,7 +128,7 @@
         Config config = Config.read(Files.writeString(folder.resolve("relay.json"), json.toString()));
         assertEquals(LabSettings.of(plan), config.settings().settings());
         assertEquals(classes, config.classes().size());
-        assertEquals(LabSettings.NAMES, config.classes().subList(0, 2));
+        assertEquals(LabSettings.CLASS_NAMES, config.classes().subList(0, 2));
         assertEquals(2, config.number());
     }
 }
--- a/src/test/java/juniperusher/lab/FleetBudgetTest.java
+++ b/src/test/java/juniperusher/lab/FleetBudgetTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A cold destination under the sum of a fleet without notes between its relays: in any window trials, what is
- * owed, slow starts and processes that have just come back stay within its budget N and 2 x root of N + 2 for
- * chance, beyond which it falls.
+ * Guards against overloading a recovering destination by many relays that do not exchange notes. In any window, their
+ * trial calls, pending messages, slow starts and restarted processes together must stay within its budget of N calls
+ * plus 2 x root of N + 2 for random variation; beyond that it collapses again.
  */
 class FleetBudgetTest {
     private static final int SEEDS = 6;
-    private static final double LEAST = 3; // calls/s; the module takes no destination for smaller
+    private static final double MIN_RATE_PER_SECOND = 3; // the module assumes at least this rate
 
     private static Run play(int relays, String kind, double rate, double load, int seed) throws IOException {
         JsonObject file = CheckedToml.by(Experiment.class, "experiment.schema.json")
@@ -45,16 +45,16 @@
         "30, hang",
         "30, down"
     })
-    void theSumStaysWithinWhatAColdOneBears(int relays, String kind) throws IOException {
-        for (double rate : new double[] {LEAST, 6, 20}) {
+    void allRelaysTogetherStayWithinTheColdStartBudget(int relays, String kind) throws IOException {
+        for (double rate : new double[] {MIN_RATE_PER_SECOND, 6, 20}) {
             for (double load : new double[] {0.7, 1.3}) {
                 for (int seed = 1; seed <= SEEDS; seed++) {
                     Run run = play(relays, kind, rate, load, seed);
                     String what = "rate " + rate + " load " + load + " seed " + seed;
-                    assertEquals(List.of(), run.broken(), what);
-                    // At the smallest one by less than a call, in 4 of 640 plays.
-                    assertTrue(run.figures().get("over_budget") < (rate > LEAST ? 1e-9 : 1), what);
-                    assertTrue(run.figures().get("worth_struck") > 0.1, "nothing comes through: " + what);
+                    assertEquals(List.of(), run.violations(), what);
+                    // At the smallest rate, 4 of 640 runs exceeded the budget, each by less than one call.
+                    assertTrue(run.figures().get("over_budget") < (rate > MIN_RATE_PER_SECOND ? 1e-9 : 1), what);
+                    assertTrue(run.figures().get("worth_struck") > 0.1, "hardly anything was delivered: " + what);
                 }
             }
         }
--- a/src/test/java/juniperusher/lab/KeyOrderPropertyTest.java
+++ b/src/test/java/juniperusher/lab/KeyOrderPropertyTest.java
@@ -21,12 +21,13 @@
 import net.jqwik.api.lifecycle.AfterContainer;
 
 /**
- * Drawn restarts, losses, troubles and late acknowledgements over a few keys in virtual time: no rule is broken, that
- * of order among them. A failing draw is shrunk and printed with its seed.
+ * Runs a plan with few keys in virtual time with random restarts, lost notes, troubles and late acknowledgements, and
+ * checks that no delivery rule is broken, in particular the order of keys. jqwik shrinks a failing case and prints its
+ * seed.
  */
 class KeyOrderPropertyTest {
     private static final String SEED = "20261202";
-    private static final double SPACING = 3; // s between the troubles, and between the restarts
+    private static final double SLOT_SECONDS = 3; // between the starts of troubles, and between restarts
     private static final List<String> TROUBLES = List.of("shut", "fast_errors", "hang", "down");
     private static int delivered;
 
@@ -60,7 +61,7 @@
     }
 
     @Property(seed = SEED, tries = 80)
-    void noDrawBreaksTheOrderOfAKey(
+    void keyOrderHoldsForRandomFaults(
             @ForAll @IntRange(min = 1, max = 1_000_000) int seed,
             @ForAll @IntRange(min = 1, max = 3) int relays,
             @ForAll boolean unsafe,
@@ -79,7 +80,7 @@
                     Locale.ROOT,
                     "{relay = %d, at = %.2f, down = %.3f}",
                     (seed + slot) % relays,
-                    1.5 + slot * SPACING,
+                    1.5 + slot * SLOT_SECONDS,
                     down));
         }
         List<String> outages = new ArrayList<>();
@@ -89,8 +90,8 @@
                         Locale.ROOT,
                         "{kind = '%s', from = %.1f, until = %.1f, warm = 1.0}",
                         TROUBLES.get(troubles.get(i)),
-                        1 + i * SPACING,
-                        2.5 + i * SPACING));
+                        1 + i * SLOT_SECONDS,
+                        2.5 + i * SLOT_SECONDS));
             }
         }
         JsonObject file = file(List.of(
@@ -104,13 +105,13 @@
                 "crashes=" + tables(crashes),
                 "destinations.0.troubles=" + tables(outages)));
         Run run = VirtualEngine.play("", Plan.of(file, seed));
-        assertEquals(List.of(), run.broken(), Json.array().add(file).toString());
+        assertEquals(List.of(), run.violations(), Json.array().add(file).toString());
         delivered +=
                 (int) java.util.Arrays.stream(run.series().get("delivered")).sum();
     }
 
     @AfterContainer
-    static void muchWasDelivered() {
-        assertTrue(delivered > 80 * 100, "the draws show little: " + delivered + " messages delivered");
+    static void enoughMessagesWereDelivered() {
+        assertTrue(delivered > 80 * 100, "the cases prove little: " + delivered + " messages delivered");
     }
 }
--- a/src/test/java/juniperusher/lab/OrderAndTenantsTest.java
+++ b/src/test/java/juniperusher/lab/OrderAndTenantsTest.java
@@ -13,11 +13,11 @@
 import juniperusher.settings.CheckedToml;
 import org.junit.jupiter.api.Test;
 
-/** Small forms of the experiments on classes in order and on tenants; in full by `juniperusher lab run`. */
+/** Shortened experiments with sequenced classes and with tenants; `juniperusher lab run` runs them in full. */
 class OrderAndTenantsTest {
     private static final int SEEDS = 2;
 
-    /** The runs of each variant, with seeds 1 and 2. */
+    /** Runs each variant of an experiment with seeds 1 to {@link #SEEDS}. */
     private static Map<String, List<Run>> play(String name, String... sets) throws IOException {
         CheckedToml checked = CheckedToml.by(Experiment.class, "experiment.schema.json");
         Path file = Path.of("experiments/" + name + ".toml");
@@ -36,9 +36,9 @@
         return out;
     }
 
-    private static void unbroken(Map<String, List<Run>> runs) {
+    private static void assertNoViolations(Map<String, List<Run>> runs) {
         runs.forEach((variant, all) ->
-                all.forEach(run -> assertEquals(List.of(), run.broken(), variant + ", seed " + run.seed())));
+                all.forEach(run -> assertEquals(List.of(), run.violations(), variant + ", seed " + run.seed())));
     }
 
     private static double mean(List<Run> runs, String figure) {
@@ -49,59 +49,61 @@
     }
 
     @Test
-    void orderCostsLittleWhereNothingFailsAndIsKept() throws IOException {
+    void keyOrderIsKeptAndCostsLittleWithoutFaults() throws IOException {
         Map<String, List<Run>> runs = play("order-cost");
-        unbroken(runs);
+        assertNoViolations(runs);
         List<Run> with = runs.get("in order");
         List<Run> without = runs.get("without keys");
         for (String figure : List.of("p50_sequenced", "p99_sequenced")) {
             double times = mean(with, figure) / mean(without, figure);
-            assertTrue(times > 1, figure + ": order costs nothing, so nothing was in order: " + times);
+            assertTrue(times > 1, figure + ": keeping the order costs nothing, so it was not kept: " + times);
             assertTrue(times < 2, figure + ": " + times);
         }
         assertTrue(Math.abs(mean(with, "worth") - mean(without, "worth")) < 0.02);
     }
 
     @Test
-    void relaysThatAreNotToldOfKeysBreakTheOrder() throws IOException {
+    void relaysWithoutKeysBreakTheOrder() throws IOException {
         for (Run run : play("order-cost", "relays.keys=false").get("in order")) {
-            assertTrue(run.figures().get("broken") > 10, "then the case above shows nothing: " + run.figures());
             assertTrue(
-                    run.broken().stream().allMatch(line -> line.contains("of key")),
-                    run.broken().toString());
+                    run.figures().get("broken") > 10,
+                    "a run without keys keeps the order, so the test of the order proves nothing: " + run.figures());
+            assertTrue(
+                    run.violations().stream().allMatch(line -> line.contains("of key")),
+                    run.violations().toString());
         }
     }
 
     @Test
-    void aTenantBeyondItsShareTakesLittleFromTheOthers() throws IOException {
+    void tenantBeyondItsShareHardlyAffectsTheOthers() throws IOException {
         Map<String, List<Run>> runs = play("tenant-share");
-        unbroken(runs);
+        assertNoViolations(runs);
         double told = mean(runs.get("told"), "worth_within_share");
         double notTold = mean(runs.get("not told"), "worth_within_share");
         double calm = mean(runs.get("all within"), "worth_within_share");
-        assertTrue(told > notTold + 0.03, told + " where shares are told, " + notTold + " where they are not");
+        assertTrue(told > notTold + 0.03, told + " where relays know the shares, " + notTold + " where they do not");
         assertTrue(told > calm - 0.08, told + " beside a tenant beyond its share, " + calm + " without one");
-        assertTrue(mean(runs.get("told"), "worth_weakest_tenant") > 0.85, "one gets less than its share");
+        assertTrue(mean(runs.get("told"), "worth_weakest_tenant") > 0.85, "a tenant gets less than its share");
     }
 
     @Test
-    void clientsAskForTheSameInAllVariants() throws IOException {
+    void demandIsTheSameInAllVariants() throws IOException {
         for (List<String> names : List.of(
                 List.of("order-cost", "in order", "without keys"), List.of("tenant-share", "told", "not told"))) {
             Map<String, List<Run>> runs = play(names.get(0));
             assertEquals(
-                    asked(runs.get(names.get(1)).get(0)),
-                    asked(runs.get(names.get(2)).get(0)),
+                    requestedWorth(runs.get(names.get(1)).get(0)),
+                    requestedWorth(runs.get(names.get(2)).get(0)),
                     names.get(0));
         }
     }
 
-    private static List<Double> asked(Run run) {
+    private static List<Double> requestedWorth(Run run) {
         return DoubleStream.of(run.series().get("worth asked, sound")).boxed().toList();
     }
 
     @Test
-    void keysComeOneGapApartGoToOneRelayAndEnd() throws IOException {
+    void keysHaveMeanGapOneRelayAndLimitedLifetime() throws IOException {
         Plan plan = Plan.of(
                 CheckedToml.by(Experiment.class, "experiment.schema.json")
                         .read(Path.of("experiments/order-cost.toml"), List.of()),
@@ -109,19 +111,19 @@
         KeyModel model = plan.keyModel();
         double rate = 0;
         for (int i = 0; i < plan.destinations().size(); i++) {
-            rate += plan.asked(i) * plan.sequenced().share();
+            rate += plan.requestRate(i) * plan.sequenced().share();
         }
         Map<Long, List<Double>> times = new LinkedHashMap<>();
         Map<Long, Integer> relays = new LinkedHashMap<>();
         int count = 20_000;
         for (int i = 0; i < count; i++) {
-            KeyModel.Key key = model.next(i / rate);
+            KeyModel.Key key = model.nextKey(i / rate);
             times.computeIfAbsent(key.number(), number -> new ArrayList<>()).add(i / rate);
             assertEquals(relays.computeIfAbsent(key.number(), number -> key.relay()), key.relay());
         }
         times.values().forEach(one -> assertTrue(one.get(one.size() - 1) - one.get(0) < 15, "lives longer than 15 s"));
         double perKey = (double) count / times.size();
-        assertEquals(plan.sequenced().life() / plan.sequenced().gap(), perKey, 2, "messages of a key");
+        assertEquals(plan.sequenced().meanLifetime() / plan.sequenced().meanGap(), perKey, 2, "messages of a key");
         assertEquals(3, relays.values().stream().distinct().count());
     }
 }
--- a/src/test/java/juniperusher/lab/SocketEngineTest.java
+++ b/src/test/java/juniperusher/lab/SocketEngineTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real relays for a few seconds; longer runs by `juniperusher lab run --engine sockets`. */
+/** Runs relay processes for a few seconds; `juniperusher lab run --engine sockets` runs them longer. */
 class SocketEngineTest {
     @TempDir
     Path folder;
 
     @Test
-    void twoRelaysDeliverThroughAnOutageAndAKillAndBreakNoRule() throws Exception {
+    void noViolationsDuringOutageAndRelayKill() throws Exception {
         Path file = Files.writeString(folder.resolve("x.toml"), """
                 title = "short"
                 seconds = 9
@@ -48,15 +48,15 @@
         JsonObject json =
                 CheckedToml.by(Experiment.class, "experiment.schema.json").read(file, List.of());
         Run run = SocketEngine.play("short", Plan.of(json, 1), "juniperusher.cli.Main", at -> {});
-        assertEquals(List.of(), run.broken());
+        assertEquals(List.of(), run.violations());
         assertTrue(run.figures().get("worth_sound") > 0.8, run.figures().toString());
         assertTrue(run.figures().get("worth_struck") > 0.4, run.figures().toString());
-        assertTrue(sum(run, "storms") + sum(run, "recovering") > 0, "the relays saw no storm: " + run.series());
-        assertTrue(sum(run, "owed") > 0, "the relays held nothing");
+        assertTrue(sum(run, "storms") + sum(run, "recovering") > 0, "the relays detected no storm: " + run.series());
+        assertTrue(sum(run, "owed") > 0, "the relays had no pending messages");
     }
 
     @Test
-    void aToldWaitIsKeptAndFewConnectionsAreEnough() throws Exception {
+    void retryAfterIsKeptWithTwoConnections() throws Exception {
         Path file = Files.writeString(folder.resolve("y.toml"), """
                 title = "told"
                 seconds = 5
@@ -81,13 +81,13 @@
         JsonObject json =
                 CheckedToml.by(Experiment.class, "experiment.schema.json").read(file, List.of());
         Run run = SocketEngine.play("told", Plan.of(json, 2), "juniperusher.cli.Main", at -> {});
-        assertEquals(List.of(), run.broken());
-        assertTrue(run.figures().get("refused_calls") > 0, "nothing was told to wait: " + run.figures());
+        assertEquals(List.of(), run.violations());
+        assertTrue(run.figures().get("refused_calls") > 0, "no call was refused: " + run.figures());
         assertTrue(run.figures().get("worth") > 0.3, run.figures().toString());
     }
 
     @Test
-    void keysStayInOrderOverAnOutageAndAKillAndTenantsAreKnown() throws Exception {
+    void keyOrderHoldsWithTenantsDuringOutageAndRelayKill() throws Exception {
         Path file = Files.writeString(folder.resolve("z.toml"), """
                 title = "keys"
                 seconds = 5
@@ -129,8 +129,8 @@
         CheckedToml checked = CheckedToml.by(Experiment.class, "experiment.schema.json");
         Run run =
                 SocketEngine.play("keys", Plan.of(checked.read(file, List.of()), 3), "juniperusher.cli.Main", at -> {});
-        assertEquals(List.of(), run.broken());
-        assertTrue(run.figures().get("p50_sequenced") > 0, "nothing in order was delivered: " + run.figures());
+        assertEquals(List.of(), run.violations());
+        assertTrue(run.figures().get("p50_sequenced") > 0, "no sequenced message was delivered: " + run.figures());
         assertTrue(run.figures().get("worth") > 0.3, run.figures().toString());
         Run careless = SocketEngine.play(
                 "not told",
@@ -141,7 +141,9 @@
                         3),
                 "juniperusher.cli.Main",
                 at -> {});
-        assertTrue(careless.figures().get("broken") > 0, "then the case above shows nothing");
+        assertTrue(
+                careless.figures().get("broken") > 0,
+                "a run without keys keeps the order, so the run above proves nothing");
     }
 
     private static double sum(Run run, String series) {
--- a/src/test/java/juniperusher/lab/VirtualEngineTest.java
+++ b/src/test/java/juniperusher/lab/VirtualEngineTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Seeds 1 and 2 of each hard case; longer runs by `juniperusher lab run`. */
+/** Runs each difficult case with seeds 1 and 2; `juniperusher lab run` runs more seeds. */
 class VirtualEngineTest {
     private static final String TROUBLE = "destinations.0.troubles.0.";
 
@@ -27,14 +27,14 @@
         List<Run> runs = new ArrayList<>();
         for (int seed = 1; seed <= 2; seed++) {
             Run run = VirtualEngine.play("", Plan.of(file(sets), seed));
-            assertEquals(List.of(), run.broken(), "seed " + seed);
+            assertEquals(List.of(), run.violations(), "seed " + seed);
             assertTrue(run.figures().get("worth") > 0.5, "hardly anything is delivered: " + run.figures());
             runs.add(run);
         }
         return runs;
     }
 
-    private static void neverTooMuch(List<Run> runs) {
+    private static void assertCapacityNotExceeded(List<Run> runs) {
         for (Run run : runs) {
             assertEquals(0, run.figures().get("above"), "seed " + run.seed());
             assertEquals(0, run.figures().get("fell"), "seed " + run.seed());
@@ -52,69 +52,69 @@
         "hang, 0",
         "hang, 1"
     })
-    void threeRelaysThatSeeOneReturnNeverSendMoreThanItTakes(String trouble, double lost) throws IOException {
-        neverTooMuch(play(TROUBLE + "kind=" + trouble, "notes.lost=" + lost));
+    void threeRelaysStayWithinCapacityDuringRecovery(String trouble, double lost) throws IOException {
+        assertCapacityNotExceeded(play(TROUBLE + "kind=" + trouble, "notes.lost=" + lost));
     }
 
     @Test
-    void withoutThePackageMoreIsSentThanItTakes() throws IOException {
+    void withoutStormPackageCapacityIsExceeded() throws IOException {
         assertTrue(
                 play("relays.storm=false").stream()
                         .anyMatch(run -> run.figures().get("above") > 0),
-                "then the case above shows nothing");
+                "capacity is kept without the storm package, so the tests of it prove nothing");
     }
 
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void refusalsOfAnOutageSetNoPaceForItsReturn(boolean storm) throws IOException {
+    void refusalsDuringOutageDoNotLimitTheRateAfterIt(boolean storm) throws IOException {
         for (Run run : play(TROUBLE + "kind=shut", "relays.storm=" + storm)) {
-            // 0.86 where the pace that the refusals left holds over the return
+            // 0.86 if the rate limit from the refusals stays in effect during the recovery
             assertTrue(run.figures().get("worth_struck") > 0.885, run.figures().toString());
         }
     }
 
     @Test
-    void twentyRelaysThatHearOfOneReturnDoNotAllCallAtOnce() throws IOException {
-        neverTooMuch(play("relays.count=20"));
+    void twentyRelaysStayWithinCapacityDuringRecovery() throws IOException {
+        assertCapacityNotExceeded(play("relays.count=20"));
     }
 
     @Test
-    void aRelayKilledInTheMiddleOfTheRecoveryDoesNoHarm() throws IOException {
-        neverTooMuch(play("crashes=[{relay = 2, at = 44}]", "notes.lost=0.2"));
+    void relayKilledDuringRecoveryKeepsWithinCapacity() throws IOException {
+        assertCapacityNotExceeded(play("crashes=[{relay = 2, at = 44}]", "notes.lost=0.2"));
     }
 
     @Test
-    void clientsThatKeepNoToldTimeDoNoHarm() throws IOException {
-        neverTooMuch(play("clients.heed=0", "clients.load=1.2", "notes.lost=0.2"));
+    void clientsIgnoringRetryAfterKeepWithinCapacity() throws IOException {
+        assertCapacityNotExceeded(play("clients.heed=0", "clients.load=1.2", "notes.lost=0.2"));
     }
 
     @Test
-    void aDestinationThatFallsAgainByItselfReturnsAsSafely() throws IOException {
-        neverTooMuch(play("destinations.0.troubles=[{kind = 'shut', from = 10, until = 25},"
+    void secondOutageKeepsWithinCapacity() throws IOException {
+        assertCapacityNotExceeded(play("destinations.0.troubles=[{kind = 'shut', from = 10, until = 25},"
                 + "{kind = 'hang', from = 30, until = 50}]"));
     }
 
     @Test
-    void twoDestinationsThatStormAtOnceLeaveTheThirdAlone() throws IOException {
+    void twoStormsLeaveSoundDestinationUnaffected() throws IOException {
         String other = "destinations.1.troubles=[{kind = 'fast_errors', from = 10, until = 40}]";
-        neverTooMuch(play(other));
+        assertCapacityNotExceeded(play(other));
         double calm = play("destinations.0.troubles=[]").get(0).figures().get("worth_sound");
         assertTrue(play(other).get(0).figures().get("worth_sound") > calm - 0.02);
     }
 
     @Test
-    void aToldWaitLongerThanTheMessagesTimeIsKept() throws IOException {
+    void retryAfterBeyondTheDeadlineIsKept() throws IOException {
         play(TROUBLE + "kind=shut", "destinations.0.told_wait=30");
         play(TROUBLE + "kind=shut", "destinations.0.told_wait=30", "relays.storm=false");
     }
 
     @Test
-    void aDestinationThatSlowsDownLosesNothingToTheRules() throws IOException {
+    void slowDestinationCausesNoViolations() throws IOException {
         play(TROUBLE + "kind=slow", "destinations.0.limit=window", "destinations.0.queue=10");
     }
 
     @Test
-    void theSamePlanHasTheSameHistoryAndAnotherSeedAnother() throws IOException {
+    void historyDependsOnlyOnPlanAndSeed() throws IOException {
         JsonObject file = file("notes.lost=0.3", "crashes=[{relay = 1, at = 44}]");
         long hash = VirtualEngine.play("", Plan.of(file, 5)).hash();
         assertEquals(hash, VirtualEngine.play("", Plan.of(file, 5)).hash());
--- a/src/test/java/juniperusher/lab/report/ResultsTest.java
+++ b/src/test/java/juniperusher/lab/report/ResultsTest.java
@@ -12,7 +12,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import juniperusher.lab.Experiment.Judged;
+import juniperusher.lab.Experiment.Verdict;
 import juniperusher.lab.Run;
 import juniperusher.lab.Tally;
 import org.junit.jupiter.api.Test;
@@ -26,7 +26,7 @@
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put("worth", worth);
         figures.put("p99_sound", 2.0);
-        double[] percentiles = new double[Tally.AT.size()];
+        double[] percentiles = new double[Tally.PERCENTILES.size()];
         return new Run(
                 variant,
                 seed,
@@ -42,7 +42,7 @@
         for (int seed = 1; seed <= 4; seed++) {
             runs.add(run("a <b>", seed, 0.8 + seed * 0.01 + add));
         }
-        return new Results("a & b", "virtual", runs, List.of(new Judged(true, "worth: 0.9")));
+        return new Results("a & b", "virtual", runs, List.of(new Verdict(true, "worth: 0.9")));
     }
 
     @Test
@@ -69,7 +69,7 @@
     void aBrokenRuleOrAnUnmetExpectationIsNotHeld() {
         assertTrue(results(0).held());
         assertFalse(new Results("", "", List.of(run("a", 1, 1, "1.0 s: broken")), List.of()).held());
-        assertFalse(new Results("", "", List.of(run("a", 1, 1)), List.of(new Judged(false, ""))).held());
+        assertFalse(new Results("", "", List.of(run("a", 1, 1)), List.of(new Verdict(false, ""))).held());
     }
 
     @Test
