--- a/src/main/java/juniperusher/lab/Demand.java
+++ b/src/main/java/juniperusher/lab/Demand.java
@@ -22,7 +22,7 @@
         this.plan = plan;
         classes = LabSettings.classes(plan);
         for (int i = 0; i < plan.destinations().size(); i++) {
-            clientModels.add(plan.clients(i));
+            clientModels.add(plan.clientModel(i));
             traitRandoms.add(plan.traitRandom(i));
         }
         keyModel = plan.keyModel();
@@ -70,7 +70,7 @@
     }
 
     /** The model of a destination's clients, which decides whether and when they resubmit. */
-    public ClientModel clients(int destination) {
+    public ClientModel clientModel(int destination) {
         return clientModels.get(destination);
     }
 }
--- a/src/main/java/juniperusher/lab/DestinationModel.java
+++ b/src/main/java/juniperusher/lab/DestinationModel.java
@@ -5,8 +5,8 @@
 import java.util.PriorityQueue;
 import juniperusher.Protocol.Outcome;
 import juniperusher.lab.Plan.Destination;
-import juniperusher.lab.Plan.Kind;
 import juniperusher.lab.Plan.Trouble;
+import juniperusher.lab.Plan.TroubleKind;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
@@ -21,8 +21,8 @@
 
     private static final double BURST_SECONDS = 0.4; // of its rate; the size of the token bucket
     private static final double REFUSAL_SECONDS = 0.02;
-    private static final double CHANCE_CALLS = 3; // allowed beyond the capacity of a window
-    private static final double LOG_SIGMA = 0.8; // of lognormal answer times
+    private static final double CHANCE_CALLS = 3; // by which random variation may exceed the capacity of a window
+    private static final double LOG_SIGMA = 0.8; // standard deviation of the logarithm of answer times
 
     /**
      * The answer to a call.
@@ -34,10 +34,10 @@
 
     private final Destination plan;
     private final UniformRandomProvider random;
-    private final Deque<Double> recentCalls =
-            new ArrayDeque<>(); // times of the calls in the window, since the recovery began
-    private final PriorityQueue<Double> callEnds =
-            new PriorityQueue<>(); // end times of the calls that run or are queued
+    // Times of the calls in the window, since the recovery began.
+    private final Deque<Double> recentCalls = new ArrayDeque<>();
+    // End times of the calls that run or are queued.
+    private final PriorityQueue<Double> callEnds = new PriorityQueue<>();
     private int troubleIndex = -1; // the current or last one; -1 before the first
     private double outageUntil;
     private double tokens;
@@ -72,7 +72,7 @@
     }
 
     private double capacity(Trouble last, double now) {
-        if (last.kind() == Kind.SLOW) {
+        if (last.kind() == TroubleKind.SLOW) {
             return now < outageUntil && plan.queue() >= 0 ? plan.rate() / last.slowdown() : plan.rate();
         }
         return now < outageUntil
@@ -85,7 +85,7 @@
     public Answer call(double now) {
         Trouble last = currentTrouble(now);
         double slowdown = 1;
-        if (last != null && last.kind() == Kind.SLOW) {
+        if (last != null && last.kind() == TroubleKind.SLOW) {
             slowdown = now < outageUntil ? last.slowdown() : 1;
         } else if (last != null) {
             if (now < outageUntil) {
@@ -99,12 +99,12 @@
             }
         }
         double service = answerTime() * slowdown;
-        double after = plan.queue() < 0 ? delayByRate(now, service) : delayBySlots(now, service);
-        if (after < 0) {
+        double delay = plan.queue() < 0 ? delayByRate(now, service) : delayBySlots(now, service);
+        if (delay < 0) {
             refusedCalls++;
             return new Answer(Outcome.FULL, REFUSAL_SECONDS, plan.retryAfter());
         }
-        return new Answer(Outcome.DELIVERED, after, 0);
+        return new Answer(Outcome.DELIVERED, delay, 0);
     }
 
     /** Records a call during the recovery. Returns whether the destination collapses under it. */
@@ -115,13 +115,13 @@
         }
         double capacity = capacity(last, now);
         double from = Math.max(outageUntil, now - WINDOW_SECONDS);
-        double takes =
+        double allowed =
                 (capacity(last, from) + capacity) / 2 * (now - from) + Math.max(CHANCE_CALLS, BURST_SECONDS * capacity);
-        maxExcess = Math.max(maxExcess, recentCalls.size() - takes);
+        maxExcess = Math.max(maxExcess, recentCalls.size() - allowed);
         double budget = last.overloadFactor() * capacity * WINDOW_SECONDS;
-        double over = recentCalls.size() - budget - 2 * Math.sqrt(budget) - 2;
-        maxOverBudget = Math.max(maxOverBudget, over);
-        return over > 0;
+        double overBudget = recentCalls.size() - budget - 2 * Math.sqrt(budget) - 2;
+        maxOverBudget = Math.max(maxOverBudget, overBudget);
+        return overBudget > 0;
     }
 
     private double delayByRate(double now, double service) {
@@ -142,7 +142,7 @@
         }
         double share = capacity(now) / plan.rate();
         int slots = (int) Math.max(1, Math.round(plan.rate() * plan.latency() * Math.max(share, 0)));
-        if (troubleIndex >= 0 && plan.troubles().get(troubleIndex).kind() == Kind.SLOW) {
+        if (troubleIndex >= 0 && plan.troubles().get(troubleIndex).kind() == TroubleKind.SLOW) {
             slots = (int) Math.max(
                     1,
                     Math.round(plan.rate() * plan.latency())); // SLOW keeps the number of slots; each call takes longer
@@ -175,7 +175,7 @@
         };
     }
 
-    private Answer outageAnswer(Kind kind) {
+    private Answer outageAnswer(TroubleKind kind) {
         return switch (kind) {
             case SHUT -> new Answer(Outcome.FULL, REFUSAL_SECONDS, plan.retryAfter());
             case FAST_ERRORS -> new Answer(Outcome.ERROR, REFUSAL_SECONDS, 0);
--- a/src/main/java/juniperusher/lab/Experiment.java
+++ b/src/main/java/juniperusher/lab/Experiment.java
@@ -15,7 +15,7 @@
  * @param engine {@code virtual} or {@code sockets}
  * @param plans  by variant, one for each seed
  */
-public record Experiment(String title, String engine, Map<String, List<Plan>> plans, List<Expectation> expected) {
+public record Experiment(String title, String engine, Map<String, List<Plan>> plans, List<Expectation> expectations) {
     /** The name of the only variant where a file defines none. */
     public static final String AS_WRITTEN = "as written";
 
@@ -82,46 +82,47 @@
         return new Experiment(file.getString("title", ""), file.getString("engine", "virtual"), plans, expected);
     }
 
-    private static Expectation expectation(JsonObject one, Map<String, List<Plan>> plans) {
-        String against = one.getString("against", null);
-        List<String> of = new ArrayList<>();
-        one.get("of").asArray().forEach(name -> of.add(name.asString()));
-        if (of.isEmpty()) {
-            plans.keySet().stream().filter(name -> !name.equals(against)).forEach(of::add);
+    private static Expectation expectation(JsonObject table, Map<String, List<Plan>> plans) {
+        String baseline = table.getString("against", null);
+        List<String> variants = new ArrayList<>();
+        table.get("of").asArray().forEach(name -> variants.add(name.asString()));
+        if (variants.isEmpty()) {
+            plans.keySet().stream().filter(name -> !name.equals(baseline)).forEach(variants::add);
         }
-        List<String> named = new ArrayList<>(of);
-        if (against != null) {
-            named.add(against);
+        List<String> names = new ArrayList<>(variants);
+        if (baseline != null) {
+            names.add(baseline);
         }
-        for (String name : named) {
+        for (String name : names) {
             if (!plans.containsKey(name)) {
                 throw new IllegalArgumentException("expect: there is no variant '" + name
                         + "'; expected one of "
                         + String.join(", ", plans.keySet()));
             }
         }
-        String figure = one.getString("figure", "");
-        for (String name : named) {
+        String figure = table.getString("figure", "");
+        for (String name : names) {
             if (!plans.get(name).get(0).hasFigure(figure)) {
                 throw new IllegalArgumentException("expect: '" + figure + "' is no figure of variant '" + name
                         + "'; expected sequenced.share above 0 for those of the class in order, tenants for those"
                         + " of shares");
             }
         }
-        Double times = number(one, "at_most_times");
-        Expectation out = new Expectation(
+        Double maxRatio = number(table, "at_most_times");
+        Expectation expectation = new Expectation(
                 figure,
-                of,
-                one.getString("over", "mean"),
-                against,
-                number(one, "at_least"),
-                number(one, "at_most"),
-                times);
-        if (out.atLeast() == null && out.atMost() == null && times == null || times != null && against == null) {
-            throw new IllegalArgumentException("expect: '" + out.figure()
+                variants,
+                table.getString("over", "mean"),
+                baseline,
+                number(table, "at_least"),
+                number(table, "at_most"),
+                maxRatio);
+        if (expectation.atLeast() == null && expectation.atMost() == null && maxRatio == null
+                || maxRatio != null && baseline == null) {
+            throw new IllegalArgumentException("expect: '" + expectation.figure()
                     + "' has no bound; expected at_least, at_most, or at_most_times with against");
         }
-        return out;
+        return expectation;
     }
 
     private static Double number(JsonObject table, String key) {
@@ -131,38 +132,39 @@
     /** Compares the runs with all expectations. */
     public List<Verdict> judge(List<Run> runs) {
         List<Verdict> out = new ArrayList<>();
-        for (Expectation one : expected) {
-            for (String variant : one.variants()) {
-                out.add(judge(one, variant, runs));
+        for (Expectation expectation : expectations) {
+            for (String variant : expectation.variants()) {
+                out.add(judge(expectation, variant, runs));
             }
         }
         return out;
     }
 
-    private static Verdict judge(Expectation one, String variant, List<Run> runs) {
-        double value = aggregate(one.aggregate(), values(runs, variant, one.figure()));
-        String text = String.format(Locale.ROOT, "%s of %s, %s: %.4f", one.aggregate(), one.figure(), variant, value);
-        boolean held = true;
+    private static Verdict judge(Expectation expectation, String variant, List<Run> runs) {
+        double value = aggregate(expectation.aggregate(), values(runs, variant, expectation.figure()));
+        String text = String.format(
+                Locale.ROOT, "%s of %s, %s: %.4f", expectation.aggregate(), expectation.figure(), variant, value);
+        boolean met = true;
         double bounded = value;
-        if (one.baseline() != null) {
-            double other = aggregate("mean", values(runs, one.baseline(), one.figure()));
+        if (expectation.baseline() != null) {
+            double other = aggregate("mean", values(runs, expectation.baseline(), expectation.figure()));
             bounded = value - other;
-            text += String.format(Locale.ROOT, ", %s: %.4f", one.baseline(), other);
-            if (one.maxRatio() != null) {
-                held = value <= one.maxRatio() * other;
-                text += String.format(Locale.ROOT, "; %.3f times, at most %.3f", value / other, one.maxRatio());
+            text += String.format(Locale.ROOT, ", %s: %.4f", expectation.baseline(), other);
+            if (expectation.maxRatio() != null) {
+                met = value <= expectation.maxRatio() * other;
+                text += String.format(Locale.ROOT, "; %.3f times, at most %.3f", value / other, expectation.maxRatio());
             }
         }
-        String what = one.baseline() == null ? "" : "difference ";
-        if (one.atLeast() != null) {
-            held &= bounded >= one.atLeast();
-            text += "; " + what + "at least " + one.atLeast();
+        String label = expectation.baseline() == null ? "" : "difference ";
+        if (expectation.atLeast() != null) {
+            met &= bounded >= expectation.atLeast();
+            text += "; " + label + "at least " + expectation.atLeast();
         }
-        if (one.atMost() != null) {
-            held &= bounded <= one.atMost();
-            text += "; " + what + "at most " + one.atMost();
+        if (expectation.atMost() != null) {
+            met &= bounded <= expectation.atMost();
+            text += "; " + label + "at most " + expectation.atMost();
         }
-        return new Verdict(held, text);
+        return new Verdict(met, text);
     }
 
     /** The values of a figure in the runs of a variant. */
@@ -173,15 +175,16 @@
                 .toArray();
     }
 
-    private static double aggregate(String how, double... values) {
-        double out = how.equals("min") ? Double.POSITIVE_INFINITY : how.equals("max") ? Double.NEGATIVE_INFINITY : 0;
+    private static double aggregate(String method, double... values) {
+        double result =
+                method.equals("min") ? Double.POSITIVE_INFINITY : method.equals("max") ? Double.NEGATIVE_INFINITY : 0;
         for (double value : values) {
-            out = switch (how) {
-                case "min" -> Math.min(out, value);
-                case "max" -> Math.max(out, value);
-                default -> out + value / values.length;
+            result = switch (method) {
+                case "min" -> Math.min(result, value);
+                case "max" -> Math.max(result, value);
+                default -> result + value / values.length;
             };
         }
-        return out;
+        return result;
     }
 }
--- a/src/main/java/juniperusher/lab/KeyModel.java
+++ b/src/main/java/juniperusher/lab/KeyModel.java
@@ -28,13 +28,13 @@
     /**
      * Creates a model without active keys.
      *
-     * @param rate sequenced messages per second, over all destinations
-     * @param gap  mean time between two messages of a key, s
-     * @param life mean time for which a key is used, s
+     * @param rate         sequenced messages per second, over all destinations
+     * @param meanGap      mean time between two messages of a key, s
+     * @param meanLifetime mean time for which a key is used, s
      */
-    KeyModel(double rate, double gap, double life, int relays, UniformRandomProvider random) {
-        maxActiveKeys = (int) Math.max(1, Math.round(rate * gap));
-        this.meanLifetime = life;
+    KeyModel(double rate, double meanGap, double meanLifetime, int relays, UniformRandomProvider random) {
+        maxActiveKeys = (int) Math.max(1, Math.round(rate * meanGap));
+        this.meanLifetime = meanLifetime;
         this.relays = relays;
         this.random = random;
     }
--- a/src/main/java/juniperusher/lab/KeyOrder.java
+++ b/src/main/java/juniperusher/lab/KeyOrder.java
@@ -47,8 +47,8 @@
     }
 
     /** Creates a check with this quiet time of a key after an attempt that ended without an answer, in seconds. */
-    KeyOrder(double quiet) {
-        this.quietSeconds = quiet;
+    KeyOrder(double quietSeconds) {
+        this.quietSeconds = quietSeconds;
     }
 
     /** Records that a relay accepted a message with a key, after those it accepted before. */
--- a/src/main/java/juniperusher/lab/LabSettings.java
+++ b/src/main/java/juniperusher/lab/LabSettings.java
@@ -115,10 +115,10 @@
     /**
      * The same settings as the {@code settings} object in the configuration file of a relay.
      *
-     * @param me        the index of the relay
+     * @param relay     the index of the relay
      * @param keepAlive s after which an endpoint closes an idle connection
      */
-    public static JsonObject json(Plan plan, int me, double keepAlive) {
+    public static JsonObject json(Plan plan, int relay, double keepAlive) {
         Settings settings = of(plan);
         Rules rules = settings.rules();
         Allowed allowed = settings.allowed();
@@ -175,7 +175,7 @@
                 .add(
                         "loadReport",
                         new JsonObject().add("fields", new JsonArray()).add("how", "off"))
-                .add("me", me)
+                .add("me", relay)
                 .add("membershipMode", "push")
                 .add(
                         "obligations",
--- a/src/main/java/juniperusher/lab/NoteModel.java
+++ b/src/main/java/juniperusher/lab/NoteModel.java
@@ -22,12 +22,12 @@
         if (random.nextDouble() < notes.lostShare()) {
             return new double[0];
         }
-        double[] out = new double[random.nextDouble() < notes.duplicatedShare() ? 2 : 1];
-        for (int i = 0; i < out.length; i++) {
-            out[i] = MIN_DELAY_SECONDS
+        double[] delays = new double[random.nextDouble() < notes.duplicatedShare() ? 2 : 1];
+        for (int i = 0; i < delays.length; i++) {
+            delays[i] = MIN_DELAY_SECONDS
                     + random.nextDouble() * (MAX_DELAY_SECONDS - MIN_DELAY_SECONDS)
                     + (random.nextDouble() < notes.lateShare() ? notes.extraDelay() : 0);
         }
-        return out;
+        return delays;
     }
 }
--- a/src/main/java/juniperusher/lab/Plan.java
+++ b/src/main/java/juniperusher/lab/Plan.java
@@ -80,7 +80,7 @@
     /**
      * The class whose messages are delivered in the order of their key.
      *
-     * @param share                    share of all messages; the rest is divided among the other classes
+     * @param share                    its share of all messages; notices and orders divide the rest
      * @param unsafe                   whether a message that may have run must not be repeated
      * @param keyedShare               share of its messages that have a key
      * @param meanGap                  mean time between two messages of a key, s
@@ -143,7 +143,7 @@
      * How a destination fails: {@code SHUT} refuses all calls as full, {@code FAST_ERRORS} answers with errors,
      * {@code HANG} never answers, {@code SLOW} answers late, {@code DOWN} refuses connections.
      */
-    public enum Kind {
+    public enum TroubleKind {
         SHUT,
         FAST_ERRORS,
         HANG,
@@ -160,7 +160,7 @@
      * @param slowdown       factor on answer times during {@code SLOW}
      */
     public record Trouble(
-            Kind kind,
+            TroubleKind kind,
             double from,
             double until,
             double coldShare,
@@ -260,7 +260,8 @@
                         one,
                         "troubles",
                         trouble -> new Trouble(
-                                Kind.valueOf(trouble.getString("kind", "").toUpperCase(Locale.ROOT)),
+                                TroubleKind.valueOf(
+                                        trouble.getString("kind", "").toUpperCase(Locale.ROOT)),
                                 number(trouble, "from"),
                                 number(trouble, "until"),
                                 number(trouble, "cold"),
@@ -327,7 +328,7 @@
     }
 
     /** Creates the model of a destination's clients. */
-    public ClientModel clients(int destination) {
+    public ClientModel clientModel(int destination) {
         return new ClientModel(
                 clients,
                 random((destination + 1) * STREAMS_PER_DESTINATION + 1),
--- a/src/main/java/juniperusher/lab/RuleChecker.java
+++ b/src/main/java/juniperusher/lab/RuleChecker.java
@@ -32,12 +32,12 @@
      *
      * @param answerTolerance     s by which a final answer may be late
      * @param retryAfterTolerance s after the start of a retry-after delay in which calls are still allowed
-     * @param keyQuiet            s, the quiet time of a key after an attempt that ended without an answer
+     * @param keyQuietSeconds     s, the quiet time of a key after an attempt that ended without an answer
      */
-    public RuleChecker(double answerTolerance, double retryAfterTolerance, double keyQuiet) {
+    public RuleChecker(double answerTolerance, double retryAfterTolerance, double keyQuietSeconds) {
         this.answerTolerance = answerTolerance;
         this.retryAfterTolerance = retryAfterTolerance;
-        keyOrder = new KeyOrder(keyQuiet);
+        keyOrder = new KeyOrder(keyQuietSeconds);
     }
 
     /** The state of an accepted message without a final answer. */
@@ -77,19 +77,19 @@
         if (withdrawn.contains(id)) {
             return;
         }
-        UnansweredMessage life = unanswered.get(id);
-        if (life == null) {
-            broken(now, id, "is sent after its end, or was never taken");
+        UnansweredMessage message = unanswered.get(id);
+        if (message == null) {
+            addViolation(now, id, "is sent after its end, or was never taken");
             return;
         }
-        if (life.attemptsInFlight > 0) {
-            broken(now, id, "has two attempts out");
+        if (message.attemptsInFlight > 0) {
+            addViolation(now, id, "has two attempts out");
         }
-        if (life.mayHaveRun && life.unsafe) {
-            broken(now, id, "is sent again though it may have run");
+        if (message.mayHaveRun && message.unsafe) {
+            addViolation(now, id, "is sent again though it may have run");
         }
-        keyOrder.attemptStarted(id, now).ifPresent(how -> broken(now, id, how));
-        life.attemptsInFlight++;
+        keyOrder.attemptStarted(id, now).ifPresent(how -> addViolation(now, id, how));
+        message.attemptsInFlight++;
     }
 
     /** Records an attempt that was answered or never reached its destination. */
@@ -105,10 +105,10 @@
     }
 
     private void removeAttempt(Object id, boolean mayHaveRun) {
-        UnansweredMessage life = unanswered.get(id);
-        if (life != null) {
-            life.attemptsInFlight = Math.max(0, life.attemptsInFlight - 1);
-            life.mayHaveRun |= mayHaveRun;
+        UnansweredMessage message = unanswered.get(id);
+        if (message != null) {
+            message.attemptsInFlight = Math.max(0, message.attemptsInFlight - 1);
+            message.mayHaveRun |= mayHaveRun;
         }
     }
 
@@ -118,11 +118,11 @@
      * @param excusedUntil time until which no final answer is due, because the relay has to restart first
      */
     public void messageInterrupted(Object id, double excusedUntil) {
-        UnansweredMessage life = unanswered.get(id);
-        if (life != null) {
-            life.mayHaveRun |= life.attemptsInFlight > 0;
-            life.attemptsInFlight = 0;
-            life.excusedUntil = excusedUntil;
+        UnansweredMessage message = unanswered.get(id);
+        if (message != null) {
+            message.mayHaveRun |= message.attemptsInFlight > 0;
+            message.attemptsInFlight = 0;
+            message.excusedUntil = excusedUntil;
         }
     }
 
@@ -131,7 +131,7 @@
      *
      * @param returned whether the message failed without any effect, so that the client may resubmit it
      */
-    public void answered(Object id, double now, boolean returned) {
+    public void messageAnswered(Object id, double now, boolean returned) {
         statusReported(id, now, returned);
         reportAcknowledged(id);
     }
@@ -142,13 +142,13 @@
      * @param returned whether the message failed without any effect, so that the client may resubmit it
      */
     public void statusReported(Object id, double now, boolean returned) {
-        UnansweredMessage life = unanswered.remove(id);
-        if (life == null) {
-            broken(now, id, "is answered twice, or was never taken");
-        } else if (returned && life.unsafe && (life.mayHaveRun || life.attemptsInFlight > 0)) {
-            broken(now, id, "is handed back though it may have run");
-        } else if (now > Math.max(life.deadline, life.excusedUntil) + answerTolerance) {
-            broken(now, id, lateAnswerText(life, now));
+        UnansweredMessage message = unanswered.remove(id);
+        if (message == null) {
+            addViolation(now, id, "is answered twice, or was never taken");
+        } else if (returned && message.unsafe && (message.mayHaveRun || message.attemptsInFlight > 0)) {
+            addViolation(now, id, "is handed back though it may have run");
+        } else if (now > Math.max(message.deadline, message.excusedUntil) + answerTolerance) {
+            addViolation(now, id, lateAnswerText(message, now));
         }
     }
 
@@ -162,8 +162,8 @@
         return unanswered.containsKey(id);
     }
 
-    private static String lateAnswerText(UnansweredMessage life, double now) {
-        return String.format(Locale.ROOT, "has its final answer %.3f s after its time", now - life.deadline);
+    private static String lateAnswerText(UnansweredMessage message, double now) {
+        return String.format(Locale.ROOT, "has its final answer %.3f s after its time", now - message.deadline);
     }
 
     /** Records that a destination told a relay not to call it again before a time. */
@@ -182,42 +182,42 @@
 
     /** Records that a relay calls or probes a destination. */
     public void destinationCalled(int relay, int destination, double now) {
-        double[] wait = retryDelays.get(List.of(relay, destination));
-        if (wait != null && now > wait[0] + retryAfterTolerance && now < wait[1] - 1e-6) {
-            broken(
+        double[] delay = retryDelays.get(List.of(relay, destination));
+        if (delay != null && now > delay[0] + retryAfterTolerance && now < delay[1] - 1e-6) {
+            addViolation(
                     now,
                     "of relay " + relay,
                     String.format(
                             Locale.ROOT,
                             "is sent to destination %d %.3f s before a told wait is over",
                             destination,
-                            wait[1] - now));
+                            delay[1] - now));
         }
     }
 
     /** Ends the run: each message that should have a final answer by now and has none is a violation. */
     public void runFinished(double now) {
-        unanswered.forEach((id, life) -> {
-            if (now > Math.max(life.deadline, life.excusedUntil) + answerTolerance) {
-                broken(now, id, "is never answered");
+        unanswered.forEach((id, message) -> {
+            if (now > Math.max(message.deadline, message.excusedUntil) + answerTolerance) {
+                addViolation(now, id, "is never answered");
             }
         });
     }
 
-    private void broken(double now, Object id, String how) {
+    private void addViolation(double now, Object id, String violation) {
         violationCount++;
         if (violations.size() < MAX_REPORTED_VIOLATIONS) {
-            violations.add(String.format(Locale.ROOT, "%.3f s: message %s %s", now, id, how));
+            violations.add(String.format(Locale.ROOT, "%.3f s: message %s %s", now, id, violation));
         }
     }
 
-    /** The number of violations, including those without a line in {@link #broken()}. */
+    /** The number of violations, including those without a line in {@link #violations()}. */
     public int violationCount() {
         return violationCount;
     }
 
     /** The first violations, each in one line. */
-    public List<String> broken() {
+    public List<String> violations() {
         return List.copyOf(violations);
     }
 }
--- a/src/main/java/juniperusher/lab/Run.java
+++ b/src/main/java/juniperusher/lab/Run.java
@@ -4,7 +4,8 @@
 import java.util.Map;
 
 /**
- * The result of one run. Worth is that of delivered over that of requested messages, from the measured time on.
+ * The result of one run. A worth among the figures is a ratio: the worth that delivered messages earned over that of
+ * all requested ones, counting requests from {@link Plan#measuredFrom()} on.
  *
  * @param variant     the name of the variant
  * @param figures     by name: {@code worth}; {@code worth_struck} and {@code worth_sound} (of destinations with and
@@ -20,7 +21,7 @@
  *                    worth requested of destinations with trouble is earned again over 3 s); {@code broken} (rule
  *                    violations)
  * @param series      by name, one value a second
- * @param percentiles latency in s by percentile for {@code sound}, {@code struck} and {@code sequenced}, in the order of
+ * @param percentiles s, the latencies of {@code sound}, {@code struck} and {@code sequenced}, in the order of
  *                    {@link Tally#PERCENTILES}
  * @param violations  the first violations of delivery rules, each in one line
  * @param hash        of the history; equal for equal plans and seeds in virtual time, 0 on sockets
--- a/src/main/java/juniperusher/lab/Tally.java
+++ b/src/main/java/juniperusher/lab/Tally.java
@@ -70,9 +70,10 @@
     /** Records the delivery of a message. Its worth decreases with the time since its request. */
     public void messageDelivered(ClientMessage wish, double at) {
         MessageClass kind = classes.get(wish.messageClass);
-        double took = Math.max(0, at - wish.requestedAt);
-        double share =
-                took <= kind.aim() ? 1 : Math.max(kind.lateShare(), Math.pow(0.5, (took - kind.aim()) / kind.aim()));
+        double elapsed = Math.max(0, at - wish.requestedAt);
+        double share = elapsed <= kind.aim()
+                ? 1
+                : Math.max(kind.lateShare(), Math.pow(0.5, (elapsed - kind.aim()) / kind.aim()));
         int group = group(wish.destination);
         addToSeries(group == 1 ? "worth won, struck" : "worth won, sound", wish.requestedAt, share * kind.worth());
         addToSeries("delivered", at, 1);
@@ -81,7 +82,7 @@
         }
         earnedWorth[group] += share * kind.worth();
         tenants.addEarned(wish.tenant, share * kind.worth());
-        long micros = Math.min(MAX_LATENCY_MICROS, Math.round(took * MICROS_PER_SECOND));
+        long micros = Math.min(MAX_LATENCY_MICROS, Math.round(elapsed * MICROS_PER_SECOND));
         latencies.get(group == 1 ? "struck" : "sound").recordValue(micros);
         if (wish.messageClass == LabSettings.SEQUENCED_INDEX) {
             latencies.get(SEQUENCED).recordValue(micros);
@@ -157,29 +158,29 @@
                 PERCENTILES.stream()
                         .mapToDouble(at -> histogram.getValueAtPercentile(at) / MICROS_PER_SECOND)
                         .toArray()));
-        return new Run(variant, plan.seed(), figures, new TreeMap<>(series), percentiles, rules.broken(), hash);
+        return new Run(variant, plan.seed(), figures, new TreeMap<>(series), percentiles, rules.violations(), hash);
     }
 
     /** Time from the end of the last trouble to the first window in which enough of the worth was earned. */
     private double recoverySeconds() {
-        double back = plan.lastTroubleEnd();
-        double[] all = series.get("worth asked, struck");
-        double[] got = series.getOrDefault("worth won, struck", new double[0]);
-        if (back == 0 || all == null || got.length == 0) {
+        double recoveryStart = plan.lastTroubleEnd();
+        double[] requested = series.get("worth asked, struck");
+        double[] earned = series.getOrDefault("worth won, struck", new double[0]);
+        if (recoveryStart == 0 || requested == null || earned.length == 0) {
             return 0;
         }
-        for (int first = (int) back; first + RECOVERY_WINDOW_SECONDS <= all.length; first++) {
-            double wanted = 0;
-            double reached = 0;
+        for (int first = (int) recoveryStart; first + RECOVERY_WINDOW_SECONDS <= requested.length; first++) {
+            double requestedInWindow = 0;
+            double earnedInWindow = 0;
             for (int i = first; i < first + RECOVERY_WINDOW_SECONDS; i++) {
-                wanted += all[i];
-                reached += got[i];
+                requestedInWindow += requested[i];
+                earnedInWindow += earned[i];
             }
-            if (reached >= RECOVERED_SHARE * wanted) {
-                return first - back;
+            if (earnedInWindow >= RECOVERED_SHARE * requestedInWindow) {
+                return first - recoveryStart;
             }
         }
-        return all.length - back;
+        return requested.length - recoveryStart;
     }
 
     private static double share(double part, double whole) {
--- a/src/main/java/juniperusher/lab/TenantTally.java
+++ b/src/main/java/juniperusher/lab/TenantTally.java
@@ -60,11 +60,15 @@
         return entitled == 0 ? 1 : Math.min(1, earnedWorth[tenant] / entitled);
     }
 
-    private double earnedShare(int... some) {
-        double all =
-                IntStream.of(some).mapToDouble(tenant -> requestedWorth[tenant]).sum();
-        return all == 0
+    private double earnedShare(int... tenantIndexes) {
+        double requested = IntStream.of(tenantIndexes)
+                .mapToDouble(tenant -> requestedWorth[tenant])
+                .sum();
+        return requested == 0
                 ? 1
-                : IntStream.of(some).mapToDouble(tenant -> earnedWorth[tenant]).sum() / all;
+                : IntStream.of(tenantIndexes)
+                                .mapToDouble(tenant -> earnedWorth[tenant])
+                                .sum()
+                        / requested;
     }
 }
--- a/src/main/java/juniperusher/lab/VirtualEngine.java
+++ b/src/main/java/juniperusher/lab/VirtualEngine.java
@@ -43,7 +43,7 @@
  */
 public final class VirtualEngine {
     private static final double ROUND_INTERVAL_SECONDS = 0.005; // between the rounds of a relay
-    private static final double MIN_NETWORK_SECONDS = 0.015; // one way, to a destination
+    private static final double MIN_NETWORK_SECONDS = 0.015; // one way, to or from a destination
     private static final double MAX_NETWORK_SECONDS = 0.045;
     private static final double ANSWER_TOLERANCE_SECONDS = 0.05; // by which a final answer may be late
     private static final double ROUNDING_SECONDS = 1e-9; // by which sums of times may differ
@@ -121,13 +121,13 @@
         for (double second = 0.5; second < plan.seconds(); second++) {
             schedule(second, this::recordSamples);
         }
-        double last = plan.seconds() + LabSettings.longestDeadline(plan) + 1;
-        while (!queue.isEmpty() && queue.peek().at() <= last) {
+        double end = plan.seconds() + LabSettings.longestDeadline(plan) + 1;
+        while (!queue.isEmpty() && queue.peek().at() <= end) {
             ScheduledTask next = queue.poll();
             now = next.at();
             next.task().run();
         }
-        rules.runFinished(last);
+        rules.runFinished(end);
         return tally.result(variant, destinations, rules, hash);
     }
 
@@ -189,16 +189,16 @@
 
     private void submit(ClientMessage message) {
         if (relays.get(message.relay).down) {
-            schedule(now + demand.clients(message.destination).reconnectDelay(), () -> submit(message));
+            schedule(now + demand.clientModel(message.destination).reconnectDelay(), () -> submit(message));
         } else if (now < message.deadline) {
             message.countSubmission();
             relays.get(message.relay).accept(message);
         }
     }
 
-    private void messageRefused(ClientMessage message, double retryAfter) {
+    private void resubmitOrGiveUp(ClientMessage message, double retryAfter) {
         tally.messageRefused(now);
-        double delay = demand.clients(message.destination).resubmissionDelay(message.submissions(), retryAfter);
+        double delay = demand.clientModel(message.destination).resubmissionDelay(message.submissions(), retryAfter);
         if (delay < Double.POSITIVE_INFINITY) {
             schedule(now + delay, () -> submit(message));
         }
@@ -223,7 +223,9 @@
     private final class Relay {
         private final int number;
         private final Map<Integer, AcceptedMessage> pending = new LinkedHashMap<>();
-        private final Map<Integer, AcceptedMessage> unacknowledged = new LinkedHashMap<>(); // with a status report
+        /** Undelivered messages whose client has not acknowledged the status report. */
+        private final Map<Integer, AcceptedMessage> unacknowledged = new LinkedHashMap<>();
+
         private Control control;
         private Storms storms;
         private List<Object> inbox = new ArrayList<>();
@@ -280,7 +282,7 @@
             }
             finishUndelivered(message, !message.mayHaveRun);
             if (!message.mayHaveRun) {
-                messageRefused(message.request, 0);
+                resubmitOrGiveUp(message.request, 0);
             }
         }
 
@@ -290,7 +292,7 @@
 
         void accept(ClientMessage request) {
             if (pending.size() >= settings.allowed().held()) {
-                messageRefused(request, FULL_RETRY_AFTER_SECONDS);
+                resubmitOrGiveUp(request, FULL_RETRY_AFTER_SECONDS);
                 return;
             }
             AcceptedMessage message = new AcceptedMessage();
@@ -355,7 +357,7 @@
                 AcceptedMessage message = pending.get(refuse.message());
                 addToHash(2, message.id);
                 finishUndelivered(message, true);
-                messageRefused(message.request, refuse.after());
+                resubmitOrGiveUp(message.request, refuse.after());
             } else if (action instanceof Fail fail) {
                 addToHash(3, fail.message());
                 finishUndelivered(pending.get(fail.message()), false);
@@ -426,9 +428,9 @@
             if (retryAfter > 0) {
                 rules.retryAfterReceived(number, message.request.destination, now, now + retryAfter);
             }
-            boolean over = outcome == Outcome.DELIVERED;
-            if (over) {
-                rules.answered(message.id, now, false);
+            boolean delivered = outcome == Outcome.DELIVERED;
+            if (delivered) {
+                rules.messageAnswered(message.id, now, false);
                 finish(message);
                 tally.messageDelivered(message.request, now);
             }
@@ -438,7 +440,7 @@
                     message.request.destination + 1,
                     outcome,
                     now - sentAt,
-                    over,
+                    delivered,
                     retryAfter,
                     null));
         }
@@ -482,8 +484,8 @@
                 if (other == this || note.to() >= 0 && note.to() != other.number) {
                     continue;
                 }
-                for (double took : notes.copyDelays()) {
-                    schedule(now + took, () -> {
+                for (double delay : notes.copyDelays()) {
+                    schedule(now + delay, () -> {
                         if (!other.down) {
                             other.post(new Noted(number, note.note()));
                         }
@@ -500,13 +502,14 @@
                 unacknowledged.put(message.id, message);
                 schedule(now + acknowledgementDelay(), () -> acknowledge(message));
             } else {
-                rules.answered(message.id, now, returned);
+                rules.messageAnswered(message.id, now, returned);
             }
         }
 
         private void acknowledge(AcceptedMessage message) {
             if (down) {
-                schedule(now + acknowledgementDelay(), () -> acknowledge(message)); // reported again after the restart
+                // The restarted relay reports it again.
+                schedule(now + acknowledgementDelay(), () -> acknowledge(message));
                 return;
             }
             unacknowledged.remove(message.id);
--- a/src/main/java/juniperusher/lab/sockets/SocketEngine.java
+++ b/src/main/java/juniperusher/lab/sockets/SocketEngine.java
@@ -349,7 +349,7 @@
                     rules.messageWithdrawn(id);
                     wish.uncountSubmission();
                     tally.addSample("unreached", now(), 1);
-                    comesBack(wish, demand.clients(wish.destination).reconnectDelay());
+                    comesBack(wish, demand.clientModel(wish.destination).reconnectDelay());
                     answered(wish);
                 });
             }
@@ -376,7 +376,7 @@
 
     private void refused(ClientMessage wish, double after) {
         tally.messageRefused(now());
-        double back = demand.clients(wish.destination).resubmissionDelay(wish.submissions(), after);
+        double back = demand.clientModel(wish.destination).resubmissionDelay(wish.submissions(), after);
         if (back < Double.POSITIVE_INFINITY) {
             comesBack(wish, back);
         }
@@ -416,7 +416,7 @@
         ClientMessage wish = wishes.get(id);
         if (done && wish != null) {
             wishes.remove(id);
-            rules.answered(id, now(), false);
+            rules.messageAnswered(id, now(), false);
             tally.messageDelivered(wish, now());
             if (!unsafe(wish)) {
                 delivered.add(id);
--- a/src/test/java/juniperusher/lab/ExperimentTest.java
+++ b/src/test/java/juniperusher/lab/ExperimentTest.java
@@ -50,7 +50,7 @@
     @ParameterizedTest
     @MethodSource("files")
     void everyRepositoryFileIsReadableAndHasExpectations(Path file) throws IOException {
-        assertTrue(read(file).expected().size() > 0, file.toString());
+        assertTrue(read(file).expectations().size() > 0, file.toString());
     }
 
     @ParameterizedTest
--- a/src/test/java/juniperusher/lab/RuleCheckerTest.java
+++ b/src/test/java/juniperusher/lab/RuleCheckerTest.java
@@ -9,11 +9,11 @@
 class RuleCheckerTest {
     private final RuleChecker rules = new RuleChecker(0.05, 0.1, 0.5);
 
-    private void assertViolations(int count, String how) {
-        assertEquals(count, rules.violationCount(), rules.broken().toString());
+    private void assertViolations(int count, String lastViolation) {
+        assertEquals(count, rules.violationCount(), rules.violations().toString());
         assertTrue(
-                count == 0 || rules.broken().get(count - 1).contains(how),
-                rules.broken().toString());
+                count == 0 || rules.violations().get(count - 1).contains(lastViolation),
+                rules.violations().toString());
     }
 
     @Test
@@ -23,7 +23,7 @@
         rules.attemptEnded("a", true);
         rules.attemptStarted("a", 2);
         rules.attemptEnded("a", true);
-        rules.answered("a", 6.04, false);
+        rules.messageAnswered("a", 6.04, false);
         rules.runFinished(100);
         assertViolations(0, "");
     }
@@ -46,7 +46,7 @@
         assertViolations(0, "");
         rules.attemptStarted("a", 3);
         assertViolations(1, "sent again though it may have run");
-        rules.answered("a", 4, true);
+        rules.messageAnswered("a", 4, true);
         assertViolations(2, "handed back though it may have run");
     }
 
@@ -65,7 +65,7 @@
         rules.messageAccepted("b", false, 6);
         rules.messageInterrupted("a", 9);
         rules.messageInterrupted("b", 9);
-        rules.answered("a", 9.01, true);
+        rules.messageAnswered("a", 9.01, true);
         assertViolations(0, "");
         rules.runFinished(9.1);
         assertViolations(1, "never answered");
@@ -84,9 +84,9 @@
     @Test
     void duplicateLateAndMissingAnswersAreViolations() {
         rules.messageAccepted("a", false, 6);
-        rules.answered("a", 7, false);
+        rules.messageAnswered("a", 7, false);
         assertViolations(1, "1.000 s after its time");
-        rules.answered("a", 7, false);
+        rules.messageAnswered("a", 7, false);
         assertViolations(2, "answered twice");
         rules.attemptStarted("a", 8);
         assertViolations(3, "after its end");
@@ -123,7 +123,7 @@
     private void deliver(String id, double from, double until) {
         rules.attemptStarted(id, from);
         rules.attemptEnded(id, true);
-        rules.answered(id, until, false);
+        rules.messageAnswered(id, until, false);
     }
 
     @Test
@@ -166,7 +166,7 @@
     void attemptInFlightAfterFinalAnswerBlocksKey() {
         acceptWithSameKey("a", "b");
         rules.attemptStarted("a", 1);
-        rules.answered("a", 2, false);
+        rules.messageAnswered("a", 2, false);
         rules.attemptStarted("b", 3);
         assertViolations(1, "while message a, taken before it, has an attempt out");
     }
@@ -178,13 +178,13 @@
         rules.attemptAbandoned("a", 2, true);
         rules.attemptStarted("a", 2.1); // further attempts of the same message are unrestricted
         rules.attemptEnded("a", true);
-        rules.answered("a", 2.2, false);
+        rules.messageAnswered("a", 2.2, false);
         assertViolations(0, "");
         rules.attemptStarted("b", 2.3);
         assertViolations(
                 1, "message b of key k is sent 0.200 s before the key has rested after an attempt of message a");
         rules.attemptAbandoned("b", 3, true);
-        rules.answered("b", 3, false);
+        rules.messageAnswered("b", 3, false);
         deliver("c", 3.5, 3.6);
         deliver("d", 3.6, 3.7); // no quiet time after an answer
         assertViolations(1, "");
@@ -214,7 +214,7 @@
         rules.messageInterrupted("c", 9);
         rules.attemptStarted("a", 2.2); // recovered by the restarted relay: a further attempt
         rules.attemptEnded("a", true);
-        rules.answered("a", 2.3, false);
+        rules.messageAnswered("a", 2.3, false);
         assertViolations(0, "");
         rules.attemptStarted("b", 2.4);
         assertViolations(
@@ -230,7 +230,7 @@
     void restartOfAnotherRelayEndsNoAttempt() {
         acceptWithSameKey("a", "b");
         rules.attemptStarted("a", 1);
-        rules.answered("a", 2, false);
+        rules.messageAnswered("a", 2, false);
         rules.relayRestarted(2, 2.5);
         rules.attemptStarted("b", 4);
         assertViolations(1, "while message a, taken before it, has an attempt out");
