--- a/src/main/java/juniperusher/lab/Experiment.java
+++ b/src/main/java/juniperusher/lab/Experiment.java
@@ -104,8 +104,8 @@
         for (String name : names) {
             if (!plans.get(name).get(0).hasFigure(figure)) {
                 throw new IllegalArgumentException("expect: '" + figure + "' is no figure of variant '" + name
-                        + "'; expected sequenced.share above 0 for those of the class in order, tenants for those"
-                        + " of shares");
+                        + "'; expected sequenced.share above 0 for figures of the sequenced class, or tenants"
+                        + " for figures of tenants");
             }
         }
         Double maxRatio = number(table, "at_most_times");
--- a/src/main/java/juniperusher/lab/Plan.java
+++ b/src/main/java/juniperusher/lab/Plan.java
@@ -190,9 +190,9 @@
             double last = 0;
             for (Trouble trouble : destination.troubles()) {
                 if (trouble.from() < last || trouble.until() <= trouble.from()) {
-                    throw new IllegalArgumentException("destinations: the troubles of '" + destination.name()
-                            + "' have to follow each other; expected from " + last
-                            + " on and until after from");
+                    throw new IllegalArgumentException("destinations: troubles of '" + destination.name()
+                            + "' overlap or end before they begin; expected from at least " + last
+                            + ", and until after from");
                 }
                 last = trouble.until();
             }
