--- a/src/main/java/juniperusher/lab/Experiment.java
+++ b/src/main/java/juniperusher/lab/Experiment.java
@@ -9,33 +9,43 @@
 import java.util.Map;
 
 /**
- * An experiment file: what is played with which seeds, and what is expected of it. Files are read and
- * checked before;
- * this is free of I/O.
+ * An experiment: its variants, the plans that they run with different seeds, and the expected results. The caller reads
+ * and validates the file; this class does no I/O. Immutable.
  *
- * @param plans by variant, one for each seed
+ * @param engine {@code virtual} or {@code sockets}
+ * @param plans  by variant, one for each seed
  */
-public record Experiment(String title, String engine, Map<String, List<Plan>> plans, List<Expectation> expected) {
-    /** The only variant of a file that names none. */
+public record Experiment(String title, String engine, Map<String, List<Plan>> plans, List<Expectation> expectations) {
+    /** The name of the only variant where a file defines none. */
     public static final String AS_WRITTEN = "as written";
 
     /**
-     * What is expected of a figure of some variants.
+     * An expected bound on a figure.
      *
-     * @param of      the variants, each judged by itself
-     * @param over    mean, max or min of the runs
-     * @param against the variant whose mean it is compared with, or null
-     * @param atLeast bound of the figure, or of its difference to the other variant's mean; or null
-     * @param atMost  the same
-     * @param times   bound of the figure over the other variant's mean, or null
+     * @param variants  the variants, each judged separately
+     * @param aggregate how the runs are aggregated: mean, max or min
+     * @param baseline  the variant whose mean the figure is compared with, or null
+     * @param atLeast   lower bound of the figure, or of its difference to the baseline; or null
+     * @param atMost    upper bound, as {@code atLeast}
+     * @param maxRatio  upper bound of the ratio of the figure to the baseline, or null
      */
     public record Expectation(
-            String figure, List<String> of, String over, String against, Double atLeast, Double atMost, Double times) {}
+            String figure,
+            List<String> variants,
+            String aggregate,
+            String baseline,
+            Double atLeast,
+            Double atMost,
+            Double maxRatio) {}
 
-    /** An expectation of one variant: whether it holds, in one line. */
-    public record Judged(boolean held, String text) {}
+    /** Whether an expectation is met by one variant, with a line of text for the report. */
+    public record Verdict(boolean met, String text) {}
 
-    /** The names of the variants of a file and what each sets, as KEY=VALUE. */
+    /**
+     * Reads the variants of a file: their names, and the settings that each overrides as KEY=VALUE.
+     *
+     * @throws IllegalArgumentException if two variants have the same name
+     */
     public static Map<String, List<String>> variants(JsonObject file) {
         Map<String, List<String>> out = new LinkedHashMap<>();
         for (JsonValue value : file.get("variants").asArray()) {
@@ -50,11 +60,11 @@
     }
 
     /**
-     * An experiment.
+     * Creates an experiment from its file.
      *
-     * @param file     the file as it is written
-     * @param variants the file as each variant has it
-     * @throws IllegalArgumentException in one line, if its parts do not go together
+     * @param file     the file without the settings of any variant
+     * @param variants by variant, the file with its settings applied
+     * @throws IllegalArgumentException with a one-line message, if parts of the file contradict each other
      */
     public static Experiment of(JsonObject file, Map<String, JsonObject> variants) {
         Map<String, List<Plan>> plans = new LinkedHashMap<>();
@@ -72,90 +82,92 @@
         return new Experiment(file.getString("title", ""), file.getString("engine", "virtual"), plans, expected);
     }
 
-    private static Expectation expectation(JsonObject one, Map<String, List<Plan>> plans) {
-        String against = one.getString("against", null);
-        List<String> of = new ArrayList<>();
-        one.get("of").asArray().forEach(name -> of.add(name.asString()));
-        if (of.isEmpty()) {
-            plans.keySet().stream().filter(name -> !name.equals(against)).forEach(of::add);
+    private static Expectation expectation(JsonObject table, Map<String, List<Plan>> plans) {
+        String baseline = table.getString("against", null);
+        List<String> variants = new ArrayList<>();
+        table.get("of").asArray().forEach(name -> variants.add(name.asString()));
+        if (variants.isEmpty()) {
+            plans.keySet().stream().filter(name -> !name.equals(baseline)).forEach(variants::add);
         }
-        List<String> named = new ArrayList<>(of);
-        if (against != null) {
-            named.add(against);
+        List<String> names = new ArrayList<>(variants);
+        if (baseline != null) {
+            names.add(baseline);
         }
-        for (String name : named) {
+        for (String name : names) {
             if (!plans.containsKey(name)) {
                 throw new IllegalArgumentException("expect: there is no variant '" + name
                         + "'; expected one of "
                         + String.join(", ", plans.keySet()));
             }
         }
-        String figure = one.getString("figure", "");
-        for (String name : named) {
+        String figure = table.getString("figure", "");
+        for (String name : names) {
             if (!plans.get(name).get(0).hasFigure(figure)) {
                 throw new IllegalArgumentException("expect: '" + figure + "' is no figure of variant '" + name
-                        + "'; expected sequenced.share above 0 for those of the class in order, tenants for those"
-                        + " of shares");
+                        + "'; expected sequenced.share above 0 for figures of the sequenced class, or tenants"
+                        + " for figures of tenants");
             }
         }
-        Double times = number(one, "at_most_times");
-        Expectation out = new Expectation(
+        Double maxRatio = number(table, "at_most_times");
+        Expectation expectation = new Expectation(
                 figure,
-                of,
-                one.getString("over", "mean"),
-                against,
-                number(one, "at_least"),
-                number(one, "at_most"),
-                times);
-        if (out.atLeast() == null && out.atMost() == null && times == null || times != null && against == null) {
-            throw new IllegalArgumentException("expect: '" + out.figure()
+                variants,
+                table.getString("over", "mean"),
+                baseline,
+                number(table, "at_least"),
+                number(table, "at_most"),
+                maxRatio);
+        if (expectation.atLeast() == null && expectation.atMost() == null && maxRatio == null
+                || maxRatio != null && baseline == null) {
+            throw new IllegalArgumentException("expect: '" + expectation.figure()
                     + "' has no bound; expected at_least, at_most, or at_most_times with against");
         }
-        return out;
+        return expectation;
     }
 
     private static Double number(JsonObject table, String key) {
         return table.get(key) == null ? null : table.get(key).asDouble();
     }
 
-    /** Judges all expectations on the runs. */
-    public List<Judged> judge(List<Run> runs) {
-        List<Judged> out = new ArrayList<>();
-        for (Expectation one : expected) {
-            for (String variant : one.of()) {
-                out.add(judge(one, variant, runs));
+    /** Compares the runs with all expectations. */
+    public List<Verdict> judge(List<Run> runs) {
+        List<Verdict> out = new ArrayList<>();
+        for (Expectation expectation : expectations) {
+            for (String variant : expectation.variants()) {
+                out.add(judge(expectation, variant, runs));
             }
         }
         return out;
     }
 
-    private static Judged judge(Expectation one, String variant, List<Run> runs) {
-        double value = over(one.over(), values(runs, variant, one.figure()));
-        String text = String.format(Locale.ROOT, "%s of %s, %s: %.4f", one.over(), one.figure(), variant, value);
-        boolean held = true;
+    private static Verdict judge(Expectation expectation, String variant, List<Run> runs) {
+        double value = aggregate(expectation.aggregate(), values(runs, variant, expectation.figure()));
+        String text = String.format(
+                Locale.ROOT, "%s of %s, %s: %.4f", expectation.aggregate(), expectation.figure(), variant, value);
+        boolean met = true;
         double bounded = value;
-        if (one.against() != null) {
-            double other = over("mean", values(runs, one.against(), one.figure()));
+        if (expectation.baseline() != null) {
+            double other = aggregate("mean", values(runs, expectation.baseline(), expectation.figure()));
             bounded = value - other;
-            text += String.format(Locale.ROOT, ", %s: %.4f", one.against(), other);
-            if (one.times() != null) {
-                held = value <= one.times() * other;
-                text += String.format(Locale.ROOT, "; %.3f times, at most %.3f", value / other, one.times());
+            text += String.format(Locale.ROOT, ", %s: %.4f", expectation.baseline(), other);
+            if (expectation.maxRatio() != null) {
+                met = value <= expectation.maxRatio() * other;
+                text += String.format(Locale.ROOT, "; %.3f times, at most %.3f", value / other, expectation.maxRatio());
             }
         }
-        String what = one.against() == null ? "" : "difference ";
-        if (one.atLeast() != null) {
-            held &= bounded >= one.atLeast();
-            text += "; " + what + "at least " + one.atLeast();
+        String label = expectation.baseline() == null ? "" : "difference ";
+        if (expectation.atLeast() != null) {
+            met &= bounded >= expectation.atLeast();
+            text += "; " + label + "at least " + expectation.atLeast();
         }
-        if (one.atMost() != null) {
-            held &= bounded <= one.atMost();
-            text += "; " + what + "at most " + one.atMost();
+        if (expectation.atMost() != null) {
+            met &= bounded <= expectation.atMost();
+            text += "; " + label + "at most " + expectation.atMost();
         }
-        return new Judged(held, text);
+        return new Verdict(met, text);
     }
 
-    /** The values of a figure in a variant's runs. */
+    /** The values of a figure in the runs of a variant. */
     public static double[] values(List<Run> runs, String variant, String figure) {
         return runs.stream()
                 .filter(run -> run.variant().equals(variant))
@@ -163,15 +175,16 @@
                 .toArray();
     }
 
-    private static double over(String how, double... values) {
-        double out = how.equals("min") ? Double.POSITIVE_INFINITY : how.equals("max") ? Double.NEGATIVE_INFINITY : 0;
+    private static double aggregate(String method, double... values) {
+        double result =
+                method.equals("min") ? Double.POSITIVE_INFINITY : method.equals("max") ? Double.NEGATIVE_INFINITY : 0;
         for (double value : values) {
-            out = switch (how) {
-                case "min" -> Math.min(out, value);
-                case "max" -> Math.max(out, value);
-                default -> out + value / values.length;
+            result = switch (method) {
+                case "min" -> Math.min(result, value);
+                case "max" -> Math.max(result, value);
+                default -> result + value / values.length;
             };
         }
-        return out;
+        return result;
     }
 }
