--- a/src/main/java/juniperusher/Control.java
+++ b/src/main/java/juniperusher/Control.java
@@ -87,7 +87,7 @@
         random = new SplittableRandom(seed);
         Rules rules = settings.rules();
         // Calls that a recovering destination takes at once, in seconds of its full capacity.
-        double burstSeconds = rules.tipMultiple() * rules.coldFrom() * rules.tipAfter();
+        double burstSeconds = rules.overloadFactor() * rules.coldShare() * rules.overloadTime();
         fragileRecovery = burstSeconds < 1;
         spreadFactor = Math.max(
                 1, Math.min(MAX_SPREAD_FACTOR, settings.senders() / (SPREAD_SENDERS * Math.pow(burstSeconds, 3))));
@@ -124,45 +124,45 @@
     }
 
     private void handle(Event event) {
-        if (event instanceof Arrived e) {
+        if (event instanceof MessageAccepted e) {
             accept(e.message());
-        } else if (event instanceof Ended e) {
+        } else if (event instanceof AttemptEnded e) {
             attemptEnded(e);
         } else if (event instanceof TargetList e) {
             updateTargets(e);
-        } else if (event instanceof ListFailed) {
-            double maxBackoff = Math.max(FIRST_BACKOFF_SECONDS, settings.rules().askWithin() / 2);
+        } else if (event instanceof WatchFailed) {
+            double maxBackoff = Math.max(FIRST_BACKOFF_SECONDS, settings.rules().listMaxAge() / 2);
             watchRetryAt = now + backoff(++listFailures, FIRST_BACKOFF_SECONDS, maxBackoff);
-        } else if (event instanceof Retuned e) {
+        } else if (event instanceof SettingsChanged e) {
             settings = e.settings(); // messages accepted before keep their class
-        } else if (event instanceof Withdrawn e && pendingMessages.containsKey(e.message())) {
+        } else if (event instanceof MessageWithdrawn e && pendingMessages.containsKey(e.message())) {
             finish(pendingMessages.get(e.message()));
-        } else if (event instanceof Woken e && e.token() == timerToken) {
+        } else if (event instanceof TimerFired e && e.token() == timerToken) {
             timerSetFor = NEVER;
-        } else if (event instanceof Probed e && targets.containsKey(e.target())) {
-            probeEnded(targets.get(e.target()), e.ok());
+        } else if (event instanceof ProbeEnded e && targets.containsKey(e.target())) {
+            probeEnded(targets.get(e.target()), e.succeeded());
         } else if (event instanceof AnswerPending e) {
             keyQueue(e.key()).unackedAnswers.add(e.message());
         } else if (event instanceof AnswerAcknowledged e
                 && keyQueue(e.key()).unackedAnswers.remove(e.message())) {
             keyQueue(e.key()).quietUntil = now + settings.rules().keyQuiet(); // an attempt may have ended just now
-        } else if (event instanceof Advised e) {
+        } else if (event instanceof DestinationAdvice e) {
             applyAdvice(destinations.computeIfAbsent(e.destination(), Destination::new), e);
         }
     }
 
     /** Applies limits that were set for a destination as a whole, for example in a retry storm. */
-    private void applyAdvice(Destination destination, Advised e) {
+    private void applyAdvice(Destination destination, DestinationAdvice e) {
         destination.stormLimiter.refill(now);
         // A random token keeps all senders, which learn of a recovery together, from calling at once.
         destination.stormLimiter.tokens = destination.stormLimiter.rate == NEVER
                 ? 0
-                : Math.min(destination.stormLimiter.tokens, e.back() ? random.nextDouble() : NEVER);
-        destination.stormLimiter.rate = e.rate();
-        destination.maxPending = e.hold();
+                : Math.min(destination.stormLimiter.tokens, e.recovered() ? random.nextDouble() : NEVER);
+        destination.stormLimiter.rate = e.maxRate();
+        destination.maxPending = e.maxPending();
         advisedDestinations.add(destination);
-        destination.roomAt = e.returnIn() > 0 ? now + e.returnIn() : 0;
-        if (e.back() && destination.sharedBreaker.open) {
+        destination.roomAt = e.roomIn() > 0 ? now + e.roomIn() : 0;
+        if (e.recovered() && destination.sharedBreaker.open) {
             beginSlowStart(destination.sharedBreaker); // without a trial; rate limit and retry-after delay still apply
         }
     }
@@ -180,7 +180,7 @@
         if (pending.messageClass.ordered() && message.key() != 0) {
             pending.keyQueue = keyQueue(message.key());
             pending.keyQueue.messages.add(pending);
-            pending.keyQueue.messages.sort(Comparator.comparingLong(other -> other.message.takenAt())); // stable
+            pending.keyQueue.messages.sort(Comparator.comparingLong(other -> other.message.acceptedAt())); // stable
         }
     }
 
@@ -196,7 +196,7 @@
         List<PendingMessage> ready = new ArrayList<>();
         for (PendingMessage pending : List.copyOf(pendingMessages.values())) {
             if (pending.call != null && isUnresponsive(pending.call)) {
-                actions.add(new Cancel(pending.message.id(), pending.attempts - 1));
+                actions.add(new CancelAttempt(pending.message.id(), pending.attempts - 1));
             } else if (!pending.finished && pending.call == null && !answerIfExpired(pending) && isDue(pending)) {
                 // Worth that a send now still earns per second of slot use; tenants within their quota come first.
                 pending.rank = (pending.inQuota ? 1000 : 0) + worth(pending) / pending.destination.responseSeconds();
@@ -235,7 +235,7 @@
     private double worth(PendingMessage pending) {
         double secondsToAim = pending.deadline - pending.messageClass.deadline() + pending.messageClass.aim() - now;
         double worthShare = secondsToAim < pending.destination.responseSeconds() ? pending.messageClass.lateShare() : 1;
-        return pending.messageClass.worth() * worthShare * (pending.inQuota ? 1 : settings.overShareWorth());
+        return pending.messageClass.worth() * worthShare * (pending.inQuota ? 1 : settings.overQuotaShare());
     }
 
     /** The usable target with the least load, or null. Offers the message to open breakers that await a trial. */
@@ -254,10 +254,10 @@
             Call call = roundCalls.get(target);
             // Unsafe messages join no trial, keyed ones none at a hanging target: a timeout would limit their repeats.
             boolean joins = call != null && (!call.trial || pending.safe || !target.breaker.hanging && !pending.unsafe);
-            if (call != null && call.messageCount < target.kind.batch() && !call.endsInTime(pending, now)) {
+            if (call != null && call.messageCount < target.kind.maxBatch() && !call.endsInTime(pending, now)) {
                 continue; // is sent in a later round, in another call
             }
-            if (joins && call.messageCount < target.kind.batch()) {
+            if (joins && call.messageCount < target.kind.maxBatch()) {
                 return target;
             }
             // Prefers reliable targets, more so where a failure ties the message to a zone or is final.
@@ -267,8 +267,8 @@
             load *= settings.crossZoneFee() > 0 && target.info.zone() != settings.zone() ? 2 : 1;
             // A target that was drained may have been restarted: it is cold and gets less at first.
             double warm =
-                    (now - target.readyAgainAt) / Math.max(settings.rules().warmWithin(), ANSWER_MARGIN_SECONDS);
-            load = load / Math.max(settings.rules().coldFrom(), Math.min(1, warm)) + feeSeconds(pending, target);
+                    (now - target.readyAgainAt) / Math.max(settings.rules().warmUp(), ANSWER_MARGIN_SECONDS);
+            load = load / Math.max(settings.rules().coldShare(), Math.min(1, warm)) + feeSeconds(pending, target);
             if (load < leastLoad && target.callsInFlight + 1 <= target.maxCalls && admits(target, pending)) {
                 best = target;
                 leastLoad = load;
@@ -281,8 +281,8 @@
     /** The fee of a route as the seconds of lateness that would cost the same worth. */
     private double feeSeconds(PendingMessage pending, TargetState target) {
         MessageClass messageClass = pending.messageClass;
-        boolean charged =
-                target.kind.apart() && target.info.zone() < settings.routeFees().size();
+        boolean charged = target.kind.separateRoutes()
+                && target.info.zone() < settings.routeFees().size();
         double fee = charged ? settings.routeFees().get(target.info.zone()) : 0;
         return fee * (messageClass.deadline() - messageClass.aim()) / (1 - messageClass.lateShare());
     }
@@ -307,7 +307,7 @@
         }
         wakeBy(admittedAt > now ? admittedAt : NEVER);
         return admittedAt <= now
-                && callsInFlight + reservedSlots < settings.allowed().calls()
+                && callsInFlight + reservedSlots < settings.limits().maxCalls()
                 && !exceedsBulkhead(pending.destination);
     }
 
@@ -320,14 +320,14 @@
             slow |= !target.breaker.calls.isEmpty()
                     && target.breaker.calls.get(0).sentAt < now - target.breaker.unresponsiveSeconds();
         }
-        return calls >= Math.max(1, settings.allowed().calls() * (slow ? SLOW_BULKHEAD_SHARE : BULKHEAD_SHARE));
+        return calls >= Math.max(1, settings.limits().maxCalls() * (slow ? SLOW_BULKHEAD_SHARE : BULKHEAD_SHARE));
     }
 
     /** Sends the message in the open call of this round to the target, or in a new one. */
     private void send(PendingMessage pending, TargetState target, boolean trial) {
         CircuitBreaker breaker = target.breaker;
         Call call = roundCalls.get(target);
-        if (call == null || call.messageCount >= target.kind.batch()) {
+        if (call == null || call.messageCount >= target.kind.maxBatch()) {
             call = new Call(target, now, trial, prepareConnection(target));
             roundCalls.put(target, call);
             breaker.calls.add(call);
@@ -344,7 +344,7 @@
         pending.call = call;
         pending.attempts++;
         boolean waitsLonger =
-                pending.unsafe && callsInFlight < settings.allowed().calls() * SCARCE_SLOTS_SHARE;
+                pending.unsafe && callsInFlight < settings.limits().maxCalls() * SCARCE_SLOTS_SHARE;
         double usualTimeout = Math.max(pending.messageClass.aim(), target.maxResponseSeconds())
                 * (waitsLonger ? UNSAFE_TIMEOUT_FACTOR : 1);
         double timeout = call.trial ? TRIAL_TIMEOUT_FACTOR * breaker.unresponsiveSeconds() : usualTimeout;
@@ -354,7 +354,7 @@
     /** Closes idle connections that were probably dropped; returns how long the one to use was idle, 0 if new. */
     private double prepareConnection(TargetState target) {
         double idleSeconds = now - target.idleSince;
-        boolean keptAlive = idleSeconds <= settings.allowed().keepAlive();
+        boolean keptAlive = idleSeconds <= settings.limits().keepAlive();
         boolean maybeDropped = now < closeIdleUntil && (target.callsInFlight > 0 || idleSeconds > idleDropAfterSeconds);
         if (keptAlive && maybeDropped) {
             actions.add(new CloseIdle(target.info.id()));
@@ -379,10 +379,11 @@
 
     // ---- ends of attempts ----
 
-    private void attemptEnded(Ended e) {
+    private void attemptEnded(AttemptEnded e) {
         TargetState target = targets.get(e.target());
-        if (target != null && e.told() > 0) { // also in late responses and for each message of a call
-            target.breaker.retryAt = Math.max(target.breaker.retryAt, now + e.told() + RETRY_AFTER_MARGIN_SECONDS);
+        if (target != null && e.retryAfter() > 0) { // also in late responses and for each message of a call
+            target.breaker.retryAt =
+                    Math.max(target.breaker.retryAt, now + e.retryAfter() + RETRY_AFTER_MARGIN_SECONDS);
         }
         PendingMessage pending = pendingMessages.get(e.message());
         if (pending == null || pending.call == null || e.attempt() != pending.attempts - 1) {
@@ -411,7 +412,7 @@
             pending.mayHaveRunSince = call.sentAt;
             pending.mayHaveRunZone = call.target.info.zone();
         }
-        if (e.over() || pending.finished) {
+        if (e.finished() || pending.finished) {
             finish(pending);
             return;
         }
@@ -419,7 +420,7 @@
         // Many senders use a limit without seeing each other, so their number lengthens the backoff after a refusal.
         boolean limitRefusal = e.outcome() == Outcome.FULL && !isConnectionFault(call, e);
         double firstBackoff = FIRST_BACKOFF_SECONDS * (limitRefusal ? spreadFactor : 1);
-        double wait = e.told() * (1 + jitter * (e.told() > 0 ? random.nextDouble() : 0));
+        double wait = e.retryAfter() * (1 + jitter * (e.retryAfter() > 0 ? random.nextDouble() : 0));
         pending.dueAt = now + (wait > 0 ? wait : backoff(pending.attempts, firstBackoff, MAX_BACKOFF_SECONDS));
         answerIfExpired(pending);
     }
@@ -444,7 +445,7 @@
 
     /** The latest time at which the message may be sent. */
     private double lastSendAt(PendingMessage pending) {
-        boolean exhausted = pending.attempts >= settings.allowed().attempts() || pending.mayHaveRun && pending.unsafe;
+        boolean exhausted = pending.attempts >= settings.limits().maxAttempts() || pending.mayHaveRun && pending.unsafe;
         double last = exhausted
                 ? -NEVER
                 : pending.deadline - ANSWER_MARGIN_SECONDS - pending.destination.responseSeconds() / 2;
@@ -469,12 +470,12 @@
         if (mayRefuse(pending)) {
             double retryAfter = Math.max(
                     Math.max(FIRST_BACKOFF_SECONDS, secondsUntilRoom(pending)), pending.destination.retryAt() - now);
-            actions.add(new Refuse(pending.message.id(), settings.allowed().retryAfter(retryAfter)));
+            actions.add(new Refuse(pending.message.id(), settings.limits().retryAfter(retryAfter)));
         } else {
             actions.add(new Fail(pending.message.id()));
         }
         finish(pending);
-        if (pending.keyQueue != null && pending.message.acknowledged()) {
+        if (pending.keyQueue != null && pending.message.acknowledgesAnswer()) {
             pending.keyQueue.unackedAnswers.add(pending.message.id());
         }
     }
@@ -497,7 +498,7 @@
                 continue; // keeps a storm from using up the pending messages of all destinations
             }
         }
-        while (pendingMessages.size() > settings.allowed().held() * MAX_PENDING_SHARE && shedOne(null)) {
+        while (pendingMessages.size() > settings.limits().maxPending() * MAX_PENDING_SHARE && shedOne(null)) {
             continue;
         }
     }
@@ -525,7 +526,7 @@
         }
         destination.roomAt =
                 Math.max(destination.roomAt, now) + (0.5 + random.nextDouble()) / destination.stormLimiter.rate;
-        double maxRetryAfter = settings.allowed().maxRetryAfter(); // cut off there, many would return at once
+        double maxRetryAfter = settings.limits().maxRetryAfter(); // cut off there, many would return at once
         double seconds = Math.min(destination.roomAt - now, maxRetryAfter * (0.5 + random.nextDouble() / 2));
         return Math.min(seconds, Math.max(0, pending.deadline - now));
     }
@@ -533,7 +534,7 @@
     // ---- health of targets and destinations ----
 
     /** Updates the state of target and breaker after a call. */
-    private void recordOutcome(Call call, Ended e) {
+    private void recordOutcome(Call call, AttemptEnded e) {
         TargetState target = call.target;
         CircuitBreaker breaker = target.breaker;
         boolean connectionLost = e.outcome() == Outcome.RESET || e.outcome() == Outcome.TIMED_OUT;
@@ -569,7 +570,7 @@
             breaker.knownLimit = e.report().limit();
             // If others leave much of a restored limit unused, this sender takes its whole share at once.
             if (call.sentAt > breaker.limiter.cutAt + MAX_REPORT_AGE_SECONDS
-                    && e.report().left() > LIMIT_LEFT_SHARE) {
+                    && e.report().remaining() > LIMIT_LEFT_SHARE) {
                 breaker.limiter.raiseTo(now, breaker.knownLimit / settings.senders());
             }
         }
@@ -582,11 +583,11 @@
                 target.maxCalls += target.callsInFlight >= target.maxCalls - 1 ? 0.1 : 0;
                 recordSuccess(breaker, call.trial);
             }
-            case FULL -> recordRefusal(breaker, call, e.told());
+            case FULL -> recordRefusal(breaker, call, e.retryAfter());
             case NOT_CONNECTED -> {
                 // While other calls succeed, a failed connect means a full connection table and no outage.
                 boolean recentlySucceeded =
-                        target.lastSuccessAt > now - settings.allowed().connectTimeout();
+                        target.lastSuccessAt > now - settings.limits().connectTimeout();
                 if (!breaker.open && target.callsInFlight > 1 && recentlySucceeded) {
                     tableFullAt.put(target.info.kind(), now);
                     target.maxCalls = Math.max(1, target.callsInFlight - 1);
@@ -601,14 +602,14 @@
     }
 
     /** Whether a connection dropped while idle, or a full connection table, explains the failure. */
-    private boolean isConnectionFault(Call call, Ended e) {
+    private boolean isConnectionFault(Call call, AttemptEnded e) {
         return call.idleSeconds > 0 && e.outcome() == Outcome.RESET
                 || refusedByFullTable(call, e) && call.target.breaker.lastSuccessAt > now - OUTAGE_AFTER_SECONDS;
     }
 
     /** Whether the connection table was full: all other responses of such a kind, refusals too, carry a report. */
-    private boolean refusedByFullTable(Call call, Ended e) {
-        return e.barelyRefused() && reportingKinds.contains(call.target.info.kind());
+    private boolean refusedByFullTable(Call call, AttemptEnded e) {
+        return e.refusedWithoutDetails() && reportingKinds.contains(call.target.info.kind());
     }
 
     private void probeEnded(TargetState target, boolean ok) {
@@ -703,8 +704,8 @@
         boolean overdue = now - call.sentAt > Math.max(MIN_UNRESPONSIVE_SECONDS, call.target.maxResponseSeconds());
         return laterAnswered
                 && overdue
-                && settings.allowed().cancel()
-                && callsInFlight >= settings.allowed().calls();
+                && settings.limits().mayCancel()
+                && callsInFlight >= settings.limits().maxCalls();
     }
 
     /** Whether calls sent after the last success are overdue: two, or one if calls failed before. */
@@ -747,8 +748,9 @@
         double awareSeconds = Math.min(
                 Math.max(now - breaker.failingSince, hasOtherRoute(breaker) ? OUTAGE_AFTER_SECONDS : 0), 1 / ownDemand);
         Rules rules = settings.rules();
-        double coldCapacity = rules.tipMultiple() * rules.coldFrom();
-        double burstCalls = coldCapacity * Math.max(ownDemand * settings.senders(), MIN_CAPACITY) * rules.tipAfter();
+        double coldCapacity = rules.overloadFactor() * rules.coldShare();
+        double burstCalls =
+                coldCapacity * Math.max(ownDemand * settings.senders(), MIN_CAPACITY) * rules.overloadTime();
         // Allowing for chance, a cold destination handles n + 2 sqrt(n) + 2 calls; trials get a share of these.
         coldCapacity *= spreadFactor > 1 ? TRIAL_CAPACITY_SHARE * (1 + 2 / Math.sqrt(burstCalls) + 2 / burstCalls) : 1;
         return awareSeconds / coldCapacity * (hasOtherRoute(breaker) ? 2 : 1);
@@ -756,12 +758,12 @@
 
     /** Cancels repeatable calls to an unresponsive destination while slots are scarce. */
     private void freeSlots(CircuitBreaker breaker, boolean unresponsive) {
-        boolean scarce = callsInFlight >= settings.allowed().calls() * SCARCE_SLOTS_SHARE;
-        if (unresponsive && settings.allowed().cancel() && scarce) {
+        boolean scarce = callsInFlight >= settings.limits().maxCalls() * SCARCE_SLOTS_SHARE;
+        if (unresponsive && settings.limits().mayCancel() && scarce) {
             pendingMessages.values().stream()
                     .filter(pending ->
                             pending.call != null && pending.call.target.breaker == breaker && !pending.unsafe)
-                    .forEach(pending -> actions.add(new Cancel(pending.message.id(), pending.attempts - 1)));
+                    .forEach(pending -> actions.add(new CancelAttempt(pending.message.id(), pending.attempts - 1)));
         }
     }
 
@@ -789,13 +791,13 @@
         if (pending.call != null) {
             return;
         }
-        if (pending.unsafe && settings.allowed().probes()) {
+        if (pending.unsafe && settings.limits().mayProbe()) {
             breaker.trialInFlight = true;
             actions.add(new Probe(target.info.id()));
-        } else if (trialsInFlight < Math.max(1, settings.allowed().calls() * TRIAL_BULKHEAD_SHARE)) {
+        } else if (trialsInFlight < Math.max(1, settings.limits().maxCalls() * TRIAL_BULKHEAD_SHARE)) {
             // A trial that waited too long keeps the next free slot from other calls; no more than one is kept.
             reservedSlots = now < breaker.openUntil + MAX_COOLDOWN_SECONDS ? reservedSlots : 1;
-            if (callsInFlight < settings.allowed().calls()) {
+            if (callsInFlight < settings.limits().maxCalls()) {
                 breaker.trialInFlight = true;
                 send(pending, target, true);
             }
@@ -819,18 +821,18 @@
     /** Calls per second that this sender may make while a destination recovers from an outage. */
     private double slowStartRate(CircuitBreaker breaker) {
         double warmShare = Math.min(
-                1, (now - breaker.slowStartFrom) / Math.max(settings.rules().warmWithin(), ANSWER_MARGIN_SECONDS));
+                1, (now - breaker.slowStartFrom) / Math.max(settings.rules().warmUp(), ANSWER_MARGIN_SECONDS));
         double capacityShare =
-                settings.rules().coldFrom() + (1 - settings.rules().coldFrom()) * warmShare;
+                settings.rules().coldShare() + (1 - settings.rules().coldShare()) * warmShare;
         double ownRate = spreadFactor > 1 && fragileRecovery ? demand(breaker) : breaker.bestSuccessRate;
         double capacity = Math.max(ownRate, Math.max(breaker.listedRate, MIN_CAPACITY) / settings.senders());
         // Leaves room for the trials of senders that have not seen the recovery yet.
         double besideTrials = spreadFactor > 1 && fragileRecovery ? 1 - TRIAL_CAPACITY_SHARE / 2 : 1;
-        return settings.rules().tipMultiple() * capacityShare * capacity * breaker.slowStartShare * besideTrials;
+        return settings.rules().overloadFactor() * capacityShare * capacity * breaker.slowStartShare * besideTrials;
     }
 
     private double slowStartReadyAt(CircuitBreaker breaker) {
-        if (now - breaker.slowStartFrom > settings.rules().warmWithin()) {
+        if (now - breaker.slowStartFrom > settings.rules().warmUp()) {
             breaker.slowStartFrom = NEVER;
             breaker.slowStart.rate = NEVER;
         }
@@ -847,7 +849,7 @@
     private void updateTargets(TargetList event) {
         listFailures = 0;
         watchRetryAt = NEVER;
-        if (event.whole()) {
+        if (event.fullList()) {
             targets.values().forEach(target -> target.info = target.info.gone());
         }
         forgetGoneTargets();
@@ -861,8 +863,9 @@
                 target = new TargetState(info, settings.kinds().get(info.kind()));
                 Destination destination = destinations.computeIfAbsent(info.destination(), Destination::new);
                 String route = destination.sharedBreaker.name + " route=" + info.id();
-                target.breaker =
-                        target.kind.apart() ? new CircuitBreaker(destination, route) : destination.sharedBreaker;
+                target.breaker = target.kind.separateRoutes()
+                        ? new CircuitBreaker(destination, route)
+                        : destination.sharedBreaker;
                 target.breaker.targets.add(target);
                 destination.targets.add(target);
                 targets.put(info.id(), target);
@@ -888,8 +891,8 @@
 
     /** Opens the watch on the target list at the start, and again some time after it failed. */
     private void watchTargetList() {
-        if (settings.askForList() && (!started || watchRetryAt <= now)) {
-            actions.add(new Watch(true));
+        if (settings.watchesList() && (!started || watchRetryAt <= now)) {
+            actions.add(new SetListWatch(true));
             watchRetryAt = NEVER;
         }
         started = true;
@@ -905,7 +908,7 @@
         nextWakeAt = Math.max(nextWakeAt, now + 0.001);
         if (nextWakeAt < timerSetFor) {
             timerSetFor = nextWakeAt;
-            actions.add(new WakeAt(nextWakeAt, ++timerToken));
+            actions.add(new SetTimer(nextWakeAt, ++timerToken));
         }
     }
 
@@ -931,9 +934,9 @@
             unsafe = messageClass.effect() == Effect.UNSAFE;
             deadline = now + message.timeLeft();
             attempts = message.attempts(); // above 0 for a message resumed after a restart
-            mayHaveRun = message.ran() != null; // the key window goes on over a restart
-            mayHaveRunSince = mayHaveRun ? now - message.ran().ago() : 0;
-            mayHaveRunZone = mayHaveRun ? message.ran().zone() : 0;
+            mayHaveRun = message.firstPossibleRun() != null; // the key window goes on over a restart
+            mayHaveRunSince = mayHaveRun ? now - message.firstPossibleRun().ago() : 0;
+            mayHaveRunZone = mayHaveRun ? message.firstPossibleRun().zone() : 0;
         }
     }
 
@@ -1008,7 +1011,7 @@
 
     /** A target: its list entry, calls in flight, response times and limit on connections. */
     private static final class TargetState {
-        final Kind kind;
+        final DestinationKind kind;
         final FailureShare failureShare = new FailureShare();
         double maxCalls = NEVER, lastSuccessAt = -NEVER, lastSuccessSentAt = -NEVER;
         double idleSince = -NEVER, readyAgainAt = -NEVER; // readyAgainAt: end of its last drain
@@ -1017,7 +1020,7 @@
         int callsInFlight;
         double meanSeconds, deviationSeconds, lastInUseAt = -NEVER; // lastInUseAt: ready or with a call
 
-        TargetState(Target info, Kind kind) {
+        TargetState(Target info, DestinationKind kind) {
             this.info = info;
             this.kind = kind;
         }
--- a/src/main/java/juniperusher/amqp/AmqpConfig.java
+++ b/src/main/java/juniperusher/amqp/AmqpConfig.java
@@ -14,14 +14,14 @@
 /**
  * Configuration of the AMQP front and of the brokers that the relay publishes to. Immutable.
  *
- * @param listen       address on which clients connect, or null if the front is disabled
- * @param user         user name that clients log in with
- * @param password     password that clients log in with
- * @param messageClass name of the message class used when a message's type property is empty
- * @param brokers      destinations that are AMQP brokers
+ * @param listen              address on which clients connect, or null if the front is disabled
+ * @param user                user name that clients log in with
+ * @param password            password that clients log in with
+ * @param defaultMessageClass name of the message class used when a message's type property is empty
+ * @param brokers             destinations that are AMQP brokers
  */
 public record AmqpConfig(
-        InetSocketAddress listen, String user, String password, String messageClass, List<Broker> brokers) {
+        InetSocketAddress listen, String user, String password, String defaultMessageClass, List<Broker> brokers) {
     /**
      * A destination that is an AMQP broker.
      *
@@ -52,7 +52,7 @@
      * @param table the table, already validated against the schema of the settings
      * @throws IllegalArgumentException if the class is missing or an address is malformed
      */
-    public static AmqpConfig of(JsonObject table) {
+    public static AmqpConfig fromTable(JsonObject table) {
         return parse(table);
     }
 
@@ -63,7 +63,7 @@
      *     one line
      * @throws IOException if the file cannot be read
      */
-    public static AmqpConfig read(Path file) throws IOException {
+    public static AmqpConfig readFile(Path file) throws IOException {
         try {
             return parse(Json.parse(Files.readString(file)).asObject());
         } catch (ParseException | UnsupportedOperationException | NullPointerException | IllegalArgumentException e) {
--- a/src/main/java/juniperusher/amqp/AmqpExtension.java
+++ b/src/main/java/juniperusher/amqp/AmqpExtension.java
@@ -2,7 +2,7 @@
 
 import java.io.Closeable;
 import java.util.List;
-import juniperusher.Protocol.Kind;
+import juniperusher.Protocol.DestinationKind;
 import juniperusher.Protocol.Settings;
 import juniperusher.Protocol.Target;
 import juniperusher.core.Extension;
@@ -39,8 +39,10 @@
     @Override
     public List<Target> targets() {
         // Brokers are targets of the first kind that takes one message per call.
-        int singleMessageKind =
-                settings.kinds().stream().map(Kind::batch).toList().indexOf(1);
+        int singleMessageKind = settings.kinds().stream()
+                .map(DestinationKind::maxBatch)
+                .toList()
+                .indexOf(1);
         return subchannels.targets(Math.max(0, singleMessageKind));
     }
 
@@ -50,13 +52,13 @@
     }
 
     @Override
-    public void join(Relay relay) {
+    public void registerFront(Relay relay) {
         front = new AmqpFront(config, classNames, settings.classes(), relay);
-        relay.add(front);
+        relay.addFront(front);
     }
 
     @Override
-    public void open() throws Exception {
+    public void startAccepting() throws Exception {
         if (config.listen() != null) {
             listener = front.listen(network);
         }
--- a/src/main/java/juniperusher/amqp/AmqpFront.java
+++ b/src/main/java/juniperusher/amqp/AmqpFront.java
@@ -47,8 +47,8 @@
         this.classNames = classNames;
         this.classes = classes;
         this.relay = relay;
-        if (!classNames.contains(config.messageClass())) {
-            throw new IllegalArgumentException("class '" + config.messageClass() + "' is not in the settings");
+        if (!classNames.contains(config.defaultMessageClass())) {
+            throw new IllegalArgumentException("class '" + config.defaultMessageClass() + "' is not in the settings");
         }
     }
 
@@ -67,13 +67,13 @@
     }
 
     @Override
-    public boolean tells(RpcEnd end) {
+    public boolean reportsEnd(RpcEnd end) {
         return !end.returnAddress().isEmpty();
     }
 
     /** False: an outcome counts as reported once it is in its queue, whenever the client fetches it. */
     @Override
-    public boolean overOnceAcknowledged() {
+    public boolean orderWaitsForAcknowledgement() {
         return false;
     }
 
@@ -101,8 +101,8 @@
                             case GIVEN_UP -> "given_up";
                             case HANDED_BACK -> "handed_back";
                         });
-        if (end.retryIn() > 0) {
-            json.add("retry_in_ms", Math.round(end.retryIn() * 1000));
+        if (end.retryAfterSeconds() > 0) {
+            json.add("retry_in_ms", Math.round(end.retryAfterSeconds() * 1000));
         }
         return new Content(
                 "application/json",
@@ -147,7 +147,7 @@
      * @throws AmqpError if the type or the expiration of the message is invalid
      */
     void publish(String routingKey, Content content, Channel channel) {
-        int classIndex = classNames.indexOf(content.type().isEmpty() ? config.messageClass() : content.type());
+        int classIndex = classNames.indexOf(content.type().isEmpty() ? config.defaultMessageClass() : content.type());
         if (classIndex < 0) {
             throw new AmqpError(AmqpError.PRECONDITION_FAILED, "type '" + content.type() + "' is no class");
         }
@@ -156,7 +156,7 @@
                 : parseExpiration(content.expiration());
         boolean hasMessageId = !content.messageId().isEmpty();
         String id = hasMessageId ? content.messageId() : UUID.randomUUID().toString();
-        relay.offer(
+        relay.submit(
                 new RpcRequest(
                         id,
                         name(),
@@ -191,7 +191,7 @@
         String address = returnAddress(content, content.messageId());
         if (!address.isEmpty()) {
             report(
-                    new RpcEnd(content.messageId(), address, RpcEnd.Kind.HANDED_BACK, status.retryAfter()),
+                    new RpcEnd(content.messageId(), address, RpcEnd.Kind.HANDED_BACK, status.retryAfterSeconds()),
                     false,
                     () -> {});
         }
--- a/src/main/java/juniperusher/amqp/AmqpServerConnection.java
+++ b/src/main/java/juniperusher/amqp/AmqpServerConnection.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import juniperusher.core.Channel;
 import juniperusher.core.UnavailableStatus;
-import juniperusher.net.Inbound;
+import juniperusher.net.InboundConnections;
 import juniperusher.net.Network;
 import org.eclipse.jetty.io.EndPoint;
 
@@ -15,7 +15,7 @@
  * A client's connection to the AMQP front: handshake, channels, published orders and consumers of reply
  * queues.
  */
-final class AmqpServerConnection extends AmqpConnection implements Inbound.Guest {
+final class AmqpServerConnection extends AmqpConnection implements InboundConnections.InboundConnection {
     static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int CHANNEL_MAX = 255;
     private static final long HANDSHAKE_TIMEOUT_MILLIS = 10_000;
@@ -23,7 +23,7 @@
     private static final int HANDSHAKE_DONE = 0;
 
     private final AmqpFront front;
-    private final Inbound inbound;
+    private final InboundConnections inboundConnections;
     private final long openedNanos = System.nanoTime();
     private final Map<Integer, ServerChannel> channels = new ConcurrentHashMap<>();
     // Number of the method that the handshake waits for, or one of PROTOCOL_HEADER and HANDSHAKE_DONE.
@@ -32,7 +32,7 @@
     AmqpServerConnection(EndPoint endPoint, Network network, AmqpFront front) {
         super(endPoint, network);
         this.front = front;
-        inbound = network.inbound();
+        inboundConnections = network.inboundConnections();
         network.scheduler()
                 .schedule(
                         () -> {
@@ -46,34 +46,36 @@
 
     @Override
     public void onOpen() {
-        inbound.add(this);
+        inboundConnections.add(this);
         super.onOpen();
     }
 
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        inbound.remove(this);
+        inboundConnections.remove(this);
     }
 
     /** Mute until the client has logged in; never shed from then on, because its consumers wait for outcomes. */
     @Override
-    public Inbound.Standing standing() {
-        return expectedMethod != HANDSHAKE_DONE ? Inbound.Standing.MUTE : Inbound.Standing.SERVED;
+    public InboundConnections.ConnectionState state() {
+        return expectedMethod != HANDSHAKE_DONE
+                ? InboundConnections.ConnectionState.NO_DATA
+                : InboundConnections.ConnectionState.HANDLING;
     }
 
     @Override
-    public long since() {
+    public long stateSinceNanos() {
         return openedNanos;
     }
 
     @Override
-    public void shed() {
+    public void closeGracefully() {
         end();
     }
 
     @Override
-    public void drop() {
+    public void closeNow() {
         end();
     }
 
@@ -445,7 +447,7 @@
         }
         front.publish(routingKey, content, new Channel() {
             @Override
-            public void takenOn() {
+            public void accepted() {
                 sendConfirm(channel, tag, Method.ACK);
             }
 
--- a/src/main/java/juniperusher/amqp/AmqpSubchannels.java
+++ b/src/main/java/juniperusher/amqp/AmqpSubchannels.java
@@ -58,23 +58,29 @@
     }
 
     @Override
-    public Call call(Target subchannel, List<RpcRequest> rpcs, double timeout, Clearance clearance, Results results) {
+    public Call call(
+            Target subchannel,
+            List<RpcRequest> rpcs,
+            double timeout,
+            StartPermission permission,
+            ResultListener resultListener) {
         List<PendingPublish> publishes = new ArrayList<>();
         for (int i = 0; i < rpcs.size(); i++) {
             int index = i;
-            publishes.add(new PendingPublish(rpcs.get(i), clearance, end -> results.ended(index, CallResult.of(end))));
+            publishes.add(new PendingPublish(
+                    rpcs.get(i), permission, end -> resultListener.ended(index, CallResult.of(end))));
         }
         publishes.forEach(connectors.get(subchannel.id())::publish);
         return reason -> publishes.forEach(publish -> publish.abandon(reason));
     }
 
     @Override
-    public void probe(Target subchannel, Probed probed) {
+    public void probe(Target subchannel, ProbeListener probeListener) {
         long startNanos = System.nanoTime();
         connectors
                 .get(subchannel.id())
                 .probe((up, blocked) ->
-                        probed.probed(up && !blocked, up && blocked, (System.nanoTime() - startNanos) / 1e9));
+                        probeListener.probed(up && !blocked, up && blocked, (System.nanoTime() - startNanos) / 1e9));
     }
 
     @Override
@@ -95,21 +101,21 @@
     /** An order that is to be published to a broker or that waits for its confirm. Thread-safe. */
     static final class PendingPublish {
         private final RpcRequest rpc;
-        private final Clearance clearance;
+        private final StartPermission permission;
         private final EndCallback callback;
         private BrokerConnection connection;
         private boolean mayBeWritten;
         private boolean finished;
 
-        PendingPublish(RpcRequest rpc, Clearance clearance, EndCallback callback) {
+        PendingPublish(RpcRequest rpc, StartPermission permission, EndCallback callback) {
             this.rpc = rpc;
-            this.clearance = clearance;
+            this.permission = permission;
             this.callback = callback;
         }
 
         /** The message to publish; its expiration is the time left until the deadline of the RPC. */
         Content content() {
-            long remainingMillis = Math.max(1, rpc.deadline() - SteadyClock.millis());
+            long remainingMillis = Math.max(1, rpc.deadlineMillis() - SteadyClock.millis());
             return new Content("", "", "", Long.toString(remainingMillis), rpc.id(), "", rpc.body());
         }
 
@@ -123,7 +129,7 @@
         boolean mayWrite(boolean blocked) {
             // A blocked broker has not refused the order, so the order ends as not sent: a refusal would make the
             // decision module reduce the rate of the destination.
-            if (blocked || !clearance.mayStart()) {
+            if (blocked || !permission.mayStart()) {
                 finish(CallEnd.HELD_BACK);
                 return false;
             }
@@ -146,7 +152,7 @@
                 finished = true;
                 written = mayBeWritten;
             }
-            callback.ended(end.given(written));
+            callback.ended(end.adjustedForLastByte(written));
         }
 
         /** Stops waiting for the confirm, closes the channel of the publish and ends it with {@code reason}. */
@@ -163,7 +169,7 @@
     }
 
     /** Opens the connection to one broker when it is needed. Publishes and probes wait until it is usable. */
-    final class BrokerConnector implements Network.Dial {
+    final class BrokerConnector implements Network.ConnectListener {
         private final AmqpConfig.Broker broker;
         private final List<PendingPublish> pendingPublishes = new ArrayList<>();
         private final List<ProbeCallback> pendingProbes = new ArrayList<>();
--- a/src/main/java/juniperusher/cli/FleetCommands.java
+++ b/src/main/java/juniperusher/cli/FleetCommands.java
@@ -44,8 +44,8 @@
             } catch (IllegalArgumentException e) {
                 throw new ParameterException(settingsFile + ": " + e.getMessage());
             }
-            System.out.println("control process on " + service.listening()
-                    + (service.operator() == null ? "" : ", operator on " + service.operator()));
+            System.out.println("control process on " + service.subscriberAddress()
+                    + (service.operatorAddress() == null ? "" : ", operator on " + service.operatorAddress()));
             Runtime.getRuntime().addShutdownHook(new Thread(service::close, "close"));
             new CountDownLatch(1).await();
             return 0;
--- a/src/main/java/juniperusher/cli/LabExperiments.java
+++ b/src/main/java/juniperusher/cli/LabExperiments.java
@@ -17,12 +17,12 @@
 import java.util.stream.Collectors;
 import juniperusher.lab.Experiment;
 import juniperusher.lab.Plan;
-import juniperusher.lab.Run;
+import juniperusher.lab.RunResult;
 import juniperusher.lab.VirtualEngine;
 import juniperusher.lab.report.Comparison;
 import juniperusher.lab.report.Report;
 import juniperusher.lab.report.Results;
-import juniperusher.settings.CheckedToml;
+import juniperusher.settings.TomlReader;
 
 /** The commands {@code lab run} and {@code lab compare}: experiments and their results. */
 final class LabExperiments {
@@ -67,11 +67,11 @@
                 throw new ParameterException("lab run: expected one file");
             }
             Experiment experiment = readExperiment();
-            List<Run> completedRuns = experiment.engine().equals("virtual")
+            List<RunResult> completedRuns = experiment.engine().equals("virtual")
                     ? runOnVirtualEngine(experiment.plans())
                     : LabSockets.runOnSockets(experiment.plans());
             Results results = new Results(
-                    experiment.title(), experiment.engine(), completedRuns, experiment.judge(completedRuns));
+                    experiment.title(), experiment.engine(), completedRuns, experiment.evaluate(completedRuns));
             System.out.print(results.table());
             if (outputFolder != null) {
                 results.write(Path.of(outputFolder));
@@ -82,7 +82,7 @@
         }
 
         private Experiment readExperiment() throws IOException {
-            CheckedToml reader = CheckedToml.by(Experiment.class, "experiment.schema.json");
+            TomlReader reader = TomlReader.withSchema(Experiment.class, "experiment.schema.json");
             Path file = Path.of(files.get(0));
             if (!Files.isRegularFile(file)) {
                 throw new ParameterException(file + ": there is no such file");
@@ -106,8 +106,8 @@
                     variantOverrides.addAll(variant.getValue());
                     variants.put(variant.getKey(), reader.read(file, variantOverrides));
                 }
-                return Experiment.of(values, variants);
-            } catch (CheckedToml.InvalidTomlException e) {
+                return Experiment.fromJson(values, variants);
+            } catch (TomlReader.InvalidTomlException e) {
                 throw new ParameterException(e.getMessage());
             } catch (IllegalArgumentException e) {
                 throw new ParameterException(file + ": " + e.getMessage());
@@ -116,10 +116,10 @@
     }
 
     /** Runs the plans on all cores. Each run is deterministic, and the results are in the order of the plans. */
-    private static List<Run> runOnVirtualEngine(Map<String, List<Plan>> plans) {
+    private static List<RunResult> runOnVirtualEngine(Map<String, List<Plan>> plans) {
         int totalRuns = plans.values().stream().mapToInt(List::size).sum();
         AtomicInteger completed = new AtomicInteger();
-        Map<String, Run> runs = new ConcurrentHashMap<>();
+        Map<String, RunResult> runs = new ConcurrentHashMap<>();
         plans.entrySet().stream()
                 .flatMap(variantPlan ->
                         variantPlan.getValue().stream().map(plan -> Map.entry(variantPlan.getKey(), plan)))
@@ -128,10 +128,10 @@
                 .forEach(variantPlan -> {
                     runs.put(
                             variantPlan.getKey() + '/' + variantPlan.getValue().seed(),
-                            VirtualEngine.play(variantPlan.getKey(), variantPlan.getValue()));
+                            VirtualEngine.run(variantPlan.getKey(), variantPlan.getValue()));
                     printProgress(completed.incrementAndGet(), totalRuns);
                 });
-        List<Run> ordered = new ArrayList<>();
+        List<RunResult> ordered = new ArrayList<>();
         plans.forEach((variant, seeds) -> seeds.forEach(plan -> ordered.add(runs.get(variant + '/' + plan.seed()))));
         return ordered;
     }
--- a/src/main/java/juniperusher/cli/LabHollowFleet.java
+++ b/src/main/java/juniperusher/cli/LabHollowFleet.java
@@ -16,7 +16,7 @@
 import juniperusher.lab.hollow.HollowFleet;
 import juniperusher.lab.hollow.HollowHost;
 import juniperusher.lab.hollow.HollowResults;
-import juniperusher.settings.CheckedToml;
+import juniperusher.settings.TomlReader;
 
 /**
  * The command {@code lab hollow}, which runs a fleet of many relays that subscribe to the shard map but carry no
@@ -56,7 +56,7 @@
                     ? Files.createTempDirectory("juniperusher-hollow")
                     : Files.createDirectories(Path.of(keptFolder));
             try {
-                HollowResults results = HollowFleet.play(
+                HollowResults results = HollowFleet.run(
                         experiment,
                         Main.class.getName(),
                         folder,
@@ -78,9 +78,9 @@
                 throw new ParameterException(file + ": there is no such file");
             }
             try {
-                return HollowExperiment.of(CheckedToml.by(HollowExperiment.class, HollowExperiment.SCHEMA)
+                return HollowExperiment.fromJson(TomlReader.withSchema(HollowExperiment.class, HollowExperiment.SCHEMA)
                         .read(file, overrides));
-            } catch (CheckedToml.InvalidTomlException e) {
+            } catch (TomlReader.InvalidTomlException e) {
                 throw new ParameterException(e.getMessage());
             } catch (IllegalArgumentException e) {
                 throw new ParameterException(file + ": " + e.getMessage());
--- a/src/main/java/juniperusher/cli/LabScale.java
+++ b/src/main/java/juniperusher/cli/LabScale.java
@@ -11,7 +11,7 @@
 import juniperusher.lab.scale.ScaleExperiment;
 import juniperusher.lab.scale.ScaleReport;
 import juniperusher.lab.scale.ScaleResults;
-import juniperusher.settings.CheckedToml;
+import juniperusher.settings.TomlReader;
 
 /** The command {@code lab scale}, which measures the slopes of cost against size that an experiment file names. */
 @Parameters(
@@ -51,9 +51,9 @@
             throw new ParameterException(file + ": there is no such file");
         }
         try {
-            return new ScaleExperiment(CheckedToml.by(ScaleExperiment.class, ScaleExperiment.SCHEMA)
+            return new ScaleExperiment(TomlReader.withSchema(ScaleExperiment.class, ScaleExperiment.SCHEMA)
                     .read(file, overrides));
-        } catch (CheckedToml.InvalidTomlException e) {
+        } catch (TomlReader.InvalidTomlException e) {
             throw new ParameterException(e.getMessage());
         } catch (IllegalArgumentException e) {
             throw new ParameterException(file + ": " + e.getMessage());
--- a/src/main/java/juniperusher/cli/LabSockets.java
+++ b/src/main/java/juniperusher/cli/LabSockets.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import juniperusher.http.Config;
 import juniperusher.lab.Plan;
-import juniperusher.lab.Run;
+import juniperusher.lab.RunResult;
 import juniperusher.lab.sockets.Bench;
 import juniperusher.lab.sockets.Load;
 import juniperusher.lab.sockets.SocketEngine;
@@ -99,12 +99,12 @@
     }
 
     /** Runs the plans one after the other, so that each has the machine to itself. */
-    static List<Run> runOnSockets(Map<String, List<Plan>> plans) throws Exception {
+    static List<RunResult> runOnSockets(Map<String, List<Plan>> plans) throws Exception {
         int totalRuns = plans.values().stream().mapToInt(List::size).sum();
-        List<Run> completedRuns = new ArrayList<>();
+        List<RunResult> completedRuns = new ArrayList<>();
         for (Map.Entry<String, List<Plan>> variant : plans.entrySet()) {
             for (Plan plan : variant.getValue()) {
-                completedRuns.add(SocketEngine.play(variant.getKey(), plan, Main.class.getName(), elapsedSeconds -> {
+                completedRuns.add(SocketEngine.run(variant.getKey(), plan, Main.class.getName(), elapsedSeconds -> {
                     if (System.console() != null) {
                         System.err.printf(
                                 "\r%d of %d runs, %.0f s of %.0f s ",
--- a/src/main/java/juniperusher/cli/Main.java
+++ b/src/main/java/juniperusher/cli/Main.java
@@ -18,13 +18,13 @@
 import juniperusher.core.Extension;
 import juniperusher.core.Journal;
 import juniperusher.http.Config;
-import juniperusher.http.Platform;
+import juniperusher.http.RelayServer;
 import juniperusher.http.WarmUp;
-import juniperusher.mgmt.Management;
+import juniperusher.mgmt.OperatorListener;
 import juniperusher.net.Network;
 import juniperusher.settings.OperatorSettings;
+import juniperusher.sim.MalformedInputException;
 import juniperusher.sim.SimHost;
-import juniperusher.sim.WireException;
 import org.slf4j.LoggerFactory;
 
 /**
@@ -57,7 +57,7 @@
         } catch (NoSuchFileException e) {
             System.err.println("juniperusher: file not found: " + e.getMessage());
             exitCode = 1;
-        } catch (IllegalArgumentException | IOException | WireException | UncheckedIOException e) {
+        } catch (IllegalArgumentException | IOException | MalformedInputException | UncheckedIOException e) {
             System.err.println("juniperusher: " + e.getMessage());
             exitCode = 1;
         }
@@ -141,7 +141,7 @@
             String acceptFd = System.getenv("RELAY_ACCEPT_FD");
             ServerSocketChannel inheritedSocket;
             try {
-                inheritedSocket = acceptFd == null || acceptFd.isEmpty() ? null : Network.inherited(acceptFd);
+                inheritedSocket = acceptFd == null || acceptFd.isEmpty() ? null : Network.inheritedSocket(acceptFd);
             } catch (IllegalArgumentException e) {
                 throw new ParameterException(e.getMessage());
             }
@@ -149,15 +149,20 @@
             AmqpConfig amqpConfig = readAmqpConfig(amqpFile, operator);
             Counters counters = new Counters();
             Network network =
-                    new Network(config.settings().settings().allowed().connectTimeout(), config.descriptors());
+                    new Network(config.parsedSettings().settings().limits().connectTimeout(), config.maxDescriptors());
             // Listens before the warm-up, so that the operators' requests are answered 'not yet' in the meantime.
-            Management management = config.mgmt() == null ? null : Management.listen(network, config.mgmt());
+            OperatorListener operatorListener = config.operatorAddress() == null
+                    ? null
+                    : OperatorListener.listen(network, config.operatorAddress());
             WarmUp.run(config, stateFolder, MAX_WARM_UP_MILLIS);
             Extension extension = amqpConfig == null
                     ? null
                     : new AmqpExtension(
-                            amqpConfig, config.classes(), config.settings().settings(), network);
-            Platform platform = new Platform(
+                            amqpConfig,
+                            config.classNames(),
+                            config.parsedSettings().settings(),
+                            network);
+            RelayServer relayServer = new RelayServer(
                     config,
                     stateFolder,
                     counters,
@@ -165,8 +170,8 @@
                     extension,
                     operator == null ? null : operator.storm(),
                     inheritedSocket);
-            if (management != null) {
-                management.operate(platform);
+            if (operatorListener != null) {
+                operatorListener.setRelay(relayServer);
             }
             AutoCloseable fleetMembership = operator == null || operator.fleet() == null
                     ? () -> {}
@@ -185,9 +190,9 @@
                     .addShutdownHook(new Thread(
                             () -> {
                                 try {
-                                    platform.drain();
+                                    relayServer.drain();
                                     System.err.print(counters.text());
-                                    platform.close();
+                                    relayServer.close();
                                     fleetMembership.close();
                                 } catch (Exception e) {
                                     System.err.println("juniperusher: shutdown failed: " + e);
@@ -196,7 +201,7 @@
                             "drain"));
             while (true) {
                 reloadSignal.awaitReload();
-                platform.reload(configFile);
+                relayServer.reload(configFile);
             }
         }
     }
@@ -204,7 +209,7 @@
     /** Returns the configuration of the AMQP front, or null if the front is disabled. */
     private static AmqpConfig readAmqpConfig(String jsonFile, OperatorSettings operator) throws IOException {
         if (jsonFile == null) {
-            return operator == null || operator.amqp() == null ? null : AmqpConfig.of(operator.amqp());
+            return operator == null || operator.amqp() == null ? null : AmqpConfig.fromTable(operator.amqp());
         }
         if (operator != null && operator.amqp() != null) {
             throw new ParameterException("--amqp and [amqp] in the file of --settings exclude each other");
@@ -214,7 +219,7 @@
                 .addKeyValue("file", jsonFile)
                 .log("--amqp is deprecated: move its content to [amqp] in the file of --settings, see "
                         + "deploy/relay.toml");
-        return AmqpConfig.read(Path.of(jsonFile));
+        return AmqpConfig.readFile(Path.of(jsonFile));
     }
 
     @Parameters(commandDescription = "Prints the counters of running relays in the Prometheus text format")
@@ -238,7 +243,7 @@
 
         @Override
         public int run() throws IOException {
-            for (Journal.Owed message : Journal.read(Path.of(folder))) {
+            for (Journal.UnfinishedMessage message : Journal.read(Path.of(folder))) {
                 System.out.println(message.number() + " " + message.request().key() + " dest="
                         + message.request().destination() + " class="
                         + message.request().messageClass()
--- a/src/main/java/juniperusher/cli/MetricsClient.java
+++ b/src/main/java/juniperusher/cli/MetricsClient.java
@@ -37,16 +37,16 @@
                                 }
 
                                 @Override
-                                public void ended(CallEnd why, int firstLine) {
+                                public void ended(CallEnd end, int statusLineCode) {
                                     answer.completeExceptionally(new IOException("no answer from " + address + ": "
-                                            + why.name().toLowerCase(java.util.Locale.ROOT)));
+                                            + end.name().toLowerCase(java.util.Locale.ROOT)));
                                 }
                             });
             HttpMessage response = answer.get((long) (TIMEOUT_SECONDS * 1000), TimeUnit.MILLISECONDS);
             if (response.status() != 200) {
                 throw new IOException(address + " answers " + response.status());
             }
-            return response.text();
+            return response.bodyText();
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e);
         } catch (TimeoutException e) {
--- a/src/main/java/juniperusher/cli/RemoteWrite.java
+++ b/src/main/java/juniperusher/cli/RemoteWrite.java
@@ -116,8 +116,8 @@
                     }
 
                     @Override
-                    public void ended(CallEnd why, int firstLine) {
-                        retry(body, backoffMillis, why.name().toLowerCase(Locale.ROOT));
+                    public void ended(CallEnd end, int statusLineCode) {
+                        retry(body, backoffMillis, end.name().toLowerCase(Locale.ROOT));
                     }
                 });
         network.scheduler()
--- a/src/main/java/juniperusher/cli/SelfTest.java
+++ b/src/main/java/juniperusher/cli/SelfTest.java
@@ -19,7 +19,7 @@
 import juniperusher.core.CallEnd;
 import juniperusher.core.Counters;
 import juniperusher.http.Config;
-import juniperusher.http.Platform;
+import juniperusher.http.RelayServer;
 import juniperusher.http.WarmUp;
 import juniperusher.net.HttpMessage;
 import juniperusher.net.HttpPool;
@@ -65,7 +65,8 @@
             Files.writeString(folder.resolve("relay.json"), configuration.toString());
             Config config = Config.read(folder.resolve("relay.json"));
             Network network = new Network(1);
-            try (Platform platform = new Platform(config, folder.resolve("state"), new Counters(), network, null)) {
+            try (RelayServer relayServer =
+                    new RelayServer(config, folder.resolve("state"), new Counters(), network, null)) {
                 HttpPool pool = new HttpPool(network, 1, 8);
                 requireStatus(pool, listen, HttpMessage.request("GET", "/up", new byte[0], "Host", "relay"), 200);
                 requireStatus(
@@ -86,10 +87,10 @@
                                 "X-Envelope",
                                 "dest=7"),
                         202);
-                if (platform.counters().get("taken_total", "front", "http", "class", "0") != 1) {
+                if (relayServer.counters().get("taken_total", "front", "http", "class", "0") != 1) {
                     throw new IOException("the relay did not count the RPC that it accepted");
                 }
-                if (!WarmUp.readsChanges()) {
+                if (!WarmUp.parsesChange()) {
                     throw new IOException("the relay cannot read a change of the list of endpoints");
                 }
             }
@@ -120,14 +121,14 @@
             }
 
             @Override
-            public void ended(CallEnd why, int firstLine) {
-                status.completeExceptionally(new IOException("no answer: " + why));
+            public void ended(CallEnd end, int statusLineCode) {
+                status.completeExceptionally(new IOException("no answer: " + end));
             }
         });
         int actualStatus = status.get(5, TimeUnit.SECONDS);
         if (actualStatus != expectedStatus) {
             throw new IOException(
-                    "answered " + actualStatus + " instead of " + expectedStatus + " to " + request.start());
+                    "answered " + actualStatus + " instead of " + expectedStatus + " to " + request.startLine());
         }
     }
 }
--- a/src/main/java/juniperusher/cli/SettingsFile.java
+++ b/src/main/java/juniperusher/cli/SettingsFile.java
@@ -3,8 +3,8 @@
 import com.beust.jcommander.ParameterException;
 import java.io.IOException;
 import java.nio.file.Path;
-import juniperusher.settings.CheckedToml;
 import juniperusher.settings.OperatorSettings;
+import juniperusher.settings.TomlReader;
 
 /**
  * Reads the operator's settings for a command and reports an invalid file as an invalid argument. This class, and with
@@ -16,7 +16,7 @@
     static OperatorSettings read(String file) throws IOException {
         try {
             return OperatorSettings.read(Path.of(file));
-        } catch (CheckedToml.InvalidTomlException e) {
+        } catch (TomlReader.InvalidTomlException e) {
             throw new ParameterException(e.getMessage());
         }
     }
--- a/src/main/java/juniperusher/core/CallEnd.java
+++ b/src/main/java/juniperusher/core/CallEnd.java
@@ -55,7 +55,7 @@
      * @param status HTTP status, 0 if no status line arrived
      * @param rpcs number of RPCs in the call
      */
-    public CallEnd afterFirstLine(int status, int rpcs) {
+    public CallEnd adjustedForStatusLine(int status, int rpcs) {
         return status == 200 && rpcs == 1 ? DELIVERED : this;
     }
 
@@ -65,7 +65,7 @@
      *
      * @param lastByteMayBeWritten whether the last byte of the call may have been written
      */
-    public CallEnd given(boolean lastByteMayBeWritten) {
+    public CallEnd adjustedForLastByte(boolean lastByteMayBeWritten) {
         boolean interrupted = this == BROKEN || this == TIMED_OUT || this == CALLED_OFF;
         return interrupted && !lastByteMayBeWritten ? NOT_CONNECTED : this;
     }
--- a/src/main/java/juniperusher/core/CallPreconditions.java
+++ b/src/main/java/juniperusher/core/CallPreconditions.java
@@ -31,7 +31,7 @@
     /** Whether the endpoint is ready, belongs to the destination, and no delay of the destination is active. */
     boolean mayCall(int subchannel, int destination) {
         Long untilNanos = delayedUntilNanos.get(destination);
-        return members.ready(subchannel, destination) && (untilNanos == null || untilNanos - System.nanoTime() <= 0);
+        return members.isReady(subchannel, destination) && (untilNanos == null || untilNanos - System.nanoTime() <= 0);
     }
 
     /** Whether a resolver result has ever named the destination; a message for any other could never be sent. */
--- a/src/main/java/juniperusher/core/Channel.java
+++ b/src/main/java/juniperusher/core/Channel.java
@@ -3,7 +3,7 @@
 /** The connection to the client that submits an RPC. Exactly one of the two methods is called, once. */
 public interface Channel {
     /** The relay has accepted the RPC and will report its end. */
-    void takenOn();
+    void accepted();
 
     /** The relay has not accepted the RPC; the client may resubmit it. */
     void refused(UnavailableStatus status);
--- a/src/main/java/juniperusher/core/DecisionLoop.java
+++ b/src/main/java/juniperusher/core/DecisionLoop.java
@@ -10,8 +10,8 @@
 import juniperusher.Control;
 import juniperusher.Protocol.Action;
 import juniperusher.Protocol.Event;
-import juniperusher.Protocol.WakeAt;
-import juniperusher.Protocol.Woken;
+import juniperusher.Protocol.SetTimer;
+import juniperusher.Protocol.TimerFired;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -24,12 +24,12 @@
     private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
 
     private final Control control;
-    private final Companion companion;
+    private final RoundInterceptor interceptor;
     private final long minRoundNanos;
     private final ActionExecutor actionExecutor;
     private final long originNanos = System.nanoTime();
     private final BlockingQueue<Supplier<Event>> queue = new LinkedBlockingQueue<>();
-    private final PriorityQueue<WakeAt> wakeUps = new PriorityQueue<>((a, b) -> Double.compare(a.time(), b.time()));
+    private final PriorityQueue<SetTimer> wakeUps = new PriorityQueue<>((a, b) -> Double.compare(a.time(), b.time()));
 
     private volatile boolean stopped;
 
@@ -41,12 +41,12 @@
     /**
      * Creates a loop, which runs once it is given to a thread.
      *
-     * @param companion may be null
+     * @param interceptor may be null
      * @param minRoundSeconds minimum time between the starts of two rounds
      */
-    DecisionLoop(Control control, Companion companion, double minRoundSeconds, ActionExecutor actionExecutor) {
+    DecisionLoop(Control control, RoundInterceptor interceptor, double minRoundSeconds, ActionExecutor actionExecutor) {
         this.control = control;
-        this.companion = companion;
+        this.interceptor = interceptor;
         this.minRoundNanos = (long) (minRoundSeconds * 1e9);
         this.actionExecutor = actionExecutor;
     }
@@ -67,7 +67,7 @@
      */
     void stop() {
         stopped = true;
-        queue.add(() -> new Woken(-1));
+        queue.add(() -> new TimerFired(-1));
     }
 
     private double nowSeconds() {
@@ -91,7 +91,7 @@
 
     private void runRound() throws InterruptedException {
         List<Supplier<Event>> suppliers = new ArrayList<>();
-        WakeAt nextWakeUp = wakeUps.peek();
+        SetTimer nextWakeUp = wakeUps.peek();
         Supplier<Event> first = nextWakeUp == null
                 ? queue.take()
                 : queue.poll((long) (Math.max(0, nextWakeUp.time() - nowSeconds()) * 1e9) + 1, TimeUnit.NANOSECONDS);
@@ -104,19 +104,19 @@
         List<Event> events = new ArrayList<>();
         suppliers.forEach(event -> events.add(event.get()));
         while (!wakeUps.isEmpty() && wakeUps.peek().time() <= nowSeconds) {
-            events.add(new Woken(wakeUps.poll().token()));
+            events.add(new TimerFired(wakeUps.poll().token()));
         }
         if (events.isEmpty() || stopped) {
             return;
         }
-        List<Action> actions =
-                control.decide(nowSeconds, companion == null ? events : companion.before(nowSeconds, events));
-        if (companion != null) {
-            actions.addAll(companion.after(nowSeconds, actions));
+        List<Action> actions = control.decide(
+                nowSeconds, interceptor == null ? events : interceptor.beforeDecision(nowSeconds, events));
+        if (interceptor != null) {
+            actions.addAll(interceptor.afterDecision(nowSeconds, actions));
         }
         for (Action action : actions) {
-            if (action instanceof WakeAt wakeUp) {
-                wakeUps.add(wakeUp);
+            if (action instanceof SetTimer timer) {
+                wakeUps.add(timer);
             }
         }
         actionExecutor.carryOut(actions);
--- a/src/main/java/juniperusher/core/Extension.java
+++ b/src/main/java/juniperusher/core/Extension.java
@@ -15,8 +15,8 @@
     Subchannels subchannels();
 
     /** Adds the front of this extension to the relay. */
-    void join(Relay relay);
+    void registerFront(Relay relay);
 
     /** Starts to accept RPCs. */
-    void open() throws Exception;
+    void startAccepting() throws Exception;
 }
--- a/src/main/java/juniperusher/core/Front.java
+++ b/src/main/java/juniperusher/core/Front.java
@@ -6,7 +6,7 @@
     String name();
 
     /** Whether this end is reported to the client. If not, the RPC is finished once its end is in the journal. */
-    boolean tells(RpcEnd end);
+    boolean reportsEnd(RpcEnd end);
 
     /**
      * Reports the end, repeatedly until the receiver acknowledges it, then runs {@code acknowledged} once.
@@ -19,7 +19,7 @@
      * Whether later messages with the same order key wait until the receiver has acknowledged this end. If false, they
      * wait only until the report has been started.
      */
-    default boolean overOnceAcknowledged() {
+    default boolean orderWaitsForAcknowledgement() {
         return true;
     }
 }
--- a/src/main/java/juniperusher/core/Journal.java
+++ b/src/main/java/juniperusher/core/Journal.java
@@ -63,9 +63,9 @@
     private final Path folder;
     private final long limitBytes;
     private final long reserveBytes;
-    private final Map<Integer, Owed> unfinished = new LinkedHashMap<>();
+    private final Map<Integer, UnfinishedMessage> unfinished = new LinkedHashMap<>();
     private final Map<String, Long> endMillisByKey = new LinkedHashMap<>();
-    private final List<Owed> recovered;
+    private final List<UnfinishedMessage> recovered;
     private final List<Runnable> actionsOnceWritten = new ArrayList<>();
     private JournalSegments segments;
     private int firstSegment; // lowest segment number that a snapshot of this journal replaces
@@ -100,7 +100,7 @@
      * @param inFlight the attempt without a known outcome, or null
      * @param end its end, or null while it has none
      */
-    public record Owed(
+    public record UnfinishedMessage(
             int number,
             RpcRequest request,
             String className,
@@ -121,12 +121,12 @@
          * because its client may resubmit it under the same id.
          */
         boolean keyIsRemembered() {
-            return request.once() && end.kind() != RpcEnd.Kind.HANDED_BACK;
+            return request.acceptOnce() && end.kind() != RpcEnd.Kind.HANDED_BACK;
         }
 
         /** The state that a new process assumes: an attempt in flight may have run. */
-        Owed afterRestart() {
-            return new Owed(
+        UnfinishedMessage afterRestart() {
+            return new UnfinishedMessage(
                     number,
                     request,
                     className,
@@ -138,8 +138,8 @@
         }
 
         /** A further attempt starts. An earlier attempt without a recorded outcome may have run. */
-        Owed withAttempt(Attempt attempt) {
-            return new Owed(
+        UnfinishedMessage withAttempt(Attempt attempt) {
+            return new UnfinishedMessage(
                     number,
                     request,
                     className,
@@ -151,8 +151,8 @@
         }
 
         /** The attempt in flight has ended. */
-        Owed withOutcome(boolean neverRan) {
-            return new Owed(
+        UnfinishedMessage withOutcome(boolean neverRan) {
+            return new UnfinishedMessage(
                     number,
                     request,
                     className,
@@ -164,12 +164,14 @@
         }
 
         /** The RPC has ended. */
-        Owed withEnd(RpcEnd newEnd) {
-            return new Owed(number, request, className, acceptedAtMicros, attempts, firstPossibleRun, null, newEnd);
+        UnfinishedMessage withEnd(RpcEnd newEnd) {
+            return new UnfinishedMessage(
+                    number, request, className, acceptedAtMicros, attempts, firstPossibleRun, null, newEnd);
         }
 
-        Owed withNumber(int newNumber) {
-            return new Owed(newNumber, request, className, acceptedAtMicros, attempts, firstPossibleRun, inFlight, end);
+        UnfinishedMessage withNumber(int newNumber) {
+            return new UnfinishedMessage(
+                    newNumber, request, className, acceptedAtMicros, attempts, firstPossibleRun, inFlight, end);
         }
 
         /** Upper bound of the bytes that it takes in a snapshot. */
@@ -210,7 +212,9 @@
         reserveBytes = Math.min(limitBytes / 4, (long) maxPending * SMALL_RECORD_BYTES_PER_RPC);
         openFolder(successor);
         recovered = List.copyOf(unfinished.values());
-        snapshotBytes = unfinished.values().stream().mapToLong(Owed::sizeBytes).sum()
+        snapshotBytes = unfinished.values().stream()
+                        .mapToLong(UnfinishedMessage::sizeBytes)
+                        .sum()
                 + endMillisByKey.keySet().stream()
                         .mapToLong(Journal::rememberedKeyBytes)
                         .sum();
@@ -320,7 +324,7 @@
      * @return the messages taken over, in the state that a restart assumes: an attempt in flight may have run; an empty
      *     list if this journal has owned the folder from the start
      */
-    public List<Owed> takeOverFromPredecessor() throws IOException, InterruptedException {
+    public List<UnfinishedMessage> takeOverFromPredecessor() throws IOException, InterruptedException {
         FileChannel lockChannel;
         synchronized (this) {
             if (isOwner) {
@@ -344,14 +348,14 @@
         }
     }
 
-    private List<Owed> takeOverSegments() throws IOException {
+    private List<UnfinishedMessage> takeOverSegments() throws IOException {
         List<Path> otherSegments = JournalSegments.all(folder).stream()
                 .filter(path -> !segments.owns(path))
                 .toList();
         JournalReplay replay = JournalReplay.of(otherSegments);
-        List<Owed> takenOver = new ArrayList<>();
-        for (Owed otherEntry : replay.unfinished().values()) {
-            Owed entry = otherEntry.afterRestart().withNumber(++lastNumber);
+        List<UnfinishedMessage> takenOver = new ArrayList<>();
+        for (UnfinishedMessage otherEntry : replay.unfinished().values()) {
+            UnfinishedMessage entry = otherEntry.afterRestart().withNumber(++lastNumber);
             unfinished.put(entry.number(), entry);
             snapshotBytes += entry.sizeBytes();
             takenOver.add(entry);
@@ -375,13 +379,13 @@
     }
 
     /** Reads the unfinished messages in the folder without changing it. */
-    public static List<Owed> read(Path folder) throws IOException {
+    public static List<UnfinishedMessage> read(Path folder) throws IOException {
         return List.copyOf(
                 JournalReplay.of(JournalSegments.all(folder)).unfinished().values());
     }
 
     /** Unfinished messages of an earlier process, in the order in which they were accepted. */
-    public List<Owed> recovered() {
+    public List<UnfinishedMessage> recovered() {
         return recovered;
     }
 
@@ -398,12 +402,12 @@
 
     /** Time at which an unfinished RPC was accepted, in microseconds of {@link SteadyClock}; 0 if unknown. */
     public synchronized long acceptedAtMicros(int number) {
-        Owed entry = unfinished.get(number);
+        UnfinishedMessage entry = unfinished.get(number);
         return entry == null ? 0 : entry.acceptedAtMicros();
     }
 
     /** Size of this journal's segments in bytes. */
-    public synchronized long bytes() {
+    public synchronized long sizeBytes() {
         return segments.bytes();
     }
 
@@ -419,8 +423,9 @@
      *
      * @return the number of the new message, or -1 if it cannot be written and must not be accepted
      */
-    public synchronized int taken(RpcRequest request, String className) {
-        Owed entry = new Owed(lastNumber + 1, request, className, SteadyClock.micros(), 0, null, null, null);
+    public synchronized int writeAccepted(RpcRequest request, String className) {
+        UnfinishedMessage entry =
+                new UnfinishedMessage(lastNumber + 1, request, className, SteadyClock.micros(), 0, null, null, null);
         long size = entry.sizeBytes();
         if (!hasRoom(size)) {
             // a snapshot in a new segment frees the room of finished messages
@@ -443,10 +448,10 @@
      * Records that an attempt is about to start for an endpoint in the zone. If it cannot be written, a {@link
      * JournalUnavailableException} is thrown and the attempt must not start.
      */
-    public synchronized Attempt attempt(int number, int zoneIndex) {
+    public synchronized Attempt writeAttempt(int number, int zoneIndex) {
         Attempt attempt = new Attempt(SteadyClock.millis(), zoneIndex);
-        Owed entry = unfinished.get(number);
-        Owed updated = entry.withAttempt(attempt);
+        UnfinishedMessage entry = unfinished.get(number);
+        UnfinishedMessage updated = entry.withAttempt(attempt);
         byte[] record = JournalRecords.attempt(number, attempt);
         if (!fits(record)) {
             snapshotNeeded = true;
@@ -461,7 +466,7 @@
     // ---- steps that have already happened: they change the state in memory at once ----
 
     /** Records the end of the attempt in flight. */
-    public synchronized void outcome(int number, boolean neverRan) {
+    public synchronized void writeOutcome(int number, boolean neverRan) {
         unfinished.put(number, unfinished.get(number).withOutcome(neverRan));
         appendOrSnapshot(JournalRecords.outcome(number, neverRan));
     }
@@ -471,8 +476,8 @@
      *
      * @return whether the end is already in the folder
      */
-    public synchronized boolean ended(int number, RpcEnd end) {
-        Owed entry = unfinished.get(number);
+    public synchronized boolean writeEnd(int number, RpcEnd end) {
+        UnfinishedMessage entry = unfinished.get(number);
         snapshotBytes -= entry.sizeBytes();
         entry = entry.withEnd(end);
         unfinished.put(number, entry);
@@ -486,8 +491,8 @@
     }
 
     /** Records that the RPC's end is acknowledged or needs no report. The message is finished. */
-    public synchronized void acknowledged(int number) {
-        Owed entry = unfinished.remove(number);
+    public synchronized void writeAcknowledged(int number) {
+        UnfinishedMessage entry = unfinished.remove(number);
         if (entry != null) {
             snapshotBytes -= entry.sizeBytes();
             appendOrSnapshot(JournalRecords.acknowledged(number));
@@ -624,7 +629,7 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(JournalRecords.snapshotBegins(firstSegment, SteadyClock.mark()));
         endMillisByKey.forEach((key, endMillis) -> bytes.writeBytes(JournalRecords.rememberedKey(key, endMillis)));
-        for (Owed entry : unfinished.values()) {
+        for (UnfinishedMessage entry : unfinished.values()) {
             bytes.writeBytes(JournalRecords.accepted(entry));
             if (entry.end() != null) {
                 bytes.writeBytes(JournalRecords.ended(entry.number(), entry.end(), nowMillis));
--- a/src/main/java/juniperusher/core/JournalRecords.java
+++ b/src/main/java/juniperusher/core/JournalRecords.java
@@ -93,7 +93,7 @@
         });
     }
 
-    static byte[] accepted(Journal.Owed entry) {
+    static byte[] accepted(Journal.UnfinishedMessage entry) {
         RpcRequest request = entry.request();
         return record(ACCEPTED, out -> {
             out.writeInt(entry.number());
@@ -101,9 +101,9 @@
             out.writeUTF(request.front());
             out.writeInt(request.messageClass());
             out.writeInt(request.destination());
-            out.writeLong(request.deadline());
+            out.writeLong(request.deadlineMillis());
             out.writeUTF(request.returnAddress());
-            out.writeBoolean(request.once());
+            out.writeBoolean(request.acceptOnce());
             out.writeInt(entry.attempts());
             out.writeBoolean(entry.firstPossibleRun() != null);
             out.writeBoolean(entry.inFlight() != null);
@@ -122,14 +122,14 @@
     }
 
     /** Reads the message in an {@link #ACCEPTED} record, after its type and number. */
-    static Journal.Owed accepted(int number, DataInputStream in) throws IOException {
+    static Journal.UnfinishedMessage accepted(int number, DataInputStream in) throws IOException {
         String id = in.readUTF();
         String front = in.readUTF();
         int messageClass = in.readInt();
         int destination = in.readInt();
-        long deadline = in.readLong();
+        long deadlineMillis = in.readLong();
         String returnAddress = in.readUTF();
-        boolean once = in.readBoolean();
+        boolean acceptOnce = in.readBoolean();
         int attempts = in.readInt();
         boolean hasPossibleRun = in.readBoolean();
         boolean hasInFlight = in.readBoolean();
@@ -142,16 +142,16 @@
                 front,
                 messageClass,
                 destination,
-                deadline,
+                deadlineMillis,
                 returnAddress,
-                once,
+                acceptOnce,
                 body,
                 false,
                 optionalText(in),
                 optionalText(in),
                 optionalText(in));
         long acceptedAtMicros = in.available() > 0 ? in.readLong() : 0;
-        return new Journal.Owed(
+        return new Journal.UnfinishedMessage(
                 number,
                 request,
                 className,
@@ -198,7 +198,7 @@
         return record(ENDED, out -> {
             out.writeInt(number);
             out.writeByte(end.kind().ordinal());
-            out.writeDouble(end.retryIn());
+            out.writeDouble(end.retryAfterSeconds());
             out.writeLong(endMillis);
         });
     }
--- a/src/main/java/juniperusher/core/JournalReplay.java
+++ b/src/main/java/juniperusher/core/JournalReplay.java
@@ -21,13 +21,14 @@
 final class JournalReplay {
     private static final Logger LOG = LoggerFactory.getLogger(JournalReplay.class);
 
-    private final Map<Integer, Journal.Owed> unfinished = new LinkedHashMap<>();
+    private final Map<Integer, Journal.UnfinishedMessage> unfinished = new LinkedHashMap<>();
     // number of the segment in which each message was accepted
     private final Map<Integer, Integer> acceptingSegments = new HashMap<>();
     private final Map<String, Long> endMillisByKey = new LinkedHashMap<>();
     private int lastNumber;
     private SteadyClock.Mark clockMark; // the last one read, or null
-    private Map<Integer, Journal.Owed> snapshotEntries; // messages of the snapshot being read, or null outside of one
+    private Map<Integer, Journal.UnfinishedMessage>
+            snapshotEntries; // messages of the snapshot being read, or null outside of one
     private int firstReplacedSegment;
     private int segmentNumber;
 
@@ -43,7 +44,7 @@
     }
 
     /** Unfinished messages in the order in which they were accepted. */
-    Map<Integer, Journal.Owed> unfinished() {
+    Map<Integer, Journal.UnfinishedMessage> unfinished() {
         return unfinished;
     }
 
@@ -114,11 +115,11 @@
         snapshotEntries = null;
     }
 
-    private Map<Integer, Journal.Owed> currentEntries() {
+    private Map<Integer, Journal.UnfinishedMessage> currentEntries() {
         return snapshotEntries == null ? unfinished : snapshotEntries;
     }
 
-    private void addAccepted(int number, Journal.Owed entry) {
+    private void addAccepted(int number, Journal.UnfinishedMessage entry) {
         currentEntries().put(number, entry);
         if (snapshotEntries == null) {
             acceptingSegments.put(number, segmentNumber);
@@ -127,8 +128,8 @@
     }
 
     private void replayStep(byte type, int number, DataInputStream in) throws IOException {
-        Map<Integer, Journal.Owed> entries = currentEntries();
-        Journal.Owed entry = entries.get(number);
+        Map<Integer, Journal.UnfinishedMessage> entries = currentEntries();
+        Journal.UnfinishedMessage entry = entries.get(number);
         if (entry == null) {
             return;
         }
@@ -141,14 +142,15 @@
         }
     }
 
-    private void replayEnd(Map<Integer, Journal.Owed> entries, Journal.Owed entry, DataInputStream in)
+    private void replayEnd(
+            Map<Integer, Journal.UnfinishedMessage> entries, Journal.UnfinishedMessage entry, DataInputStream in)
             throws IOException {
         RpcEnd end = new RpcEnd(
                 entry.request().id(),
                 entry.request().returnAddress(),
                 RpcEnd.Kind.values()[in.readByte()],
                 in.readDouble());
-        Journal.Owed updated = entry.withEnd(end);
+        Journal.UnfinishedMessage updated = entry.withEnd(end);
         entries.put(entry.number(), updated);
         if (updated.keyIsRemembered()) {
             endMillisByKey.put(updated.request().key(), in.readLong());
--- a/src/main/java/juniperusher/core/MessageLog.java
+++ b/src/main/java/juniperusher/core/MessageLog.java
@@ -36,7 +36,7 @@
     }
 
     /** A message that an earlier process left unfinished was read. */
-    static void recovered(Journal.Owed entry, double secondsLeft) {
+    static void recovered(Journal.UnfinishedMessage entry, double secondsLeft) {
         LOG.atDebug()
                 .addKeyValue("id", entry.request().id())
                 .addKeyValue("number", entry.number())
@@ -67,7 +67,7 @@
                 .addKeyValue("call", call.number())
                 .addKeyValue("end", result.end())
                 .addKeyValue("elapsed", call.elapsedSeconds())
-                .addKeyValue("told", result.told())
+                .addKeyValue("told", result.retryAfterSeconds())
                 .log("attempt ended");
     }
 
--- a/src/main/java/juniperusher/core/Relay.java
+++ b/src/main/java/juniperusher/core/Relay.java
@@ -19,29 +19,29 @@
 import juniperusher.Protocol.Action;
 import juniperusher.Protocol.AnswerAcknowledged;
 import juniperusher.Protocol.AnswerPending;
-import juniperusher.Protocol.Arrived;
-import juniperusher.Protocol.Cancel;
+import juniperusher.Protocol.AttemptEnded;
+import juniperusher.Protocol.CancelAttempt;
 import juniperusher.Protocol.CloseIdle;
+import juniperusher.Protocol.EarlierAttempt;
 import juniperusher.Protocol.Effect;
-import juniperusher.Protocol.Ended;
 import juniperusher.Protocol.Event;
 import juniperusher.Protocol.Fail;
 import juniperusher.Protocol.Log;
 import juniperusher.Protocol.Message;
+import juniperusher.Protocol.MessageAccepted;
 import juniperusher.Protocol.MessageClass;
-import juniperusher.Protocol.Note;
+import juniperusher.Protocol.MessageWithdrawn;
 import juniperusher.Protocol.Outcome;
 import juniperusher.Protocol.Probe;
-import juniperusher.Protocol.Probed;
-import juniperusher.Protocol.Ran;
+import juniperusher.Protocol.ProbeEnded;
 import juniperusher.Protocol.Refuse;
-import juniperusher.Protocol.Retuned;
 import juniperusher.Protocol.Send;
+import juniperusher.Protocol.SendNote;
 import juniperusher.Protocol.Settings;
+import juniperusher.Protocol.SettingsChanged;
 import juniperusher.Protocol.Target;
 import juniperusher.Protocol.TargetList;
 import juniperusher.Protocol.Tenant;
-import juniperusher.Protocol.Withdrawn;
 import juniperusher.clock.SteadyClock;
 import juniperusher.membership.Membership;
 import juniperusher.membership.Snapshot;
@@ -52,8 +52,8 @@
  * The core of the relay: accepts or refuses RPCs, passes them to the decision module, carries out the module's actions
  * and reports the end of each accepted RPC to its front.
  *
- * <p>All fronts are added with {@link #add} before {@link #start}. After that, {@link #offer}, {@link #resolved},
- * {@link #tell(Event)} and {@link #retune} may be called by any thread.
+ * <p>All fronts are added with {@link #addFront} before {@link #start}. After that, {@link #submit}, {@link
+ * #updateEndpoints}, {@link #post(Event)} and {@link #updateSettings} may be called by any thread.
  */
 public final class Relay {
     private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
@@ -82,7 +82,7 @@
     private final Counters counters;
     private final Subchannels subchannels;
     private final NoteSender noteSender;
-    private final Companion companion; // may be null
+    private final RoundInterceptor interceptor; // may be null
     private final DecisionLoop decisionLoop;
     private final CallPreconditions callPreconditions = new CallPreconditions();
     private final Map<String, Front> fronts = new HashMap<>();
@@ -113,7 +113,7 @@
      * @param minRoundSeconds minimum time between the starts of two rounds of the decision module
      * @param stateFolder folder of the journal and of the files shared by the two processes of an upgrade
      * @param diskBytes upper bound of the journal's size
-     * @param companion sees the events and actions of each round; may be null
+     * @param interceptor sees the events and actions of each round; may be null
      * @throws IOException where the folder cannot be created or read
      */
     public Relay(
@@ -125,18 +125,18 @@
             Counters counters,
             Subchannels subchannels,
             NoteSender noteSender,
-            Companion companion)
+            RoundInterceptor interceptor)
             throws IOException {
         this(
                 settings,
                 seed,
                 minRoundSeconds,
                 stateFolder,
-                new Journal(stateFolder, diskBytes, settings.allowed().held()),
+                new Journal(stateFolder, diskBytes, settings.limits().maxPending()),
                 counters,
                 subchannels,
                 noteSender,
-                companion);
+                interceptor);
     }
 
     /** Uses a journal that is already open. */
@@ -149,30 +149,30 @@
             Counters counters,
             Subchannels subchannels,
             NoteSender noteSender,
-            Companion companion) {
+            RoundInterceptor interceptor) {
         this.settings = settings;
         recordUnsafeClasses(settings);
         this.counters = counters;
         this.subchannels = subchannels;
         this.noteSender = noteSender;
-        this.companion = companion;
+        this.interceptor = interceptor;
         // a thread that fails to start later would leave calls without a timeout
         timers.prestartCoreThread();
         // otherwise the timer of each answered call would be kept until its timeout
         timers.setRemoveOnCancelPolicy(true);
         this.journal = journal;
         this.stateFolder = stateFolder;
-        decisionLoop = new DecisionLoop(new Control(settings, seed), companion, minRoundSeconds, this::carryOut);
+        decisionLoop = new DecisionLoop(new Control(settings, seed), interceptor, minRoundSeconds, this::carryOut);
         orderHandover = new OrderHandover(new SuccessorMark(stateFolder), decisionLoop::post);
         counters.gauge("held", pending::size);
-        counters.gauge("journal_bytes", journal::bytes);
+        counters.gauge("journal_bytes", journal::sizeBytes);
         counters.gauge("journal_behind", () -> journal.isBehind() ? 1 : 0);
         counters.gauge("journal_write_failures", journal::failedWrites);
         journal.onBehind(this::scheduleCatchUp);
     }
 
     /** Adds a front. All fronts have to be added before {@link #start}. */
-    public void add(Front front) {
+    public void addFront(Front front) {
         fronts.put(front.name(), front);
     }
 
@@ -181,7 +181,7 @@
      * announced to either process delays calls in both. Has to be called before {@link #start}; without it the file is
      * neither read nor written.
      */
-    public void shareWaits() {
+    public void shareRetryDelays() {
         sharedRetryDelays = new SharedRetryDelays(stateFolder);
     }
 
@@ -192,11 +192,11 @@
      * @param knownEndpoints endpoints to begin with
      */
     public void start(Snapshot knownEndpoints) {
-        resolved(knownEndpoints, Membership.whole(knownEndpoints));
+        updateEndpoints(knownEndpoints, Membership.fullTargetList(knownEndpoints));
         if (journal.isSuccessor()) {
             orderHandover.awaitOwnerYield();
         }
-        for (Journal.Owed entry : journal.recovered()) {
+        for (Journal.UnfinishedMessage entry : journal.recovered()) {
             recover(entry);
         }
         loopThread = new Thread(decisionLoop, "decide");
@@ -221,10 +221,10 @@
      * Applies changed settings. Accepted RPCs keep their classes; later ones use the new classes and limits. Existing
      * classes keep their index, and new ones are appended.
      */
-    public void retune(Settings newSettings) {
+    public void updateSettings(Settings newSettings) {
         recordUnsafeClasses(newSettings);
         settings = newSettings;
-        decisionLoop.post(new Retuned(newSettings));
+        decisionLoop.post(new SettingsChanged(newSettings));
     }
 
     private void recordUnsafeClasses(Settings newSettings) {
@@ -269,11 +269,11 @@
      */
     private void takeOverFromPredecessor() {
         try {
-            List<Journal.Owed> entries = journal.takeOverFromPredecessor();
-            for (Journal.Owed entry : entries) {
+            List<Journal.UnfinishedMessage> entries = journal.takeOverFromPredecessor();
+            for (Journal.UnfinishedMessage entry : entries) {
                 if (pendingByKey.containsKey(entry.request().key())) {
                     // Its client resubmitted it to this process, which reports its one end.
-                    journal.acknowledged(entry.number());
+                    journal.writeAcknowledged(entry.number());
                 } else {
                     recover(entry);
                 }
@@ -289,7 +289,7 @@
         }
     }
 
-    private void recover(Journal.Owed entry) {
+    private void recover(Journal.UnfinishedMessage entry) {
         int classIndex = classIndexOf(entry);
         MessageClass messageClass = classIndex < 0 ? null : settings.classes().get(classIndex);
         RpcRequest request = classIndex < 0 ? entry.request() : entry.request().withMessageClass(classIndex);
@@ -325,7 +325,7 @@
      * Index of the message's class in the current settings, or -1. The class is found by its name: its recorded index
      * may stand for another class after a restart with other settings, which could make an unsafe RPC repeatable.
      */
-    private int classIndexOf(Journal.Owed entry) {
+    private int classIndexOf(Journal.UnfinishedMessage entry) {
         List<MessageClass> classes = settings.classes();
         int recordedIndex = entry.request().messageClass();
         if (entry.className().isEmpty()) {
@@ -344,10 +344,10 @@
 
     /**
      * Accepts or refuses the RPC and notifies the channel before returning. A resubmission counts as accepted and is
-     * not delivered a second time: an RPC whose key is still pending, or, if {@link RpcRequest#once} is set, ended
-     * recently. Safe for threads.
+     * not delivered a second time: an RPC whose key is still pending, or, if {@link RpcRequest#acceptOnce} is set,
+     * ended recently. Safe for threads.
      */
-    public void offer(RpcRequest request, Channel channel) {
+    public void submit(RpcRequest request, Channel channel) {
         if (!keysBeingAdmitted.add(request.key())) {
             refuse(request, channel, "twice"); // another connection is submitting the same id at this moment
             return;
@@ -360,11 +360,11 @@
     }
 
     private void admit(RpcRequest request, Channel channel) {
-        if (pendingByKey.containsKey(request.key()) || request.once() && journal.endedRecently(request.key())) {
-            channel.takenOn(); // a resubmission: the RPC is reported once
+        if (pendingByKey.containsKey(request.key()) || request.acceptOnce() && journal.endedRecently(request.key())) {
+            channel.accepted(); // a resubmission: the RPC is reported once
             return;
         }
-        if (admittedCount.incrementAndGet() > settings.allowed().held()) {
+        if (admittedCount.incrementAndGet() > settings.limits().maxPending()) {
             admittedCount.decrementAndGet();
             refuse(request, channel, "held");
             return;
@@ -378,7 +378,7 @@
     }
 
     private void accept(RpcRequest request, MessageClass messageClass, Channel channel) {
-        int number = journal.taken(request, messageClass.name());
+        int number = journal.writeAccepted(request, messageClass.name());
         if (number < 0) {
             admittedCount.decrementAndGet();
             refuse(request, channel, "disk");
@@ -389,7 +389,7 @@
         pending.put(number, rpc);
         pendingByKey.put(request.key(), rpc);
         MessageLog.accepted(number, request, rpc.secondsLeft());
-        channel.takenOn();
+        channel.accepted();
         orderHandover.accepted(number, rpc.orderKey());
         rpc.start();
     }
@@ -397,8 +397,8 @@
     private void refuse(RpcRequest request, Channel channel, String reason) {
         counters.add("refused_total", "front", request.front(), "why", reason);
         MessageLog.refused(request, reason);
-        if (companion != null) {
-            companion.turnedAway(request);
+        if (interceptor != null) {
+            interceptor.requestRefused(request);
         }
         channel.refused(new UnavailableStatus(FULL_RETRY_AFTER_SECONDS));
     }
@@ -410,7 +410,7 @@
     }
 
     /** Whether a resolver result or an extension has ever named the destination. */
-    public boolean knows(int destination) {
+    public boolean knowsDestination(int destination) {
         return callPreconditions.knowsDestination(destination);
     }
 
@@ -419,7 +419,7 @@
         RpcRequest request = rpc.request();
         long acceptedAtMicros = rpc.orderKey() == 0 ? 0 : journal.acceptedAtMicros(rpc.number());
         // The time left is read when the round starts, not now: an event may queue while the decision thread is busy.
-        decisionLoop.postDeferred(() -> new Arrived(new Message(
+        decisionLoop.postDeferred(() -> new MessageAccepted(new Message(
                 rpc.number(),
                 request.messageClass(),
                 tenantIndex(request),
@@ -429,10 +429,11 @@
                 attemptsUsed,
                 firstPossibleRun == null
                         ? null
-                        : new Ran(
+                        : new EarlierAttempt(
                                 (SteadyClock.millis() - firstPossibleRun.startedAtMillis()) / 1000.0,
                                 firstPossibleRun.zoneIndex()),
-                request.again() || companion != null && companion.comesAgain(rpc.number(), request),
+                request.resubmitted()
+                        || interceptor != null && interceptor.isUnmarkedResubmission(rpc.number(), request),
                 acceptedAtMicros,
                 true)));
     }
@@ -457,15 +458,15 @@
      * Applies a resolver result: calls are checked against {@code snapshot} at once, and the decision module receives
      * {@code list} unless it is an empty partial list.
      */
-    public void resolved(Snapshot snapshot, TargetList list) {
+    public void updateEndpoints(Snapshot snapshot, TargetList list) {
         callPreconditions.updateMembers(snapshot);
-        if (list.whole() || !list.targets().isEmpty()) {
+        if (list.fullList() || !list.targets().isEmpty()) {
             decisionLoop.post(list);
         }
     }
 
     /** Passes an event of a front, such as a peer note, to the decision module unchanged. */
-    public void tell(Event event) {
+    public void post(Event event) {
         decisionLoop.post(event);
     }
 
@@ -477,18 +478,18 @@
     void attemptEnded(Rpc rpc, int attempt, SharedCall call, CallResult result, boolean finished) {
         Target target = call.target();
         if (!finished) {
-            journal.outcome(rpc.number(), result.end().outcome().neverRan());
+            journal.writeOutcome(rpc.number(), result.end().outcome().neverRan());
         }
         counters.add("attempts_total", "end", result.end().name().toLowerCase(Locale.ROOT));
         MessageLog.attemptEnded(rpc, attempt, call, result);
-        decisionLoop.post(new Ended(
+        decisionLoop.post(new AttemptEnded(
                 rpc.number(),
                 attempt,
                 target.id(),
                 result.end().outcome(),
                 call.elapsedSeconds(),
                 finished,
-                result.told(),
+                result.retryAfterSeconds(),
                 result.report()));
     }
 
@@ -499,7 +500,7 @@
     void postInternalFailure(Rpc rpc, int attempt, SharedCall callInFlight) {
         postAnswerPending(rpc);
         if (callInFlight != null) {
-            decisionLoop.post(new Ended(
+            decisionLoop.post(new AttemptEnded(
                     rpc.number(),
                     attempt,
                     callInFlight.target().id(),
@@ -509,7 +510,7 @@
                     0,
                     null));
         } else {
-            decisionLoop.post(new Withdrawn(rpc.number()));
+            decisionLoop.post(new MessageWithdrawn(rpc.number()));
         }
     }
 
@@ -530,7 +531,7 @@
                 passDecision(refuse.message(), refuse);
             } else if (action instanceof Fail fail) {
                 passDecision(fail.message(), fail);
-            } else if (action instanceof Cancel cancel) {
+            } else if (action instanceof CancelAttempt cancel) {
                 Rpc rpc = pending.get(cancel.message());
                 if (rpc != null) {
                     rpc.cancelAttempt();
@@ -542,7 +543,7 @@
                 if (target != null) {
                     subchannels.closeIdle(target);
                 }
-            } else if (action instanceof Note note) {
+            } else if (action instanceof SendNote note) {
                 noteSender.send(note.to(), note.note());
             } else if (action instanceof Log log) {
                 LOG.info(log.line());
@@ -554,7 +555,7 @@
     private SharedCall callFor(Send send, Map<Integer, SharedCall> latestCallByTarget) {
         SharedCall call = latestCallByTarget.get(send.target());
         Target target = callPreconditions.target(send.target());
-        if (call == null || call.size() >= settings.kinds().get(target.kind()).batch()) {
+        if (call == null || call.size() >= settings.kinds().get(target.kind()).maxBatch()) {
             call = new SharedCall(
                     target,
                     subchannels,
@@ -571,11 +572,12 @@
      * decision module are notified.
      */
     private void applyRetryAfter(Target target, CallResult result) {
-        if (result.told() > 0) {
-            callPreconditions.delayCalls(target.destination(), result.told());
+        if (result.retryAfterSeconds() > 0) {
+            callPreconditions.delayCalls(target.destination(), result.retryAfterSeconds());
             if (sharedRetryDelays != null) {
                 sharedRetryDelays.add(
-                        target.destination(), SteadyClock.millis() + (long) Math.ceil(result.told() * 1000));
+                        target.destination(),
+                        SteadyClock.millis() + (long) Math.ceil(result.retryAfterSeconds() * 1000));
             }
         }
     }
@@ -590,11 +592,12 @@
     private void probe(int id) {
         Target target = callPreconditions.target(id);
         if (target == null || !callPreconditions.mayCall(target.id(), target.destination())) {
-            decisionLoop.post(new Probed(id, false, false, 0));
+            decisionLoop.post(new ProbeEnded(id, false, false, 0));
             return;
         }
         counters.add("probes_total");
-        subchannels.probe(target, (ok, full, elapsed) -> decisionLoop.post(new Probed(target.id(), ok, full, elapsed)));
+        subchannels.probe(
+                target, (ok, full, elapsed) -> decisionLoop.post(new ProbeEnded(target.id(), ok, full, elapsed)));
     }
 
     // ---- journal write failures ----
@@ -635,7 +638,7 @@
     /** Removes the RPC from the decision module's pending messages. */
     void withdraw(Rpc rpc) {
         postAnswerPending(rpc);
-        decisionLoop.post(new Withdrawn(rpc.number()));
+        decisionLoop.post(new MessageWithdrawn(rpc.number()));
     }
 
     /** Runs the action after the delay, or never if this relay is closed by then. */
@@ -663,7 +666,7 @@
     /** Records the one end of an RPC, removes it from the pending ones and reports the end to its front. */
     void finish(Rpc rpc, RpcEnd end) {
         RpcRequest request = rpc.request();
-        boolean written = journal.ended(rpc.number(), end);
+        boolean written = journal.writeEnd(rpc.number(), end);
         pending.remove(rpc.number());
         pendingByKey.remove(request.key(), rpc);
         admittedCount.decrementAndGet();
@@ -709,21 +712,21 @@
 
     private void reportEnd(Rpc rpc, RpcEnd end, boolean maybeRepeated) {
         Front front = fronts.get(rpc.request().front());
-        if (front == null || !front.tells(end)) {
+        if (front == null || !front.reportsEnd(end)) {
             onAcknowledged(rpc);
-        } else if (front.overOnceAcknowledged()) {
+        } else if (front.orderWaitsForAcknowledgement()) {
             front.report(end, maybeRepeated, () -> onAcknowledged(rpc));
         } else {
             front.report(end, maybeRepeated, () -> {
                 MessageLog.reported(rpc.request());
-                journal.acknowledged(rpc.number());
+                journal.writeAcknowledged(rpc.number());
             });
             postAnswerAcknowledged(rpc);
         }
     }
 
     private void onAcknowledged(Rpc rpc) {
-        journal.acknowledged(rpc.number());
+        journal.writeAcknowledged(rpc.number());
         postAnswerAcknowledged(rpc);
     }
 
@@ -750,7 +753,7 @@
     }
 
     /** Number of pending RPCs, without those that the successor of an upgrade will send. */
-    public int held() {
+    public int pendingCount() {
         return pending.size() - orderHandover.heldBackCount();
     }
 
@@ -761,12 +764,12 @@
      * @param unsafeMillis time from which no call of an unsafe class starts
      * @param allMillis time from which no call starts
      */
-    public void noCallsAfter(long unsafeMillis, long allMillis) {
+    public void stopCallsAfter(long unsafeMillis, long allMillis) {
         noUnsafeCallsAfterMillis = unsafeMillis;
         noCallsAfterMillis = allMillis;
     }
 
-    /** Whether a call that carries the RPC may still start, given the times set by {@link #noCallsAfter}. */
+    /** Whether a call that carries the RPC may still start, given the times set by {@link #stopCallsAfter}. */
     boolean mayStart(Rpc rpc) {
         long nowMillis = SteadyClock.millis();
         return nowMillis < noCallsAfterMillis
--- a/src/main/java/juniperusher/core/RoutedSubchannels.java
+++ b/src/main/java/juniperusher/core/RoutedSubchannels.java
@@ -27,13 +27,17 @@
 
     @Override
     public Call call(
-            Target subchannel, List<RpcRequest> rpcs, double timeoutSeconds, Clearance clearance, Results results) {
-        return subchannelsFor(subchannel).call(subchannel, rpcs, timeoutSeconds, clearance, results);
+            Target subchannel,
+            List<RpcRequest> rpcs,
+            double timeoutSeconds,
+            StartPermission permission,
+            ResultListener resultListener) {
+        return subchannelsFor(subchannel).call(subchannel, rpcs, timeoutSeconds, permission, resultListener);
     }
 
     @Override
-    public void probe(Target subchannel, Probed probed) {
-        subchannelsFor(subchannel).probe(subchannel, probed);
+    public void probe(Target subchannel, ProbeListener probeListener) {
+        subchannelsFor(subchannel).probe(subchannel, probeListener);
     }
 
     @Override
--- a/src/main/java/juniperusher/core/Rpc.java
+++ b/src/main/java/juniperusher/core/Rpc.java
@@ -45,7 +45,7 @@
      * @param request the request with the current index of its class
      * @param messageClass its class, null if the settings no longer contain it
      */
-    Rpc(Journal.Owed entry, RpcRequest request, MessageClass messageClass, Relay relay) {
+    Rpc(Journal.UnfinishedMessage entry, RpcRequest request, MessageClass messageClass, Relay relay) {
         this(entry.number(), request, messageClass, relay);
         attempts = entry.attempts();
         firstPossibleRun = entry.firstPossibleRun();
@@ -68,7 +68,7 @@
                     if (decision instanceof SharedCall call) {
                         return runAttempt(call, next);
                     } else if (decision instanceof Refuse refuse) {
-                        finish(RpcEnd.Kind.HANDED_BACK, refuse.after());
+                        finish(RpcEnd.Kind.HANDED_BACK, refuse.retryAfter());
                     } else if (decision instanceof Fail) {
                         finish(RpcEnd.Kind.GIVEN_UP, 0);
                     } else {
@@ -85,7 +85,7 @@
         CompletableFuture<CallResult> result;
         callInFlight = call;
         try {
-            record = relay.journal().attempt(number, call.target().zone());
+            record = relay.journal().writeAttempt(number, call.target().zone());
             lastCall = call;
             MessageLog.attempt(this, attempt, call);
             result = call.join(this);
@@ -111,12 +111,12 @@
         });
     }
 
-    private void finish(RpcEnd.Kind kind, double retryIn) {
+    private void finish(RpcEnd.Kind kind, double retryAfterSeconds) {
         finished = true;
         if (!endDecided.compareAndSet(false, true)) {
             return; // an RPC ends only once
         }
-        relay.finish(this, new RpcEnd(request.id(), request.returnAddress(), kind, retryIn));
+        relay.finish(this, new RpcEnd(request.id(), request.returnAddress(), kind, retryAfterSeconds));
     }
 
     /** Ends the RPC after an unexpected error, which would otherwise leave it without an end. It may have run. */
@@ -204,6 +204,6 @@
 
     /** Seconds until its deadline, negative after it. */
     double secondsLeft() {
-        return (request.deadline() - SteadyClock.millis()) / 1000.0;
+        return (request.deadlineMillis() - SteadyClock.millis()) / 1000.0;
     }
 }
--- a/src/main/java/juniperusher/core/RpcEnd.java
+++ b/src/main/java/juniperusher/core/RpcEnd.java
@@ -6,9 +6,10 @@
  * @param id the client's id of the RPC
  * @param returnAddress see {@link RpcRequest}
  * @param kind how the RPC ended
- * @param retryIn after {@code HANDED_BACK}: seconds after which the client should resubmit it, 0 for no advice
+ * @param retryAfterSeconds after {@code HANDED_BACK}: seconds after which the client should resubmit it, 0 for no
+ *     advice
  */
-public record RpcEnd(String id, String returnAddress, Kind kind, double retryIn) {
+public record RpcEnd(String id, String returnAddress, Kind kind, double retryAfterSeconds) {
     /** How an RPC ends. The journal stores the ordinal, so the order of the constants must not change. */
     public enum Kind {
         /** An endpoint delivered it. */
--- a/src/main/java/juniperusher/core/RpcRequest.java
+++ b/src/main/java/juniperusher/core/RpcRequest.java
@@ -7,11 +7,11 @@
  * @param front name of the front that received it
  * @param messageClass index of its class in the settings
  * @param destination number of its destination
- * @param deadline latest delivery time in milliseconds of {@link juniperusher.clock.SteadyClock}
+ * @param deadlineMillis latest delivery time in milliseconds of {@link juniperusher.clock.SteadyClock}
  * @param returnAddress where its end is reported, in a format of the front; may be empty
- * @param once whether a second submission with this id is dropped while the first is pending or ended recently
+ * @param acceptOnce whether a second submission with this id is dropped while the first is pending or ended recently
  * @param body payload, passed on unchanged
- * @param again whether its client marked it as a resubmission; not kept over a restart
+ * @param resubmitted whether its client marked it as a resubmission; not kept over a restart
  * @param idempotencyKey key by which its destination recognizes repeats, passed on unchanged; empty for none
  * @param orderKey messages of ordered classes with the same key are delivered one at a time, in the order in which they
  *     were accepted; empty for none
@@ -22,11 +22,11 @@
         String front,
         int messageClass,
         int destination,
-        long deadline,
+        long deadlineMillis,
         String returnAddress,
-        boolean once,
+        boolean acceptOnce,
         byte[] body,
-        boolean again,
+        boolean resubmitted,
         String idempotencyKey,
         String orderKey,
         String tenant) {
@@ -36,11 +36,11 @@
             String front,
             int messageClass,
             int destination,
-            long deadline,
+            long deadlineMillis,
             String returnAddress,
-            boolean once,
+            boolean acceptOnce,
             byte[] body) {
-        this(id, front, messageClass, destination, deadline, returnAddress, once, body, false, "");
+        this(id, front, messageClass, destination, deadlineMillis, returnAddress, acceptOnce, body, false, "");
     }
 
     /** An RPC without an order key and without a tenant. */
@@ -49,13 +49,25 @@
             String front,
             int messageClass,
             int destination,
-            long deadline,
+            long deadlineMillis,
             String returnAddress,
-            boolean once,
+            boolean acceptOnce,
             byte[] body,
-            boolean again,
+            boolean resubmitted,
             String idempotencyKey) {
-        this(id, front, messageClass, destination, deadline, returnAddress, once, body, again, idempotencyKey, "", "");
+        this(
+                id,
+                front,
+                messageClass,
+                destination,
+                deadlineMillis,
+                returnAddress,
+                acceptOnce,
+                body,
+                resubmitted,
+                idempotencyKey,
+                "",
+                "");
     }
 
     /** A copy with another class index. */
@@ -65,11 +77,11 @@
                 front,
                 classIndex,
                 destination,
-                deadline,
+                deadlineMillis,
                 returnAddress,
-                once,
+                acceptOnce,
                 body,
-                again,
+                resubmitted,
                 idempotencyKey,
                 orderKey,
                 tenant);
--- a/src/main/java/juniperusher/core/SharedCall.java
+++ b/src/main/java/juniperusher/core/SharedCall.java
@@ -26,7 +26,7 @@
 
     private final Target target;
     private final Subchannels subchannels;
-    private final Subchannels.Clearance clearance;
+    private final Subchannels.StartPermission permission;
     private final ScheduledExecutorService timers;
     private final Consumer<CallResult> resultListener;
     private final List<Member> members = new ArrayList<>();
@@ -51,18 +51,18 @@
     /**
      * Creates a call without RPCs.
      *
-     * @param clearance asked before the first byte, in addition to the RPCs
+     * @param permission asked before the first byte, in addition to the RPCs
      * @param resultListener receives each result before the RPC of the result does
      */
     SharedCall(
             Target target,
             Subchannels subchannels,
-            Subchannels.Clearance clearance,
+            Subchannels.StartPermission permission,
             ScheduledExecutorService timers,
             Consumer<CallResult> resultListener) {
         this.target = target;
         this.subchannels = subchannels;
-        this.clearance = clearance;
+        this.permission = permission;
         this.timers = timers;
         this.resultListener = resultListener;
     }
@@ -205,7 +205,7 @@
     }
 
     private boolean mayStart() {
-        return clearance.mayStart() && members.stream().allMatch(member -> member.rpc.mayStart());
+        return permission.mayStart() && members.stream().allMatch(member -> member.rpc.mayStart());
     }
 
     /**
--- a/src/main/java/juniperusher/core/SharedRetryDelays.java
+++ b/src/main/java/juniperusher/core/SharedRetryDelays.java
@@ -10,7 +10,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import juniperusher.clock.SteadyClock;
-import juniperusher.files.ReplacedFile;
+import juniperusher.files.AtomicFile;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -60,7 +60,7 @@
         StringBuilder content = new StringBuilder();
         untilByDestination.forEach((number, until) ->
                 content.append(number).append(' ').append(until).append('\n'));
-        ReplacedFile.write(folder.resolve(FILE_NAME), content.toString());
+        AtomicFile.write(folder.resolve(FILE_NAME), content.toString());
     }
 
     /** Returns the delays that have not expired, if the file changed since the last change returned; otherwise null. */
--- a/src/main/java/juniperusher/core/Subchannels.java
+++ b/src/main/java/juniperusher/core/Subchannels.java
@@ -11,10 +11,15 @@
      *
      * @param timeoutSeconds how long the caller waits, for the endpoint's information; the caller ends the call itself
      */
-    Call call(Target subchannel, List<RpcRequest> rpcs, double timeoutSeconds, Clearance clearance, Results results);
+    Call call(
+            Target subchannel,
+            List<RpcRequest> rpcs,
+            double timeoutSeconds,
+            StartPermission permission,
+            ResultListener resultListener);
 
     /** Checks the health of an endpoint. */
-    void probe(Target subchannel, Probed probed);
+    void probe(Target subchannel, ProbeListener probeListener);
 
     /** Closes the idle connections to an endpoint. */
     void closeIdle(Target subchannel);
@@ -26,19 +31,19 @@
     }
 
     /** Permission to start a call. */
-    interface Clearance {
+    interface StartPermission {
         /** Whether the call may still start. */
         boolean mayStart();
     }
 
     /** Receives the results of a call. */
-    interface Results {
+    interface ResultListener {
         /** The RPC at index {@code index} of the call's list has ended. */
         void ended(int index, CallResult result);
     }
 
     /** Receives the result of a probe. */
-    interface Probed {
+    interface ProbeListener {
         /**
          * The probe has ended.
          *
--- a/src/main/java/juniperusher/distribution/ControlMessageCodec.java
+++ b/src/main/java/juniperusher/distribution/ControlMessageCodec.java
@@ -19,7 +19,7 @@
  */
 public final class ControlMessageCodec {
     /** Maximum size of a frame in bytes, including the length field. */
-    public static final int MAX_FRAME = 1 << 20;
+    public static final int MAX_FRAME_BYTES = 1 << 20;
     /** The only protocol version that is supported. */
     public static final byte PROTOCOL_VERSION = 1;
 
@@ -46,12 +46,12 @@
     private ControlMessageCodec() {}
 
     /** Size of the message's frame in bytes. */
-    public static int size(ControlMessage message) {
+    public static int encodedSize(ControlMessage message) {
         return FRAME_OVERHEAD_BYTES + Long.BYTES + contentSize(message);
     }
 
     /** Upper bound of the bytes that a change adds to a delta's frame. */
-    static int size(Change change) {
+    static int encodedSize(Change change) {
         return MAX_CHANGE_OVERHEAD_BYTES + change.delta().length;
     }
 
@@ -92,13 +92,13 @@
     /**
      * Encodes a message as one frame.
      *
-     * @throws IllegalArgumentException if the frame would be longer than {@link #MAX_FRAME}, or a subscriber's name
-     *     longer than {@link #MAX_NAME_BYTES}
+     * @throws IllegalArgumentException if the frame would be longer than {@link #MAX_FRAME_BYTES}, or a subscriber's
+     *     name longer than {@link #MAX_NAME_BYTES}
      */
     public static byte[] encode(ControlMessage message) {
-        int size = size(message);
-        if (size > MAX_FRAME) {
-            throw new IllegalArgumentException("frame of " + size + " bytes exceeds the maximum of " + MAX_FRAME);
+        int size = encodedSize(message);
+        if (size > MAX_FRAME_BYTES) {
+            throw new IllegalArgumentException("frame of " + size + " bytes exceeds the maximum of " + MAX_FRAME_BYTES);
         }
         ByteBuffer out = ByteBuffer.allocate(size);
         out.putInt(size - LENGTH_BYTES)
@@ -207,11 +207,11 @@
                 return null;
             }
             int length = ByteBuffer.wrap(buffer).getInt(frameStart);
-            if (length < MIN_LENGTH || length > MAX_FRAME - LENGTH_BYTES) {
+            if (length < MIN_LENGTH || length > MAX_FRAME_BYTES - LENGTH_BYTES) {
                 throw new DamagedFrameException(
                         Fault.LENGTH,
                         "frame length is " + length + ", allowed are " + MIN_LENGTH + " to "
-                                + (MAX_FRAME - LENGTH_BYTES));
+                                + (MAX_FRAME_BYTES - LENGTH_BYTES));
             }
             if (dataEnd - frameStart - LENGTH_BYTES < length) {
                 return null;
--- a/src/main/java/juniperusher/distribution/ControlProcess.java
+++ b/src/main/java/juniperusher/distribution/ControlProcess.java
@@ -57,9 +57,9 @@
     public Steps<S> follow(List<String> sources, double time) {
         publisher.resign(time);
         if (publisher.state() != null) {
-            subscriber.resume(publisher.newest(), publisher.state(), time - publisher.age(time));
+            subscriber.resume(publisher.newestVersion(), publisher.state(), time - publisher.ageSeconds(time));
         }
-        subscriber.observeTerm(publisher.term());
+        subscriber.observeTerm(publisher.highestTerm());
         return new Steps<>(subscriber.start(sources, time), List.of());
     }
 
@@ -93,7 +93,7 @@
         publisher.closed(connection, time);
     }
 
-    /** Handles timeouts on both sides. Has to be called at {@link #due} at the latest. */
+    /** Handles timeouts on both sides. Has to be called at {@link #nextTickAt} at the latest. */
     public Steps<S> tick(double time) {
         Steps<S> upstreamTick = forward(subscriber.tick(time), time);
         List<PublisherStep> downstream = new ArrayList<>(upstreamTick.downstream());
@@ -102,25 +102,26 @@
     }
 
     /** The time at which {@link #tick} has to be called next; infinite if there is nothing to do. */
-    public double due() {
-        return Math.min(subscriber.due(), publisher.due());
+    public double nextTickAt() {
+        return Math.min(subscriber.nextTickAt(), publisher.nextTickAt());
     }
 
     private Steps<S> forward(List<SubscriberStep<S>> upstream, double time) {
-        List<PublisherStep> forwarded = new ArrayList<>(publisher.observeTerm(subscriber.term(), time));
-        publisher.updateKnownCurrentAt(subscriber.currentAt());
+        List<PublisherStep> forwarded = new ArrayList<>(publisher.observeTerm(subscriber.highestTerm(), time));
+        publisher.updateKnownCurrentAt(subscriber.lastKnownCurrentAt());
         for (SubscriberStep<S> step : upstream) {
             if (step instanceof SubscriberStep.Replaced<S> replaced) {
                 forwarded.addAll(publisher.replaceState(replaced.version(), replaced.state(), time));
             } else if (step instanceof SubscriberStep.Advanced<S> advanced) {
-                forwarded.addAll(publisher.advanceState(advanced.from(), advanced.changes(), advanced.state(), time));
+                forwarded.addAll(
+                        publisher.advanceState(advanced.fromVersion(), advanced.changes(), advanced.state(), time));
             }
         }
         return new Steps<>(upstream, downstreamSteps(forwarded).downstream());
     }
 
     private Steps<S> downstreamSteps(List<PublisherStep> steps) {
-        subscriber.observeTerm(publisher.term());
+        subscriber.observeTerm(publisher.highestTerm());
         return new Steps<>(List.of(), steps);
     }
 
--- a/src/main/java/juniperusher/distribution/DeltaLog.java
+++ b/src/main/java/juniperusher/distribution/DeltaLog.java
@@ -52,12 +52,12 @@
             throw new IllegalArgumentException(change.version() + " does not follow " + previous);
         }
         changes.add(change);
-        totalBytes += ControlMessageCodec.size(change);
+        totalBytes += ControlMessageCodec.encodedSize(change);
         while (changeCount() > maxChanges || totalBytes > maxBytes && changeCount() > 1) {
             Change dropped = changes.set(firstIndex, null);
             firstIndex++;
             baseVersion = dropped.version();
-            totalBytes -= ControlMessageCodec.size(dropped);
+            totalBytes -= ControlMessageCodec.encodedSize(dropped);
         }
         if (firstIndex >= COMPACTION_MIN_DROPPED && firstIndex > changes.size() / 2) {
             changes.subList(0, firstIndex).clear();
@@ -102,8 +102,8 @@
         int to = from;
         int selectedBytes = 0;
         while (to < changes.size()
-                && (to == from || selectedBytes + ControlMessageCodec.size(changes.get(to)) <= byteLimit)) {
-            selectedBytes += ControlMessageCodec.size(changes.get(to));
+                && (to == from || selectedBytes + ControlMessageCodec.encodedSize(changes.get(to)) <= byteLimit)) {
+            selectedBytes += ControlMessageCodec.encodedSize(changes.get(to));
             to++;
         }
         return Collections.unmodifiableList(new ArrayList<>(changes.subList(from, to)));
--- a/src/main/java/juniperusher/distribution/Publisher.java
+++ b/src/main/java/juniperusher/distribution/Publisher.java
@@ -24,7 +24,7 @@
  *   <li>It numbers the connections that it accepts, passes each decoded message to {@link #received} and reports a
  *       connection that it did not close itself by {@link #closed}.
  *   <li>It carries out the returned steps in order before the next call.
- *   <li>It calls {@link #tick} at {@link #due}, which any call may change.
+ *   <li>It calls {@link #tick} at {@link #nextTickAt}, which any call may change.
  *   <li>It may add messages to the socket's queue without a limit of its own, because a message counts against the
  *       window until it is acknowledged.
  *   <li>It checks that its lease is valid before {@link #publish} and ticks the lease before {@link #tick}. Otherwise
@@ -67,30 +67,30 @@
 
     /** Event counts since the start, for metrics. Not thread-safe. */
     public static final class Counters {
-        private long snapshots;
-        private long deltas;
-        private long busy;
-        private long slow;
+        private long snapshotsStarted;
+        private long deltasSent;
+        private long rejections;
+        private long acknowledgementTimeouts;
         private long encodings;
 
         /** Snapshots started. */
-        public long snapshots() {
-            return snapshots;
+        public long snapshotsStarted() {
+            return snapshotsStarted;
         }
 
         /** Delta messages sent. */
-        public long deltas() {
-            return deltas;
+        public long deltasSent() {
+            return deltasSent;
         }
 
         /** Connections rejected with {@link ControlMessage.Busy}. */
-        public long busy() {
-            return busy;
+        public long rejections() {
+            return rejections;
         }
 
         /** Connections closed because of the acknowledgement timeout. */
-        public long slow() {
-            return slow;
+        public long acknowledgementTimeouts() {
+            return acknowledgementTimeouts;
         }
 
         /** How often the state was encoded. */
@@ -104,20 +104,20 @@
      *
      * @param subscribers number of subscribers
      * @param inFlightBytes unacknowledged bytes of all subscribers
-     * @param mostInFlightBytes unacknowledged bytes of the subscriber that has most of them
+     * @param maxInFlightBytes unacknowledged bytes of the subscriber that has most of them
      * @param logChanges number of changes in the log
      * @param logBytes bytes of the changes in the log
      * @param encodedStateBytes size of the encoded state, 0 if there is none
-     * @param snapshotsUnderWay snapshot slots in use
+     * @param snapshotSlotsInUse snapshot slots in use
      */
     public record Memory(
             int subscribers,
             long inFlightBytes,
-            long mostInFlightBytes,
+            long maxInFlightBytes,
             int logChanges,
             int logBytes,
             int encodedStateBytes,
-            int snapshotsUnderWay) {}
+            int snapshotSlotsInUse) {}
 
     /**
      * Creates a publisher without a state. Until it has one, subscribers only get heartbeats.
@@ -129,7 +129,7 @@
         this.limits = limits;
         this.codec = codec;
         random = new SplittableRandom(seed);
-        log = new DeltaLog(limits.logChanges(), limits.logBytes());
+        log = new DeltaLog(limits.maxLogChanges(), limits.maxLogBytes());
     }
 
     // ---- state and term ----
@@ -148,15 +148,16 @@
         if (state == null) {
             throw new IllegalStateException("cannot lead without a state");
         }
-        if (token < highestTerm || token == newest().term() && token != lastLeadingTerm) {
-            return List.of(new PublisherStep.Deposed(Math.max(highestTerm, newest().term())));
+        if (token < highestTerm || token == newestVersion().term() && token != lastLeadingTerm) {
+            return List.of(new PublisherStep.Deposed(
+                    Math.max(highestTerm, newestVersion().term())));
         }
         List<PublisherStep> steps = new ArrayList<>();
         highestTerm = token;
         leadingTerm = token;
         lastLeadingTerm = token;
-        if (newest().term() < token) {
-            append(new Change(new Version(token, newest().revision() + 1), new byte[0]));
+        if (newestVersion().term() < token) {
+            append(new Change(new Version(token, newestVersion().revision() + 1), new byte[0]));
             flush(steps);
         }
         return steps;
@@ -175,7 +176,7 @@
      * Applies changes to the leader's state and publishes them, either all or none.
      *
      * @throws IllegalStateException if this process does not lead
-     * @throws IllegalArgumentException if a change is empty or longer than {@link Limits#changeBytes}
+     * @throws IllegalArgumentException if a change is empty or longer than {@link Limits#maxChangeBytes}
      * @throws DamagedStateException if a change cannot be applied
      */
     public List<PublisherStep> publish(List<byte[]> deltas, double time) throws DamagedStateException {
@@ -184,14 +185,14 @@
             throw new IllegalStateException("this process does not lead");
         }
         for (byte[] delta : deltas) {
-            if (delta.length == 0 || delta.length > limits.changeBytes()) {
+            if (delta.length == 0 || delta.length > limits.maxChangeBytes()) {
                 throw new IllegalArgumentException(
-                        "change has " + delta.length + " bytes, allowed are 1 to " + limits.changeBytes());
+                        "change has " + delta.length + " bytes, allowed are 1 to " + limits.maxChangeBytes());
             }
         }
         state = codec.applyAll(state, deltas);
         for (byte[] delta : deltas) {
-            append(new Change(new Version(leadingTerm, newest().revision() + 1), delta));
+            append(new Change(new Version(leadingTerm, newestVersion().revision() + 1), delta));
         }
         return flushOrSchedule();
     }
@@ -203,7 +204,7 @@
     public List<PublisherStep> replaceState(Version version, S newState, double time) {
         advanceClock(time);
         requireNotLeading();
-        if (state != null && !version.isAfter(newest())) {
+        if (state != null && !version.isAfter(newestVersion())) {
             return List.of();
         }
         state = newState;
@@ -217,7 +218,7 @@
         advanceClock(time);
         requireNotLeading();
         Version to = changes.get(changes.size() - 1).version();
-        if (!from.equals(newest())) {
+        if (!from.equals(newestVersion())) {
             return replaceState(to, newState, time);
         }
         state = newState;
@@ -302,7 +303,7 @@
         if (previousConnection != null) {
             closeConnection(previousConnection, steps); // half-open: the subscriber has already abandoned it
         }
-        if (!subscribe.republishes() && subscriptions.size() >= limits.subscribers()) {
+        if (!subscribe.republishes() && subscriptions.size() >= limits.maxSubscribers()) {
             // The delay is short, because the subscriber then tries the next source, which may have room.
             sendBusyAndClose(connection, timing.heartbeatIntervalSeconds() * (1 + random.nextDouble()), steps);
             return;
@@ -313,7 +314,7 @@
         if (nextHeartbeatAt == NEVER) {
             nextHeartbeatAt = now + timing.heartbeatIntervalSeconds();
         }
-        if (!newest().isAfter(subscription.sentVersion())) {
+        if (!newestVersion().isAfter(subscription.sentVersion())) {
             subscription.markConfirmedCurrent();
         }
         sendHeartbeat(subscription, steps);
@@ -324,7 +325,7 @@
             Subscription subscription, ControlMessage.Acknowledge acknowledge, List<PublisherStep> steps) {
         subscription.acknowledge(acknowledge.receivedMessages(), now);
         sendMissing(subscription, steps);
-        boolean current = subscription.hasAcknowledgedAll() && !newest().isAfter(subscription.sentVersion());
+        boolean current = subscription.hasAcknowledgedAll() && !newestVersion().isAfter(subscription.sentVersion());
         if (current && !subscription.isConfirmedCurrent()) {
             subscription.markConfirmedCurrent();
             sendHeartbeat(subscription, steps); // tells it now, not a heartbeat interval later, that it is current
@@ -332,7 +333,7 @@
     }
 
     private void sendBusyAndClose(long connection, double retryAfterSeconds, List<PublisherStep> steps) {
-        counters.busy++;
+        counters.rejections++;
         steps.add(new PublisherStep.Send(connection, new ControlMessage.Busy(highestTerm, retryAfterSeconds)));
         closeConnection(connection, steps);
     }
@@ -351,7 +352,7 @@
 
     // ---- sending ----
 
-    /** Sends what is due at that time. Has to be called at {@link #due} at the latest. */
+    /** Sends what is due at that time. Has to be called at {@link #nextTickAt} at the latest. */
     public List<PublisherStep> tick(double time) {
         advanceClock(time);
         List<PublisherStep> steps = new ArrayList<>();
@@ -362,7 +363,7 @@
             nextHeartbeatAt = subscriptions.isEmpty() ? NEVER : now + timing.heartbeatIntervalSeconds();
             for (Subscription subscription : List.copyOf(subscriptions.values())) {
                 if (subscription.isStalled(timing.acknowledgementTimeoutSeconds(), now)) {
-                    counters.slow++;
+                    counters.acknowledgementTimeouts++;
                     closeConnection(subscription.connection(), steps);
                 } else if (subscription.hasRoomForHeartbeat(limits)) {
                     sendHeartbeat(subscription, steps);
@@ -373,7 +374,7 @@
     }
 
     /** The time at which {@link #tick} has to be called next; infinite if there is nothing to do. */
-    public double due() {
+    public double nextTickAt() {
         return Math.min(nextFlushAt, nextHeartbeatAt);
     }
 
@@ -401,9 +402,9 @@
                 subscription,
                 new ControlMessage.Heartbeat(
                         highestTerm,
-                        newest(),
+                        newestVersion(),
                         subscription.sentVersion(),
-                        age(now),
+                        ageSeconds(now),
                         subscription.acknowledgedMessages(),
                         secondsSinceAcknowledge),
                 steps);
@@ -414,11 +415,11 @@
         while (subscription.hasWindowRoom(limits)) {
             if (subscription.activeSnapshot() != null) {
                 sendSnapshotPart(subscription, steps);
-            } else if (!newest().isAfter(subscription.sentVersion())) {
+            } else if (!newestVersion().isAfter(subscription.sentVersion())) {
                 return; // up to date, or ahead of this process
             } else if (log.covers(subscription.sentVersion())) {
                 ControlMessage.Delta delta = deltaFrom(subscription.sentVersion());
-                counters.deltas++;
+                counters.deltasSent++;
                 subscription.setSentVersion(delta.toVersion());
                 send(subscription, delta, steps);
             } else if (!beginSnapshot(subscription)) {
@@ -431,7 +432,7 @@
     private ControlMessage.Delta deltaFrom(Version from) {
         ControlMessage.Delta delta = sharedDeltas.get(from);
         if (delta == null) {
-            delta = new ControlMessage.Delta(highestTerm, from, log.changesAfter(from, limits.deltaBytes()));
+            delta = new ControlMessage.Delta(highestTerm, from, log.changesAfter(from, limits.maxDeltaBytes()));
             if (sharedDeltas.size() >= MAX_SHARED_DELTAS) {
                 sharedDeltas.remove(sharedDeltas.keySet().iterator().next());
             }
@@ -441,14 +442,14 @@
     }
 
     private boolean beginSnapshot(Subscription subscription) {
-        if (!subscription.republishes() && usedSnapshotSlots() >= limits.snapshotsAtOnce()) {
+        if (!subscription.republishes() && usedSnapshotSlots() >= limits.maxConcurrentSnapshots()) {
             return false;
         }
         if (encodedState == null || !encodedState.version().isAfter(subscription.sentVersion())) {
-            encodedState = EncodedState.of(highestTerm, newest(), codec.encode(state), limits.partBytes());
+            encodedState = EncodedState.of(highestTerm, newestVersion(), codec.encode(state), limits.maxPartBytes());
             counters.encodings++;
         }
-        counters.snapshots++;
+        counters.snapshotsStarted++;
         subscription.beginSnapshot(encodedState, now);
         return true;
     }
@@ -467,14 +468,14 @@
     }
 
     private void send(Subscription subscription, ControlMessage message, List<PublisherStep> steps) {
-        subscription.messageSent(ControlMessageCodec.size(message), now);
+        subscription.messageSent(ControlMessageCodec.encodedSize(message), now);
         steps.add(new PublisherStep.Send(subscription.connection(), message));
     }
 
     private int usedSnapshotSlots() {
         int count = 0;
         for (Subscription subscription : subscriptions.values()) {
-            count += subscription.usesSnapshotSlot(limits.snapshotSeconds(), now) ? 1 : 0;
+            count += subscription.usesSnapshotSlot(limits.maxSnapshotSlotSeconds(), now) ? 1 : 0;
         }
         return count;
     }
@@ -484,8 +485,10 @@
      * expected time on by the time in which one slot becomes free, so that rejected subscribers come back one by one.
      */
     private double reserveSnapshotSlot() {
-        nextSnapshotSlotAt = Math.max(nextSnapshotSlotAt, now) + snapshotEstimateSeconds / limits.snapshotsAtOnce();
-        double waitSeconds = Math.min(limits.retryAfter(), nextSnapshotSlotAt - now + timing.batchIntervalSeconds());
+        nextSnapshotSlotAt =
+                Math.max(nextSnapshotSlotAt, now) + snapshotEstimateSeconds / limits.maxConcurrentSnapshots();
+        double waitSeconds =
+                Math.min(limits.maxRetryAfterSeconds(), nextSnapshotSlotAt - now + timing.batchIntervalSeconds());
         return waitSeconds * (1 + random.nextDouble() / 2);
     }
 
@@ -499,22 +502,22 @@
     // ---- status ----
 
     /** How many seconds the state may be out of date: 0 while this process leads, infinite if not known. */
-    public double age(double time) {
+    public double ageSeconds(double time) {
         return leadingTerm != 0 ? 0 : Math.max(0, time - lastKnownCurrentAt);
     }
 
     /** Whether this process leads. */
-    public boolean leads() {
+    public boolean isLeading() {
         return leadingTerm != 0;
     }
 
     /** The newest term that this process knows. */
-    public long term() {
+    public long highestTerm() {
         return highestTerm;
     }
 
     /** The newest version, {@link Version#NONE} if there is no state. */
-    public Version newest() {
+    public Version newestVersion() {
         return log.newestVersion();
     }
 
--- a/src/main/java/juniperusher/distribution/Subscriber.java
+++ b/src/main/java/juniperusher/distribution/Subscriber.java
@@ -26,7 +26,7 @@
  *   <li>After {@link SubscriberStep.Connect} it calls {@link #connected} or {@link #disconnected} with the number of
  *       that connection, and {@link #received} for each decoded message. If the received bytes cannot be decoded, it
  *       closes the connection and calls {@link #disconnected}. Late events of an earlier connection are ignored.
- *   <li>It calls {@link #tick} at {@link #due}, which any call may change.
+ *   <li>It calls {@link #tick} at {@link #nextTickAt}, which any call may change.
  * </ul>
  *
  * @param <S> the state
@@ -206,7 +206,7 @@
         return steps;
     }
 
-    /** Handles timeouts and starts attempts to connect. Has to be called at {@link #due} at the latest. */
+    /** Handles timeouts and starts attempts to connect. Has to be called at {@link #nextTickAt} at the latest. */
     public List<SubscriberStep<S>> tick(double time) {
         advanceClock(time);
         List<SubscriberStep<S>> steps = new ArrayList<>();
@@ -223,14 +223,14 @@
         if (phase == Phase.BACKING_OFF && now >= connectActionAt) {
             phase = Phase.CONNECTING;
             connectionNumber++;
-            connectActionAt = now + timing.connectPatience();
+            connectActionAt = now + timing.connectTimeoutSeconds();
             steps.add(new SubscriberStep.Connect<>(connectionNumber, sources.get(sourceIndex)));
         }
         return steps;
     }
 
     /** The time at which {@link #tick} has to be called next; infinite if there is nothing to do. */
-    public double due() {
+    public double nextTickAt() {
         return phase == Phase.SUBSCRIBED
                 ? Math.min(
                         lastReceivedAt + timing.silenceTimeoutSeconds(), Math.min(leaveStaleSourceAt, retryPreferredAt))
@@ -480,19 +480,19 @@
     }
 
     /** The newest term that this process knows. */
-    public long term() {
+    public long highestTerm() {
         return highestTerm;
     }
 
     /** When the active state was last known to be current; negative infinity if that was never known. */
-    public double currentAt() {
+    public double lastKnownCurrentAt() {
         return lastKnownCurrentAt;
     }
 
     /**
      * For how many seconds the active state may have been out of date; infinite if it was never known to be current.
      */
-    public double staleness(double time) {
+    public double stalenessSeconds(double time) {
         return Math.max(0, time - lastKnownCurrentAt);
     }
 
@@ -502,17 +502,17 @@
     }
 
     /** How many connections ended for that reason. {@link Reason#STOPPED} is not counted. */
-    public long breaks(Reason reason) {
+    public long disconnects(Reason reason) {
         return disconnectCounts.getOrDefault(reason, 0L);
     }
 
     /** How many snapshots and deltas were refused as damaged. */
-    public long refused() {
+    public long refusedCount() {
         return refusedCount;
     }
 
     /** How many delta or snapshot messages contained nothing new. */
-    public long doubled() {
+    public long duplicateCount() {
         return duplicates;
     }
 }
--- a/src/main/java/juniperusher/distribution/SubscriberStep.java
+++ b/src/main/java/juniperusher/distribution/SubscriberStep.java
@@ -26,18 +26,18 @@
     /**
      * Changes were applied to the active state.
      *
-     * @param from version before the changes
+     * @param fromVersion version before the changes
      * @param state the active state after the changes
      */
-    record Advanced<S>(Version from, List<Change> changes, S state) implements SubscriberStep<S> {
+    record Advanced<S>(Version fromVersion, List<Change> changes, S state) implements SubscriberStep<S> {
         /** The active version after the changes. */
-        public Version to() {
+        public Version toVersion() {
             return changes.get(changes.size() - 1).version();
         }
     }
 
     /** A damaged snapshot or delta was refused as a whole; the active state is unchanged. Should be logged. */
-    record Refused<S>(Version version, String why) implements SubscriberStep<S> {}
+    record Refused<S>(Version version, String reason) implements SubscriberStep<S> {}
 
     /** Why a connection was closed. */
     enum Reason {
--- a/src/main/java/juniperusher/distribution/Subscription.java
+++ b/src/main/java/juniperusher/distribution/Subscription.java
@@ -49,11 +49,11 @@
     // ---- messages in flight ----
 
     boolean hasWindowRoom(Limits limits) {
-        return inFlightBytes < limits.windowBytes() && inFlight.size() < limits.windowMessages();
+        return inFlightBytes < limits.windowBytes() && inFlight.size() < limits.maxWindowMessages();
     }
 
     boolean hasRoomForHeartbeat(Limits limits) {
-        return inFlight.size() < limits.windowMessages();
+        return inFlight.size() < limits.maxWindowMessages();
     }
 
     boolean hasAcknowledgedAll() {
--- a/src/main/java/juniperusher/distribution/Timing.java
+++ b/src/main/java/juniperusher/distribution/Timing.java
@@ -7,7 +7,7 @@
  * @param silenceTimeoutSeconds time without a message after which a subscriber closes its connection
  * @param acknowledgementTimeoutSeconds time without progress in acknowledgements after which a publisher closes a
  *     connection
- * @param connectPatience timeout of an attempt to connect
+ * @param connectTimeoutSeconds timeout of an attempt to connect
  * @param initialBackoffSeconds backoff before jitter, doubled with each failure
  * @param maxBackoffSeconds maximum backoff of a relay
  * @param maxControlBackoffSeconds maximum backoff of a control process; shorter, because there are few of them and
@@ -22,7 +22,7 @@
         double heartbeatIntervalSeconds,
         double silenceTimeoutSeconds,
         double acknowledgementTimeoutSeconds,
-        double connectPatience,
+        double connectTimeoutSeconds,
         double initialBackoffSeconds,
         double maxBackoffSeconds,
         double maxControlBackoffSeconds,
@@ -33,7 +33,7 @@
      * The defaults. A change has to be active on all relays within 13 s, also if a control process is killed: the
      * silence timeout, the backoffs and a second attempt to connect take less than 8 s.
      */
-    public static final Timing USUAL = new Timing(1, 3, 10, 2, 0.5, 6, 1, 4, 600, 0.1);
+    public static final Timing DEFAULT = new Timing(1, 3, 10, 2, 0.5, 6, 1, 4, 600, 0.1);
 
     /** Checks that the times are consistent. */
     public Timing {
@@ -46,7 +46,7 @@
         if (!(initialBackoffSeconds > 0
                 && maxBackoffSeconds >= initialBackoffSeconds
                 && maxControlBackoffSeconds >= initialBackoffSeconds
-                && connectPatience > 0
+                && connectTimeoutSeconds > 0
                 && preferredSourceRetrySeconds > 0
                 && batchIntervalSeconds >= 0)) {
             throw new IllegalArgumentException(
--- a/src/main/java/juniperusher/files/ReplacedFile.java
+++ b/src/main/java/juniperusher/files/AtomicFile.java
@@ -13,8 +13,8 @@
  * of the temporary file contains the process id; the last move wins. Two threads of one process must not write the same
  * file at once. The data is not synced to disk, so a crash of the machine may lose it.
  */
-public final class ReplacedFile {
-    private ReplacedFile() {}
+public final class AtomicFile {
+    private AtomicFile() {}
 
     /**
      * Replaces the content of the target by the text in UTF-8. Readers see the new content once this returns.
--- a/src/main/java/juniperusher/fleet/ControlClient.java
+++ b/src/main/java/juniperusher/fleet/ControlClient.java
@@ -24,7 +24,7 @@
     /** Receives events of a client, on the loop's thread. */
     public interface Listener {
         /** The client has activated the map of that version. */
-        void inForce(Version version, ShardMap map);
+        void mapActivated(Version version, ShardMap map);
 
         /** The client has refused a map or a change as a whole; the previous map stays active. */
         default void mapRefused(Version version, String reason) {}
@@ -38,9 +38,9 @@
      * @param currentAt when the map was last known to be current, in seconds of the loop's clock; negative infinity for
      *     never
      * @param source host:port of the control process that the client is subscribed to, or null
-     * @param refused number of maps and changes that were refused
+     * @param refusedCount number of maps and changes that were refused
      */
-    public record Status(Version version, ShardMap map, double currentAt, String source, long refused) {}
+    public record Status(Version version, ShardMap map, double currentAt, String source, long refusedCount) {}
 
     /**
      * Creates a client without a subscription.
@@ -90,18 +90,18 @@
     }
 
     /** Resumes or stops reading from the current and all later connections, to simulate a slow reader in lab runs. */
-    public void reading(boolean on) {
-        link.setReading(on);
+    public void setReading(boolean enabled) {
+        link.setReading(enabled);
     }
 
     /** Stops reading from the current connection, to simulate a network partition in lab runs. */
-    public void freeze() {
+    public void pauseCurrentConnection() {
         link.pauseCurrentConnection();
     }
 
     private void step(Supplier<List<SubscriberStep<ShardMap>>> call) {
         link.carryOut(call.get());
-        timer.setDue(subscriber.due());
+        timer.setDue(subscriber.nextTickAt());
         publishStatus();
     }
 
@@ -109,18 +109,18 @@
         status = new Status(
                 subscriber.version(),
                 subscriber.state(),
-                subscriber.currentAt(),
+                subscriber.lastKnownCurrentAt(),
                 subscriber.source(),
-                subscriber.refused());
+                subscriber.refusedCount());
     }
 
     private void notifyListener(SubscriberStep<ShardMap> step) {
         if (step instanceof SubscriberStep.Replaced<ShardMap> replaced) {
-            listener.inForce(replaced.version(), replaced.state());
+            listener.mapActivated(replaced.version(), replaced.state());
         } else if (step instanceof SubscriberStep.Advanced<ShardMap> advanced) {
-            listener.inForce(advanced.to(), advanced.state());
+            listener.mapActivated(advanced.toVersion(), advanced.state());
         } else if (step instanceof SubscriberStep.Refused<ShardMap> refused) {
-            listener.mapRefused(refused.version(), refused.why());
+            listener.mapRefused(refused.version(), refused.reason());
         }
     }
 
--- a/src/main/java/juniperusher/fleet/ControlServer.java
+++ b/src/main/java/juniperusher/fleet/ControlServer.java
@@ -76,7 +76,7 @@
         this.listener = listener;
         ShardMapState codec = new ShardMapState();
         process = new ControlProcess<>(
-                new Subscriber<>(name, timing, limits.stateBytes(), codec, seed),
+                new Subscriber<>(name, timing, limits.maxStateBytes(), codec, seed),
                 new Publisher<>(timing, limits, codec, seed + 1));
         upstream = new UpstreamLink(loop, dialer, new UpstreamEvents(), this::notifyListener);
         timer = new DueTimer(loop, () -> step(() -> process.tick(loop.now())));
@@ -87,7 +87,7 @@
         acceptor = loop.listen(
                 address,
                 this::accept,
-                (int) (limits.subscribers() * CONNECTIONS_PER_SUBSCRIBER) + 1,
+                (int) (limits.maxSubscribers() * CONNECTIONS_PER_SUBSCRIBER) + 1,
                 MessageChannel.MAX_INPUT_BYTES,
                 MessageChannel.MAX_OUTPUT_BYTES);
         return acceptor.address();
@@ -115,7 +115,7 @@
     /** Publishes changes of the map, all of them or none. Only the leader may call it. */
     public void publish(List<byte[]> deltas) throws DamagedStateException {
         carryOut(process.publish(deltas, loop.now()));
-        timer.setDue(process.due());
+        timer.setDue(process.nextTickAt());
     }
 
     /** The state machines of the process, for status and metrics. */
@@ -139,7 +139,7 @@
     }
 
     /** Stops reading from the current upstream connection, to simulate a network partition in lab runs. */
-    public void freezeUpstream() {
+    public void pauseUpstream() {
         upstream.pauseCurrentConnection();
     }
 
@@ -157,7 +157,7 @@
 
     private void step(Supplier<ControlProcess.Steps<ShardMap>> call) {
         carryOut(call.get());
-        timer.setDue(process.due());
+        timer.setDue(process.nextTickAt());
     }
 
     private void carryOut(ControlProcess.Steps<ShardMap> steps) {
@@ -207,9 +207,9 @@
         if (step instanceof SubscriberStep.Replaced<ShardMap> replaced) {
             listener.mapActivated(replaced.version(), replaced.state());
         } else if (step instanceof SubscriberStep.Advanced<ShardMap> advanced) {
-            listener.mapActivated(advanced.to(), advanced.state());
+            listener.mapActivated(advanced.toVersion(), advanced.state());
         } else if (step instanceof SubscriberStep.Refused<ShardMap> refused) {
-            listener.mapRefused(refused.version(), refused.why());
+            listener.mapRefused(refused.version(), refused.reason());
         }
     }
 
@@ -247,7 +247,7 @@
                 subscribeTimeout.cancel();
             }
             process.closed(id, loop.now());
-            timer.setDue(process.due());
+            timer.setDue(process.nextTickAt());
         }
     }
 
--- a/src/main/java/juniperusher/fleet/ControlService.java
+++ b/src/main/java/juniperusher/fleet/ControlService.java
@@ -72,13 +72,13 @@
      * @throws IOException if the process cannot listen or cannot write its folder
      */
     public static ControlService start(ControlSettings settings) throws IOException {
-        return start(settings, loop -> Dialer.direct(loop, Timing.USUAL.connectPatience()));
+        return start(settings, loop -> Dialer.direct(loop, Timing.DEFAULT.connectTimeoutSeconds()));
     }
 
     /** Starts a control process that opens its upstream connections with the given dialer. */
     public static ControlService start(ControlSettings settings, Function<EventLoop, Dialer> dialers)
             throws IOException {
-        ControlService service = new ControlService(settings, Timing.USUAL, limits(settings));
+        ControlService service = new ControlService(settings, Timing.DEFAULT, limits(settings));
         service.loop.start();
         CompletableFuture<Void> started = new CompletableFuture<>();
         service.loop.execute(() -> {
@@ -109,20 +109,20 @@
     }
 
     private static Limits limits(ControlSettings settings) {
-        Limits defaults = Limits.USUAL;
+        Limits defaults = Limits.DEFAULT;
         return new Limits(
                 settings.maxSubscribers(),
                 defaults.windowBytes(),
-                defaults.windowMessages(),
-                defaults.partBytes(),
-                defaults.deltaBytes(),
-                defaults.changeBytes(),
-                defaults.snapshotsAtOnce(),
-                defaults.snapshotSeconds(),
+                defaults.maxWindowMessages(),
+                defaults.maxPartBytes(),
+                defaults.maxDeltaBytes(),
+                defaults.maxChangeBytes(),
+                defaults.maxConcurrentSnapshots(),
+                defaults.maxSnapshotSlotSeconds(),
                 settings.maxMapBytes(),
-                defaults.logChanges(),
-                defaults.logBytes(),
-                defaults.retryAfter());
+                defaults.maxLogChanges(),
+                defaults.maxLogBytes(),
+                defaults.maxRetryAfterSeconds());
     }
 
     private void initialize(Dialer dialer) throws IOException {
@@ -260,12 +260,12 @@
 
     private String status() {
         Publisher<ShardMap> publisher = server.process().publisher();
-        return "role=" + (publisher.leads() ? "leader" : "follower")
-                + " term=" + publisher.term()
-                + " version=" + publisher.newest()
+        return "role=" + (publisher.isLeading() ? "leader" : "follower")
+                + " term=" + publisher.highestTerm()
+                + " version=" + publisher.newestVersion()
                 + " epoch=" + (long) epoch()
                 + " subscribers=" + publisher.memory().subscribers()
-                + " age_seconds=" + publisher.age(loop.now());
+                + " age_seconds=" + publisher.ageSeconds(loop.now());
     }
 
     private double epoch() {
@@ -276,17 +276,17 @@
     // The gauges read state of the loop's thread; only the operator command "metrics" evaluates them, on that thread.
     private void registerGauges() {
         Publisher<ShardMap> publisher = server.process().publisher();
-        counters.gauge("control_leads", () -> publisher.leads() ? 1 : 0);
-        counters.gauge("control_term", publisher::term);
+        counters.gauge("control_leads", () -> publisher.isLeading() ? 1 : 0);
+        counters.gauge("control_term", publisher::highestTerm);
         counters.gauge("control_epoch", this::epoch);
-        counters.gauge("control_age_seconds", () -> publisher.age(loop.now()));
+        counters.gauge("control_age_seconds", () -> publisher.ageSeconds(loop.now()));
         counters.gauge("control_subscribers", () -> publisher.memory().subscribers());
         counters.gauge("control_connections", () -> server.connections());
         counters.gauge("control_in_flight_bytes", () -> publisher.memory().inFlightBytes());
-        counters.gauge("control_snapshots", () -> publisher.counters().snapshots());
-        counters.gauge("control_deltas", () -> publisher.counters().deltas());
-        counters.gauge("control_busy", () -> publisher.counters().busy());
-        counters.gauge("control_slow", () -> publisher.counters().slow());
+        counters.gauge("control_snapshots", () -> publisher.counters().snapshotsStarted());
+        counters.gauge("control_deltas", () -> publisher.counters().deltasSent());
+        counters.gauge("control_busy", () -> publisher.counters().rejections());
+        counters.gauge("control_slow", () -> publisher.counters().acknowledgementTimeouts());
         counters.gauge("control_bytes_in", () -> server.downstreamTraffic().bytesIn());
         counters.gauge("control_bytes_out", () -> server.downstreamTraffic().bytesOut());
         counters.gauge("control_messages_in", () -> server.downstreamTraffic().messagesIn());
@@ -294,12 +294,12 @@
     }
 
     /** The address on which the process accepts subscribers. */
-    public InetSocketAddress listening() {
+    public InetSocketAddress subscriberAddress() {
         return subscriberAddress;
     }
 
     /** The address of the operator port, or null if there is none. */
-    public InetSocketAddress operator() {
+    public InetSocketAddress operatorAddress() {
         return operatorAddress;
     }
 
--- a/src/main/java/juniperusher/fleet/FleetMembership.java
+++ b/src/main/java/juniperusher/fleet/FleetMembership.java
@@ -59,9 +59,9 @@
     private void subscribe(String name, MapFile file) {
         client = new ControlClient(
                 loop,
-                Dialer.direct(loop, Timing.USUAL.connectPatience()),
+                Dialer.direct(loop, Timing.DEFAULT.connectTimeoutSeconds()),
                 name,
-                Timing.USUAL,
+                Timing.DEFAULT,
                 settings.maxMapBytes(),
                 System.nanoTime() ^ name.hashCode(),
                 new MapListener());
@@ -137,12 +137,12 @@
     }
 
     private double refusedMaps() {
-        return publishedClient == null ? 0 : publishedClient.status().refused();
+        return publishedClient == null ? 0 : publishedClient.status().refusedCount();
     }
 
     private final class MapListener implements ControlClient.Listener {
         @Override
-        public void inForce(Version version, ShardMap map) {
+        public void mapActivated(Version version, ShardMap map) {
             saver.save(version, map);
         }
 
--- a/src/main/java/juniperusher/fleet/LeaderMap.java
+++ b/src/main/java/juniperusher/fleet/LeaderMap.java
@@ -79,7 +79,7 @@
             batch.add(pendingChanges.poll());
         }
         ShardMap base = map;
-        Version newest = server.process().publisher().newest();
+        Version newest = server.process().publisher().newestVersion();
         Version nextVersion = new Version(newest.term(), newest.revision() + 1);
         saver.execute(() -> commit(base, nextVersion, batch));
     }
@@ -112,7 +112,7 @@
                 List<ShardMapStep> extended = new ArrayList<>(steps);
                 extended.addAll(change.steps());
                 try {
-                    next = base.next(extended);
+                    next = base.withSteps(extended);
                     steps = extended;
                     applicable.add(change);
                 } catch (ShardMapException e) {
@@ -127,7 +127,7 @@
         List<ShardMapStep> steps = new ArrayList<>();
         batch.forEach(change -> steps.addAll(change.steps()));
         try {
-            return base.next(steps);
+            return base.withSteps(steps);
         } catch (ShardMapException e) {
             return null; // at least one change cannot be applied; the caller tries them one by one
         }
--- a/src/main/java/juniperusher/fleet/MessageChannel.java
+++ b/src/main/java/juniperusher/fleet/MessageChannel.java
@@ -11,10 +11,10 @@
  */
 final class MessageChannel implements Connection.Handler {
     /** Limit on unconsumed input. The decoder buffers incomplete frames, so one frame is enough. */
-    static final int MAX_INPUT_BYTES = ControlMessageCodec.MAX_FRAME;
+    static final int MAX_INPUT_BYTES = ControlMessageCodec.MAX_FRAME_BYTES;
 
     /** Limit on queued output: two frames, which is far more than a publisher's window. */
-    static final int MAX_OUTPUT_BYTES = 2 * ControlMessageCodec.MAX_FRAME;
+    static final int MAX_OUTPUT_BYTES = 2 * ControlMessageCodec.MAX_FRAME_BYTES;
 
     private final Traffic traffic;
     private final Listener listener;
--- a/src/main/java/juniperusher/http/Config.java
+++ b/src/main/java/juniperusher/http/Config.java
@@ -12,8 +12,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import juniperusher.Protocol;
+import juniperusher.sim.MalformedInputException;
 import juniperusher.sim.SettingsParser;
-import juniperusher.sim.WireException;
 
 /**
  * The configuration file that the platform gives to a relay.
@@ -23,18 +23,18 @@
  * @param discovery the address of the platform's agent, which serves discovery and takes status reports
  * @param seed the seed of the random number generators
  * @param diskBytes the space that the state folder may use
- * @param descriptors how many file descriptors the process may open
+ * @param maxDescriptors how many file descriptors the process may open
  * @param peerListen the UDP address on which notes from other relays arrive, or null
  * @param peers the addresses of the tier's relays, in the order of their numbers
  * @param peersAll one address that reaches all of them, or null
  * @param knownEndpoints the last list of endpoints that this relay had, which may be outdated
- * @param settings the settings of the decision module, and the positions of the values in load reports
- * @param classes names of the message classes, in the settings' order
+ * @param parsedSettings the settings of the decision module, and the positions of the values in load reports
+ * @param classNames names of the message classes, in the settings' order
  * @param kindNames names of the kinds of destination, in the settings' order
  * @param zoneNames names of the zones, in the settings' order
  * @param minRoundGapSeconds the minimum interval between two rounds of the decision loop, in seconds
- * @param number the index of this relay in {@code peers}
- * @param mgmt the address on which operators connect, from {@code RELAY_MGMT} or else from the file's
+ * @param relayIndex the index of this relay in {@code peers}
+ * @param operatorAddress the address on which operators connect, from {@code RELAY_MGMT} or else from the file's
  *     {@code mgmt}; or null
  */
 public record Config(
@@ -43,18 +43,18 @@
         InetSocketAddress discovery,
         long seed,
         long diskBytes,
-        int descriptors,
+        int maxDescriptors,
         InetSocketAddress peerListen,
         List<InetSocketAddress> peers,
         InetSocketAddress peersAll,
         JsonObject knownEndpoints,
-        SettingsParser.Parsed settings,
-        List<String> classes,
+        SettingsParser.ParsedSettings parsedSettings,
+        List<String> classNames,
         List<String> kindNames,
         List<String> zoneNames,
         double minRoundGapSeconds,
-        int number,
-        InetSocketAddress mgmt) {
+        int relayIndex,
+        InetSocketAddress operatorAddress) {
 
     /**
      * Reads a configuration file.
@@ -67,7 +67,7 @@
         } catch (ParseException
                 | UnsupportedOperationException
                 | NullPointerException
-                | WireException
+                | MalformedInputException
                 | IllegalArgumentException e) {
             String reason = e instanceof NullPointerException ? "a required part is missing" : e.getMessage();
             throw new IllegalArgumentException("configuration " + file.getFileName() + " cannot be read: " + reason, e);
@@ -117,7 +117,7 @@
                 newer.discovery,
                 seed,
                 diskBytes,
-                descriptors,
+                maxDescriptors,
                 peerListen,
                 newer.peers,
                 newer.peersAll,
@@ -127,14 +127,14 @@
                 kindNames,
                 zoneNames,
                 minRoundGapSeconds,
-                number,
-                mgmt);
+                relayIndex,
+                operatorAddress);
     }
 
     /** The names of these classes at their present indexes, then those that only the newer file has. */
     private List<String> mergedClassNames(Config newer) {
-        List<String> names = new ArrayList<>(classes);
-        newer.classes.stream().filter(name -> !names.contains(name)).forEach(names::add);
+        List<String> names = new ArrayList<>(classNames);
+        newer.classNames.stream().filter(name -> !names.contains(name)).forEach(names::add);
         return names;
     }
 
@@ -143,36 +143,37 @@
      * class that the newer file lacks stays unchanged, since clients may still send messages of it. The rest (kinds,
      * tenants, rules) takes effect at the next start.
      */
-    private SettingsParser.Parsed reloadedSettings(Config newer) {
+    private SettingsParser.ParsedSettings reloadedSettings(Config newer) {
         List<String> names = mergedClassNames(newer);
         List<Protocol.MessageClass> messageClasses =
-                new ArrayList<>(settings.settings().classes());
-        for (int newerIndex = 0; newerIndex < newer.classes.size(); newerIndex++) {
+                new ArrayList<>(parsedSettings.settings().classes());
+        for (int newerIndex = 0; newerIndex < newer.classNames.size(); newerIndex++) {
             Protocol.MessageClass newerClass =
-                    newer.settings.settings().classes().get(newerIndex);
-            int index = names.indexOf(newer.classes.get(newerIndex));
+                    newer.parsedSettings.settings().classes().get(newerIndex);
+            int index = names.indexOf(newer.classNames.get(newerIndex));
             if (index < messageClasses.size()) {
                 messageClasses.set(index, newerClass);
             } else {
                 messageClasses.add(newerClass);
             }
         }
-        Protocol.Settings old = settings.settings();
+        Protocol.Settings old = parsedSettings.settings();
         Protocol.Settings reloaded = new Protocol.Settings(
                 old.senders(),
                 old.zone(),
-                old.askForList(),
+                old.watchesList(),
                 old.weight(),
-                old.overShareWorth(),
-                old.halving(),
+                old.overQuotaShare(),
+                old.halvesWorth(),
                 old.crossZoneFee(),
                 old.routeFees(),
                 old.rules(),
-                newer.settings.settings().allowed(),
+                newer.parsedSettings.settings().limits(),
                 messageClasses,
                 old.kinds(),
                 old.tenants());
-        return new SettingsParser.Parsed(reloaded, settings.leftField(), settings.limitField());
+        return new SettingsParser.ParsedSettings(
+                reloaded, parsedSettings.remainingField(), parsedSettings.limitField());
     }
 
     /** This configuration without other relays and without an address for operators. */
@@ -183,17 +184,17 @@
                 discovery,
                 seed,
                 diskBytes,
-                descriptors,
+                maxDescriptors,
                 null,
                 List.of(),
                 null,
                 knownEndpoints,
-                settings,
-                classes,
+                parsedSettings,
+                classNames,
                 kindNames,
                 zoneNames,
                 minRoundGapSeconds,
-                number,
+                relayIndex,
                 null);
     }
 
--- a/src/main/java/juniperusher/http/AgentList.java
+++ b/src/main/java/juniperusher/http/EndpointListParser.java
@@ -10,16 +10,16 @@
 import java.util.List;
 import java.util.Set;
 import juniperusher.Protocol.Phase;
-import juniperusher.membership.Entry;
-import juniperusher.membership.Update;
+import juniperusher.membership.EndpointEntry;
+import juniperusher.membership.EndpointUpdate;
 
 /** Parses the JSON format in which discovery's agent lists endpoints, a whole list or a change. Thread-safe. */
-public final class AgentList {
+public final class EndpointListParser {
     private final List<String> kinds;
     private final List<String> zones;
 
     /** Creates a parser that maps the names of kinds and zones to their indexes in these lists. */
-    public AgentList(List<String> kinds, List<String> zones) {
+    public EndpointListParser(List<String> kinds, List<String> zones) {
         this.kinds = List.copyOf(kinds);
         this.zones = List.copyOf(zones);
     }
@@ -30,21 +30,21 @@
      *
      * @throws IllegalArgumentException if the text is truncated, is not JSON, or has no array of entries
      */
-    public Update read(String text) {
+    public EndpointUpdate parse(String text) {
         try {
-            return read(Json.parse(text).asObject());
+            return parse(Json.parse(text).asObject());
         } catch (ParseException | UnsupportedOperationException | NumberFormatException e) {
             throw new IllegalArgumentException("not a list of endpoints: " + e.getMessage(), e);
         }
     }
 
-    Update read(JsonObject json) {
+    EndpointUpdate parse(JsonObject json) {
         JsonValue servers = json.get("servers");
         if (servers == null || !servers.isArray()) {
             throw new IllegalArgumentException("not a list of endpoints: 'servers' is missing");
         }
-        List<Entry> entries = new ArrayList<>();
-        Set<String> unread = new HashSet<>();
+        List<EndpointEntry> entries = new ArrayList<>();
+        Set<String> unreadableIds = new HashSet<>();
         for (JsonValue value : servers.asArray()) {
             String id = value.isObject() ? text(value.asObject(), "id") : "";
             if (id.isEmpty()) {
@@ -53,13 +53,13 @@
             try {
                 entries.add(entry(id, value.asObject()));
             } catch (UnsupportedOperationException | IllegalArgumentException e) {
-                unread.add(id);
+                unreadableIds.add(id);
             }
         }
-        return new Update(json.getBoolean("full", true), json.getLong("version", 0), entries, unread);
+        return new EndpointUpdate(json.getBoolean("full", true), json.getLong("version", 0), entries, unreadableIds);
     }
 
-    private Entry entry(String id, JsonObject entry) {
+    private EndpointEntry entry(String id, JsonObject entry) {
         String addressText = text(entry, "addr");
         InetSocketAddress address = addressText.isEmpty() ? null : Config.address(addressText);
         Phase phase =
@@ -69,7 +69,7 @@
                     // Also for an unknown state: the endpoint gets no new calls but stays in the list.
                     default -> Phase.DRAINING;
                 };
-        return new Entry(
+        return new EndpointEntry(
                 id,
                 address,
                 entry.getInt("cell", -1),
--- a/src/main/java/juniperusher/http/HttpSubchannels.java
+++ b/src/main/java/juniperusher/http/HttpSubchannels.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
-import juniperusher.Protocol.Report;
+import juniperusher.Protocol.LoadReport;
 import juniperusher.Protocol.Target;
 import juniperusher.core.CallEnd;
 import juniperusher.core.CallResult;
@@ -47,7 +47,12 @@
     }
 
     @Override
-    public Call call(Target subchannel, List<RpcRequest> rpcs, double timeout, Clearance clearance, Results results) {
+    public Call call(
+            Target subchannel,
+            List<RpcRequest> rpcs,
+            double timeout,
+            StartPermission permission,
+            ResultListener resultListener) {
         HttpMessage request = rpcs.size() == 1 ? singleRequest(rpcs.get(0), timeout) : batchRequest(rpcs, timeout);
         Set<HttpPool.Exchange> sameDestination =
                 exchangesInFlight.computeIfAbsent(subchannel.destination(), key -> ConcurrentHashMap.newKeySet());
@@ -62,7 +67,7 @@
                     // On a busy CPU a refusal by this destination may have arrived that is not read yet. Its
                     // retry-after delay has to count before another call starts.
                     sameDestination.forEach(HttpPool.Exchange::poll);
-                    return clearance.mayStart();
+                    return permission.mayStart();
                 },
                 new HttpPool.Listener() {
                     private void removeFromInFlight() {
@@ -75,20 +80,20 @@
                     @Override
                     public void answered(HttpMessage response) {
                         removeFromInFlight();
-                        double retryAfterSeconds = response.retryAfter();
-                        Report report = loadReport(response);
+                        double retryAfterSeconds = response.retryAfterSeconds();
+                        LoadReport report = loadReport(response);
                         List<CallEnd> ends = callEnds(response, rpcs);
                         for (int i = 0; i < rpcs.size(); i++) {
-                            results.ended(i, new CallResult(ends.get(i), retryAfterSeconds, report));
+                            resultListener.ended(i, new CallResult(ends.get(i), retryAfterSeconds, report));
                         }
                     }
 
                     @Override
-                    public void ended(CallEnd reason, int firstLine) {
+                    public void ended(CallEnd reason, int statusLineCode) {
                         removeFromInFlight();
-                        CallEnd end = reason.afterFirstLine(firstLine, rpcs.size());
+                        CallEnd end = reason.adjustedForStatusLine(statusLineCode, rpcs.size());
                         for (int i = 0; i < rpcs.size(); i++) {
-                            results.ended(i, CallResult.of(end));
+                            resultListener.ended(i, CallResult.of(end));
                         }
                     }
                 });
@@ -152,7 +157,7 @@
                     switch (response.status()) {
                         case 200 -> CallEnd.DELIVERED;
                         case 429 -> CallEnd.TURNED_AWAY;
-                        case 503 -> response.get("X-No-Slot") != null ? CallEnd.NO_SLOT : CallEnd.TURNED_AWAY;
+                        case 503 -> response.header("X-No-Slot") != null ? CallEnd.NO_SLOT : CallEnd.TURNED_AWAY;
                         case 504 -> CallEnd.SPENT;
                         case 410 -> CallEnd.OVER;
                         default -> CallEnd.FAILED;
@@ -161,7 +166,7 @@
         }
         Map<String, CallEnd> byId = new HashMap<>();
         try {
-            for (JsonValue value : Json.parse(response.text()).asArray()) {
+            for (JsonValue value : Json.parse(response.bodyText()).asArray()) {
                 JsonObject entry = value.asObject();
                 byId.put(
                         entry.getString("id", ""),
@@ -185,29 +190,29 @@
      * Parses the header X-Load-Report, such as x0=0.5,x1=100: x1 is the limit in calls per second, and x0 the share of
      * it that is free. Null if it is missing or malformed, or if the settings define no limit.
      */
-    private Report loadReport(HttpMessage response) {
-        String text = response.get("X-Load-Report");
-        if (text == null || config.settings().limitField() < 0) {
+    private LoadReport loadReport(HttpMessage response) {
+        String text = response.header("X-Load-Report");
+        if (text == null || config.parsedSettings().limitField() < 0) {
             return null;
         }
         double limit = 0;
         double remaining = 0;
         for (String part : text.split(",")) {
             int equalsSign = part.indexOf('=');
-            double value = equalsSign < 0 ? Double.NaN : HttpMessage.number(part.substring(equalsSign + 1));
+            double value = equalsSign < 0 ? Double.NaN : HttpMessage.parseNumber(part.substring(equalsSign + 1));
             if (!(value >= 0)) {
                 return null; // a malformed report is ignored; the response itself counts
             }
             limit = part.substring(0, equalsSign).strip().equals("x1") ? value : limit;
             remaining = part.substring(0, equalsSign).strip().equals("x0") ? value : remaining;
         }
-        return new Report(limit, remaining);
+        return new LoadReport(limit, remaining);
     }
 
     // ---- probes and idle connections ----
 
     @Override
-    public void probe(Target subchannel, Probed probed) {
+    public void probe(Target subchannel, ProbeListener probeListener) {
         long startNanos = System.nanoTime();
         InetSocketAddress address = resolver.address(subchannel.id());
         HttpMessage request = HttpMessage.request("GET", "/alive", new byte[0], "Host", "endpoint");
@@ -215,15 +220,16 @@
                 pool.exchange(address, subchannel.id(), request, () -> true, new HttpPool.Listener() {
                     @Override
                     public void answered(HttpMessage response) {
-                        probed.probed(
+                        probeListener.probed(
                                 response.status() == 200,
                                 response.status() == 503,
                                 (System.nanoTime() - startNanos) / 1e9);
                     }
 
                     @Override
-                    public void ended(CallEnd reason, int firstLine) {
-                        probed.probed(firstLine == 200, firstLine == 503, (System.nanoTime() - startNanos) / 1e9);
+                    public void ended(CallEnd reason, int statusLineCode) {
+                        probeListener.probed(
+                                statusLineCode == 200, statusLineCode == 503, (System.nanoTime() - startNanos) / 1e9);
                     }
                 });
         network.scheduler()
--- a/src/main/java/juniperusher/http/PeerDatagrams.java
+++ b/src/main/java/juniperusher/http/PeerDatagrams.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import juniperusher.Protocol.Noted;
+import juniperusher.Protocol.NoteReceived;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -50,7 +50,7 @@
     }
 
     /** Starts a thread that passes received notes to {@code listener} until this is closed. */
-    void start(Consumer<Noted> listener) {
+    void start(Consumer<NoteReceived> listener) {
         if (channel == null) {
             return;
         }
@@ -59,7 +59,7 @@
         thread.start();
     }
 
-    private void receive(Consumer<Noted> listener) {
+    private void receive(Consumer<NoteReceived> listener) {
         ByteBuffer buffer = ByteBuffer.allocate(MAX_NOTE_BYTES);
         while (channel.isOpen()) {
             try {
@@ -68,7 +68,7 @@
                 if (from >= 0) {
                     byte[] note = new byte[buffer.flip().remaining()];
                     buffer.get(note);
-                    listener.accept(new Noted(from, note));
+                    listener.accept(new NoteReceived(from, note));
                 }
             } catch (ClosedChannelException e) {
                 LOG.debug("the channel for notes was closed: {}", e.toString());
--- a/src/main/java/juniperusher/http/PlatformFront.java
+++ b/src/main/java/juniperusher/http/PlatformFront.java
@@ -79,22 +79,22 @@
     }
 
     @Override
-    public boolean tells(RpcEnd end) {
+    public boolean reportsEnd(RpcEnd end) {
         return end.kind() != RpcEnd.Kind.DELIVERED;
     }
 
     @Override
-    public void report(RpcEnd end, boolean again, Runnable acknowledged) {
+    public void report(RpcEnd end, boolean maybeRepeated, Runnable acknowledged) {
         statusReporter.add(end, acknowledged);
     }
 
     @Override
-    public boolean closing() {
+    public boolean closesConnections() {
         return closing;
     }
 
     @Override
-    public void refused(int status) {
+    public void requestRefused(int status) {
         counters.add("unreadable_total", "status", Integer.toString(status));
     }
 
@@ -116,39 +116,40 @@
         try {
             rpc = parseRpc(request);
         } catch (IllegalArgumentException e) {
-            refused(400);
+            requestRefused(400);
             responder.respond(HttpMessage.response(400, e.getMessage() + '\n'));
             return;
         }
-        if (!relay.knows(rpc.destination())) {
+        if (!relay.knowsDestination(rpc.destination())) {
             counters.add("refused_total", "front", name(), "why", "destination");
             responder.respond(HttpMessage.response(503, "X-Envelope names no destination known here\n"));
             return;
         }
-        relay.offer(rpc, new Channel() {
+        relay.submit(rpc, new Channel() {
             @Override
-            public void takenOn() {
+            public void accepted() {
                 responder.respond(HttpMessage.response(202, ""));
             }
 
             @Override
             public void refused(UnavailableStatus status) {
                 responder.respond(
-                        status.retryAfter() > 0
-                                ? HttpMessage.response(503, "", "Retry-After", Double.toString(status.retryAfter()))
+                        status.retryAfterSeconds() > 0
+                                ? HttpMessage.response(
+                                        503, "", "Retry-After", Double.toString(status.retryAfterSeconds()))
                                 : HttpMessage.response(503, ""));
             }
         });
     }
 
     private RpcRequest parseRpc(HttpMessage request) {
-        String id = request.get("X-Call-Id");
+        String id = request.header("X-Call-Id");
         if (id == null || id.isEmpty() || id.length() > 200) {
             throw new IllegalArgumentException("X-Call-Id is missing or too long");
         }
-        String messageClass = String.valueOf(request.get("X-Call-Class"));
+        String messageClass = String.valueOf(request.header("X-Call-Class"));
         Config current = config.get();
-        int classIndex = current.classes().indexOf(messageClass);
+        int classIndex = current.classNames().indexOf(messageClass);
         if (classIndex < 0) {
             throw new IllegalArgumentException("X-Call-Class is unknown");
         }
@@ -157,8 +158,8 @@
             throw new IllegalArgumentException("the path does not begin with the class");
         }
         double maxMillis =
-                current.settings().settings().classes().get(classIndex).deadline() * 1000;
-        long budgetMillis = Math.min(budgetMillis(request.get("X-Budget")), (long) maxMillis);
+                current.parsedSettings().settings().classes().get(classIndex).deadline() * 1000;
+        long budgetMillis = Math.min(budgetMillis(request.header("X-Budget")), (long) maxMillis);
         // The budget counts from when the client sent the request, which may have waited here unread. Subtracting the
         // longest such wait, but at most a tenth of the budget, keeps the deadline from being too late.
         budgetMillis -= Math.min(MAX_UNREAD_MILLIS, budgetMillis / 10);
@@ -166,19 +167,19 @@
                 id,
                 name(),
                 classIndex,
-                destination(request.get("X-Envelope")),
+                destination(request.header("X-Envelope")),
                 SteadyClock.millis() + budgetMillis,
                 "",
                 false,
                 request.body(),
-                request.get("X-Again") != null,
+                request.header("X-Again") != null,
                 header(request, IDEMPOTENCY_KEY_HEADER),
                 orderKey(request.path()),
                 header(request, TENANT_HEADER));
     }
 
     private static String header(HttpMessage request, String field) {
-        String value = request.get(field);
+        String value = request.header(field);
         return value == null ? "" : value;
     }
 
--- a/src/main/java/juniperusher/http/Platform.java
+++ b/src/main/java/juniperusher/http/RelayServer.java
@@ -22,7 +22,7 @@
 import juniperusher.maintenance.MaintenanceFile;
 import juniperusher.membership.Endpoint;
 import juniperusher.membership.Snapshot;
-import juniperusher.mgmt.Operated;
+import juniperusher.mgmt.ManagedRelay;
 import juniperusher.net.HttpPool;
 import juniperusher.net.Network;
 import juniperusher.storm.StormSettings;
@@ -36,8 +36,8 @@
  * <p>The constructor starts the relay; {@link #drain} and then {@link #close} end it. Endpoint maintenance may be
  * entered and exited by any thread.
  */
-public final class Platform implements AutoCloseable, Operated {
-    private static final Logger LOG = LoggerFactory.getLogger(Platform.class);
+public final class RelayServer implements AutoCloseable, ManagedRelay {
+    private static final Logger LOG = LoggerFactory.getLogger(RelayServer.class);
     // Idle connections are closed at this share of the endpoints' idle timeout, so that this side closes first.
     private static final double IDLE_TIME_SHARE = 0.8;
     // The share of the process's file descriptors that idle connections to endpoints may use.
@@ -80,13 +80,13 @@
      * @param state     the folder of the journal and of other state that survives a restart
      * @param extension a further front and its endpoints, or null
      */
-    public Platform(Config initialConfig, Path state, Counters counters, Network network, Extension extension)
+    public RelayServer(Config initialConfig, Path state, Counters counters, Network network, Extension extension)
             throws Exception {
         this(initialConfig, state, counters, network, extension, null);
     }
 
     /** Starts a relay on a listening socket of its own; the storm package is off if {@code stormSettings} is null. */
-    public Platform(
+    public RelayServer(
             Config initialConfig,
             Path state,
             Counters counters,
@@ -105,9 +105,9 @@
      * @param extension     a further front and its endpoints, or null
      * @param stormSettings settings of the storm package, or null to leave it off
      * @param inherited     the listening socket that the platform keeps open across an upgrade, or null to bind the
-     *     configuration's {@code listen}
+     *                      configuration's {@code listen}
      */
-    public Platform(
+    public RelayServer(
             Config initialConfig,
             Path state,
             Counters counters,
@@ -121,10 +121,10 @@
         config = new AtomicReference<>(initialConfig);
         this.network = network;
         this.extension = extension;
-        var allowed = initialConfig.settings().settings().allowed();
+        var limits = initialConfig.parsedSettings().settings().limits();
         HttpPool pool =
-                new HttpPool(network, allowed.keepAlive() * IDLE_TIME_SHARE, Math.max(MIN_IDLE_CONNECTION_LIMIT, (int)
-                        (initialConfig.descriptors() * IDLE_DESCRIPTOR_SHARE)));
+                new HttpPool(network, limits.keepAlive() * IDLE_TIME_SHARE, Math.max(MIN_IDLE_CONNECTION_LIMIT, (int)
+                        (initialConfig.maxDescriptors() * IDLE_DESCRIPTOR_SHARE)));
         peerDatagrams = new PeerDatagrams(config::get);
         Relay[] relayHolder = new Relay[1];
         maintenanceFile = new MaintenanceFile(state);
@@ -139,7 +139,7 @@
         Subchannels subchannels =
                 extension == null ? httpSubchannels : new RoutedSubchannels(httpSubchannels, extension);
         relay = new Relay(
-                initialConfig.settings().settings(),
+                initialConfig.parsedSettings().settings(),
                 initialConfig.seed(),
                 initialConfig.minRoundGapSeconds(),
                 state,
@@ -147,19 +147,19 @@
                 counters,
                 subchannels,
                 peerDatagrams::send,
-                stormSettings == null ? null : new StormCompanion(stormSettings, initialConfig, counters));
+                stormSettings == null ? null : new StormInterceptor(stormSettings, initialConfig, counters));
         relayHolder[0] = relay;
         statusReporter = new StatusReporter(() -> config.get().discovery(), pool, network);
         counters.gauge("notices_waiting", statusReporter::unacknowledgedCount);
-        counters.gauge("connections_in", network.inbound()::size);
-        counters.gauge("connections_shed", network::shed);
-        counters.gauge("connections_unopened", network::unopened);
-        counters.gauge("connections_coming", network::coming);
-        counters.gauge("accept_failures", network::acceptFailures);
+        counters.gauge("connections_in", network.inboundConnections()::size);
+        counters.gauge("connections_shed", network::shedCount);
+        counters.gauge("connections_unopened", network::closedUnopenedCount);
+        counters.gauge("connections_coming", network::openingCount);
+        counters.gauge("accept_failures", network::acceptFailureCount);
         front = new PlatformFront(config::get, statusReporter, counters, relay);
-        relay.add(front);
+        relay.addFront(front);
         if (extension != null) {
-            extension.join(relay);
+            extension.registerFront(relay);
         }
         discovered = resolver.loadKnownList(
                 initialConfig.knownEndpoints(), extension == null ? List.of() : extension.targets());
@@ -168,19 +168,20 @@
             LOG.info("discovery says nothing; beginning with the list known last");
         }
         if (inherited != null) {
-            relay.shareWaits(); // only with an inherited socket can the other process of an upgrade run meanwhile
+            relay.shareRetryDelays(); // only with an inherited socket can the other process of an upgrade run meanwhile
         }
         synchronized (targetsLock) {
             relayStarted = true;
-            relay.start(maintenance.over(discovered));
+            relay.start(maintenance.applyTo(discovered));
         }
-        peerDatagrams.start(relay::tell);
+        peerDatagrams.start(relay::post);
         listener = front.listen(network, inherited);
         listenerInherited = inherited != null;
         if (extension != null) {
-            extension.open();
+            extension.startAccepting();
         }
-        counters.gauge("endpoints_maintenance", () -> maintenance().held().size());
+        counters.gauge(
+                "endpoints_maintenance", () -> maintenance().endpointIds().size());
         network.scheduler().schedule(this::pollMaintenanceFile, MAINTENANCE_POLL_MILLIS, TimeUnit.MILLISECONDS);
         serving = true;
     }
@@ -210,9 +211,9 @@
             List<Target> targets = new ArrayList<>();
             for (Target target : list.targets()) {
                 Endpoint endpoint = snapshot.endpoints().get(target.id());
-                targets.add(endpoint == null ? target : maintenance.over(endpoint.id(), target));
+                targets.add(endpoint == null ? target : maintenance.applyTo(endpoint.id(), target));
             }
-            startedRelay.resolved(maintenance.over(snapshot), new TargetList(list.whole(), targets));
+            startedRelay.updateEndpoints(maintenance.applyTo(snapshot), new TargetList(list.fullList(), targets));
         }
     }
 
@@ -226,28 +227,28 @@
     private void activate(Maintenance next) {
         List<Target> changed = next.changedFrom(maintenance, discovered);
         maintenance = next;
-        relay.resolved(next.over(discovered), new TargetList(false, changed));
+        relay.updateEndpoints(next.applyTo(discovered), new TargetList(false, changed));
     }
 
     @Override
-    public boolean serving() {
+    public boolean isServing() {
         return serving;
     }
 
     @Override
-    public Answer enter(String id) {
+    public MaintenanceResult enterMaintenance(String id) {
         return changeMaintenance(id, true);
     }
 
     @Override
-    public Answer exit(String id) {
+    public MaintenanceResult exitMaintenance(String id) {
         return changeMaintenance(id, false);
     }
 
-    private Answer changeMaintenance(String id, boolean enter) {
+    private MaintenanceResult changeMaintenance(String id, boolean enter) {
         synchronized (targetsLock) {
-            if (!Maintenance.known(id, discovered) && !maintenance.holds(id)) {
-                return Answer.UNKNOWN;
+            if (!Maintenance.isKnown(id, discovered) && !maintenance.contains(id)) {
+                return MaintenanceResult.UNKNOWN;
             }
             Maintenance next = enter ? maintenance.enter(id) : maintenance.exit(id);
             try {
@@ -260,7 +261,7 @@
                 LOG.atError().addKeyValue("target", id).log("maintenance could not be saved: {}", e.toString());
             }
             activate(next);
-            return Answer.DONE;
+            return MaintenanceResult.DONE;
         }
     }
 
@@ -292,7 +293,7 @@
     private void adoptSavedMaintenance() {
         Maintenance saved = readMaintenance(maintenance);
         if (!saved.equals(maintenance)) {
-            LOG.atInfo().addKeyValue("held", saved.held()).log("maintenance adopted from the saved file");
+            LOG.atInfo().addKeyValue("held", saved.endpointIds()).log("maintenance adopted from the saved file");
             activate(saved);
         }
     }
@@ -321,13 +322,14 @@
         }
         Config before = config.get();
         Config after = before.reloadedFrom(newer);
-        if (!after.settings().settings().equals(before.settings().settings())) {
+        if (!after.parsedSettings().settings().equals(before.parsedSettings().settings())) {
             // The relay must know a new class before the front accepts its first message.
-            relay.retune(after.settings().settings());
+            relay.updateSettings(after.parsedSettings().settings());
             LOG.atInfo()
-                    .addKeyValue("classes", after.classes())
+                    .addKeyValue("classes", after.classNames())
                     .addKeyValue(
-                            "attempts", after.settings().settings().allowed().attempts())
+                            "attempts",
+                            after.parsedSettings().settings().limits().maxAttempts())
                     .log("settings reloaded");
         }
         config.set(after);
@@ -340,23 +342,23 @@
     public void drain() throws InterruptedException, IOException {
         serving = false;
         long startMillis = SteadyClock.millis();
-        relay.noCallsAfter(
+        relay.stopCallsAfter(
                 startMillis + ShutdownPlan.LAST_UNSAFE_CALL_MILLIS, startMillis + ShutdownPlan.LAST_CALL_MILLIS);
         ShutdownPlan plan = new ShutdownPlan(listenerInherited);
         while (true) {
             List<ShutdownPlan.Action> actions = plan.nextActions(
                     SteadyClock.millis() - startMillis,
-                    network.inbound().size(),
-                    relay.held(),
+                    network.inboundConnections().size(),
+                    relay.pendingCount(),
                     statusReporter.unacknowledgedCount());
             for (ShutdownPlan.Action action : actions) {
                 switch (action) {
                     case CLOSE_WITH_ANSWERS -> front.close();
                     case STOP_LISTENING -> stopListening();
-                    case CLOSE_IDLE -> network.inbound().endAll(true);
-                    case CLOSE_ALL -> network.inbound().endAll(false);
+                    case CLOSE_IDLE -> network.inboundConnections().closeAll(true);
+                    case CLOSE_ALL -> network.inboundConnections().closeAll(false);
                     default -> {
-                        LOG.info("shutting down with {} RPCs unfinished", relay.held());
+                        LOG.info("shutting down with {} RPCs unfinished", relay.pendingCount());
                         return;
                     }
                 }
