--- a/src/main/java/juniperusher/http/Resolver.java
+++ b/src/main/java/juniperusher/http/Resolver.java
@@ -16,11 +16,11 @@
 import juniperusher.Protocol.TargetList;
 import juniperusher.core.CallEnd;
 import juniperusher.core.Counters;
+import juniperusher.membership.EndpointUpdate;
 import juniperusher.membership.Membership;
 import juniperusher.membership.Snapshot;
 import juniperusher.membership.Step;
-import juniperusher.membership.Timing;
-import juniperusher.membership.Update;
+import juniperusher.membership.WatchTiming;
 import juniperusher.net.HttpMessage;
 import juniperusher.net.HttpPool;
 import juniperusher.net.Network;
@@ -49,7 +49,7 @@
 
     private final HttpPool pool;
     private final Counters counters;
-    private final AgentList listParser;
+    private final EndpointListParser listParser;
     private final BiConsumer<Snapshot, TargetList> snapshotListener;
     private final Membership membership;
     private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
@@ -77,19 +77,19 @@
             Network network,
             Counters counters,
             BiConsumer<Snapshot, TargetList> snapshotListener) {
-        this(config, Timing.USUAL, pool, counters, snapshotListener);
+        this(config, WatchTiming.DEFAULT, pool, counters, snapshotListener);
     }
 
     Resolver(
             Config config,
-            Timing timing,
+            WatchTiming timing,
             HttpPool pool,
             Counters counters,
             BiConsumer<Snapshot, TargetList> snapshotListener) {
         this.pool = pool;
         this.counters = counters;
         this.snapshotListener = snapshotListener;
-        listParser = new AgentList(config.kindNames(), config.zoneNames());
+        listParser = new EndpointListParser(config.kindNames(), config.zoneNames());
         membership = new Membership(timing, List.of(), config.seed());
         thread.setDaemon(true);
         counters.gauge("discovery_age_seconds", () -> now() - lastHeardSeconds);
@@ -111,14 +111,14 @@
      * @return the snapshot of both; without the list if it cannot be parsed
      */
     Snapshot loadKnownList(JsonObject lastKnownList, List<Target> fixed) {
-        Update update;
+        EndpointUpdate update;
         try {
-            update = listParser.read(lastKnownList);
+            update = listParser.parse(lastKnownList);
         } catch (IllegalArgumentException | UnsupportedOperationException e) {
             LOG.warn("the last known list cannot be parsed; starting without it: {}", e.getMessage());
-            update = new Update(true, 0, List.of(), Set.of());
+            update = new EndpointUpdate(true, 0, List.of(), Set.of());
         }
-        snapshot = membership.known(update, fixed, now());
+        snapshot = membership.initialize(update, fixed, now());
         return snapshot;
     }
 
@@ -145,7 +145,7 @@
 
     /** Switches to another address of the agent. The old one is abandoned at once, even if it still responds. */
     void discoveryMoved(InetSocketAddress discovery) {
-        events.add(now -> membership.moved(discovery, now));
+        events.add(now -> membership.discoveryMoved(discovery, now));
     }
 
     void stop() {
@@ -175,7 +175,8 @@
         long maxWaitMillis = openReaders.values().stream().anyMatch(ResponseReader::hasPartialChange)
                 ? PARTIAL_CHANGE_MILLIS / 3
                 : MAX_POLL_MILLIS;
-        long waitMillis = Math.max(1, Math.min(maxWaitMillis, (long) Math.ceil((membership.due() - now()) * 1000)));
+        long waitMillis =
+                Math.max(1, Math.min(maxWaitMillis, (long) Math.ceil((membership.nextTickAt() - now()) * 1000)));
         Event event = events.poll(waitMillis, TimeUnit.MILLISECONDS);
         try {
             if (event != null) {
@@ -187,7 +188,7 @@
                 execute(reader.checkPartialChange(now()));
             }
             execute(membership.tick(now()));
-            lastHeardSeconds = membership.heardAt();
+            lastHeardSeconds = membership.lastDataAt();
         }
     }
 
@@ -196,7 +197,7 @@
             if (step instanceof Step.Open watch) {
                 openWatch(watch);
             } else if (step instanceof Step.Abandon abandoned) {
-                ResponseReader abandonedReader = openReaders.remove(abandoned.watch());
+                ResponseReader abandonedReader = openReaders.remove(abandoned.watchNumber());
                 if (abandonedReader != null && abandonedReader.exchange != null) {
                     abandonedReader.exchange.abandon(CallEnd.CALLED_OFF);
                 }
@@ -207,20 +208,20 @@
     }
 
     private void openWatch(Step.Open watch) {
-        counters.add("watch_openings_total", "what", watch.whole() ? "list" : "watch");
+        counters.add("watch_openings_total", "what", watch.fullList() ? "list" : "watch");
         LOG.atInfo()
-                .addKeyValue("watch", watch.watch())
+                .addKeyValue("watch", watch.watchNumber())
                 .addKeyValue("discovery", watch.address())
-                .addKeyValue("index", watch.whole() ? "none" : Long.toString(watch.index()))
-                .log(watch.whole() ? "requesting the whole list" : "opening the watch");
-        ResponseReader responseReader = new ResponseReader(watch.watch(), watch.whole());
-        openReaders.put(watch.watch(), responseReader);
+                .addKeyValue("index", watch.fullList() ? "none" : Long.toString(watch.afterVersion()))
+                .log(watch.fullList() ? "requesting the whole list" : "opening the watch");
+        ResponseReader responseReader = new ResponseReader(watch.watchNumber(), watch.fullList());
+        openReaders.put(watch.watchNumber(), responseReader);
         try {
             responseReader.exchange = pool.exchange(
                     watch.address(),
                     HttpMessage.request(
                             "GET",
-                            "/discovery/hosts" + (watch.whole() ? "" : "?stream=1&index=" + watch.index()),
+                            "/discovery/hosts" + (watch.fullList() ? "" : "?stream=1&index=" + watch.afterVersion()),
                             new byte[0],
                             "Host",
                             "discovery"),
@@ -229,8 +230,8 @@
         } catch (RuntimeException | Error e) {
             // Otherwise the state machine would wait for an answer on a request that was never sent, until its
             // timeout for unresponsive watches.
-            openReaders.remove(watch.watch());
-            membership.ended(watch.watch(), now());
+            openReaders.remove(watch.watchNumber());
+            membership.watchEnded(watch.watchNumber(), now());
             throw e;
         }
     }
@@ -238,19 +239,19 @@
     private void publish(Step.Publish change) {
         snapshot = change.snapshot();
         try {
-            snapshotListener.accept(change.snapshot(), change.told());
+            snapshotListener.accept(change.snapshot(), change.changedTargets());
         } finally {
             if (snapshot.confirmed()) {
                 listReceived.countDown();
             }
-            change.left()
+            change.vacatedEndpoints()
                     .forEach(departed ->
                             pool.closeIdle(departed.address(), departed.target().id()));
         }
-        if (!change.told().targets().isEmpty()) {
+        if (!change.changedTargets().targets().isEmpty()) {
             LOG.atInfo()
                     .addKeyValue("version", snapshot.version())
-                    .addKeyValue("changed", change.told().targets().size())
+                    .addKeyValue("changed", change.changedTargets().targets().size())
                     .addKeyValue("ready", snapshot.count(Phase.READY))
                     .addKeyValue("draining", snapshot.count(Phase.DRAINING))
                     .log("the list has changed");
@@ -276,19 +277,20 @@
         }
 
         @Override
-        public void begun(int status) {
+        public void statusReceived(int status) {
             if (status == 200) {
-                events.add(now -> membership.heard(watchNumber, now)); // the agent responds, even without a change
+                events.add(
+                        now -> membership.dataReceived(watchNumber, now)); // the agent responds, even without a change
             }
         }
 
         @Override
-        public boolean streamed(int status, byte[] piece) {
+        public boolean consume(int status, byte[] piece) {
             if (wholeList) {
                 return false;
             }
             if (status == 200) {
-                events.add(now -> membership.heard(watchNumber, now));
+                events.add(now -> membership.dataReceived(watchNumber, now));
                 changeSplitter.add(piece);
                 partialSinceNanos = changeSplitter.hasPartialObject() ? System.nanoTime() | 1 : 0;
             }
@@ -316,62 +318,63 @@
         private List<Step> reportDamage(String reason, double now) {
             LOG.atWarn().addKeyValue("watch", watchNumber).log("data from discovery cannot be parsed: {}", reason);
             counters.add("watch_damaged_total");
-            return membership.damaged(watchNumber, now);
+            return membership.unreadableDataReceived(watchNumber, now);
         }
 
         private void parseAndReport(String text) {
             events.add(now -> {
-                Update update;
+                EndpointUpdate update;
                 try {
-                    update = listParser.read(text);
+                    update = listParser.parse(text);
                 } catch (IllegalArgumentException e) {
                     return reportDamage(e.getMessage(), now);
                 }
-                if (!update.unread().isEmpty()) {
+                if (!update.unreadableIds().isEmpty()) {
                     LOG.atWarn()
                             .addKeyValue("watch", watchNumber)
-                            .addKeyValue("ids", update.unread())
+                            .addKeyValue("ids", update.unreadableIds())
                             .log("some entries cannot be parsed; their endpoints keep their last known state");
                 }
-                return membership.told(watchNumber, update, now);
+                return membership.updateReceived(watchNumber, update, now);
             });
         }
 
         @Override
-        public long most() {
+        public long maxResponseBytes() {
             return wholeList ? MAX_LIST_BYTES : Long.MAX_VALUE;
         }
 
         @Override
         public void answered(HttpMessage response) {
             if (wholeList && response.status() == 200) {
-                parseAndReport(response.text());
+                parseAndReport(response.bodyText());
             } else if (response.status() == 429 || response.status() == 503) {
-                double retryAfterSeconds = response.retryAfter();
+                double retryAfterSeconds = response.retryAfterSeconds();
                 LOG.atWarn()
                         .addKeyValue("watch", watchNumber)
                         .addKeyValue("wait", retryAfterSeconds)
                         .log("discovery refused the request with status {}", response.status());
                 counters.add("watch_turned_away_total");
-                events.add(now -> membership.turnedAway(watchNumber, retryAfterSeconds, now));
+                events.add(now -> membership.watchRefused(watchNumber, retryAfterSeconds, now));
             } else if (response.status() != 200) {
                 LOG.atWarn()
                         .addKeyValue("watch", watchNumber)
                         .log("discovery answered with status {}", response.status());
-                events.add(now -> membership.damaged(watchNumber, now)); // the agent may no longer know the index
+                events.add(now ->
+                        membership.unreadableDataReceived(watchNumber, now)); // the agent may no longer know the index
             }
             reportEnd();
         }
 
         @Override
-        public void ended(CallEnd reason, int firstLine) {
+        public void ended(CallEnd end, int statusLineCode) {
             reportEnd();
         }
 
         private void reportEnd() {
             events.add(now -> {
                 openReaders.remove(watchNumber);
-                return membership.ended(watchNumber, now);
+                return membership.watchEnded(watchNumber, now);
             });
         }
     }
--- a/src/main/java/juniperusher/http/StatusReporter.java
+++ b/src/main/java/juniperusher/http/StatusReporter.java
@@ -46,7 +46,7 @@
 
     /** Creates a reporter with the usual timing; {@code platform} is asked for the current address at each post. */
     StatusReporter(Supplier<InetSocketAddress> platform, HttpPool pool, Network network) {
-        this(platform, pool, network, ReportTiming.USUAL);
+        this(platform, pool, network, ReportTiming.DEFAULT);
     }
 
     /** Creates a reporter with another timing. */
@@ -65,7 +65,7 @@
 
     /** The number of reports that the platform has not yet acknowledged. */
     synchronized int unacknowledgedCount() {
-        return queue.waiting();
+        return queue.unacknowledgedCount();
     }
 
     /** An input of the queue, applied with the current time in milliseconds. */
@@ -99,9 +99,9 @@
         HttpMessage request = HttpMessage.request("POST", "/status", body(post.reports()), "Host", "platform");
         HttpPool.Exchange exchange =
                 pool.exchange(address, CONNECTION_OWNER, request, () -> true, new PostListener(post.number()));
-        if (queue.isOut(post.number())) { // false if the exchange has already failed
+        if (queue.isInFlight(post.number())) { // false if the exchange has already failed
             postsInFlight.put(post.number(), exchange);
-            queue.posted(post.number(), nowMillis());
+            queue.postWritten(post.number(), nowMillis());
         }
     }
 
@@ -161,7 +161,10 @@
             return json.add("outcome", "given_up").toString();
         }
         json.add("outcome", "handed_back");
-        return (end.retryIn() > 0 ? json.add("retry_in_ms", Math.round(end.retryIn() * 1000)) : json).toString();
+        return (end.retryAfterSeconds() > 0
+                        ? json.add("retry_in_ms", Math.round(end.retryAfterSeconds() * 1000))
+                        : json)
+                .toString();
     }
 
     /** Passes the result of one post to the queue. */
@@ -176,17 +179,17 @@
         public void answered(HttpMessage response) {
             forget(postNumber);
             if (response.status() == NO_CONTENT) {
-                handle(now -> queue.answered(postNumber, now));
+                handle(now -> queue.postAcknowledged(postNumber, now));
             } else {
                 LOG.warn("the platform answered a status report with status {}", response.status());
-                handle(now -> queue.failed(postNumber, now));
+                handle(now -> queue.postFailed(postNumber, now));
             }
         }
 
         @Override
-        public void ended(CallEnd reason, int firstLine) {
+        public void ended(CallEnd end, int statusLineCode) {
             forget(postNumber);
-            handle(now -> queue.failed(postNumber, now));
+            handle(now -> queue.postFailed(postNumber, now));
         }
     }
 }
--- a/src/main/java/juniperusher/http/WarmUp.java
+++ b/src/main/java/juniperusher/http/WarmUp.java
@@ -46,7 +46,7 @@
      * @return the number of RPCs delivered; 0 if skipped
      */
     public static long run(Config config, Path state, long millis) throws Exception {
-        if (Platform.hasState(state)) {
+        if (RelayServer.hasState(state)) {
             return 0;
         }
         String temporaryFolder = System.getenv("TMPDIR"); // the only writable folder on the platform
@@ -54,7 +54,7 @@
                 ? Files.createTempDirectory("warm-up")
                 : Files.createTempDirectory(Path.of(temporaryFolder), "warm-up");
         InMemoryNetwork network = new InMemoryNetwork();
-        try (Platform platform = new Platform(config.withoutPeers(), folder, new Counters(), network, null)) {
+        try (RelayServer relayServer = new RelayServer(config.withoutPeers(), folder, new Counters(), network, null)) {
             List<Integer> destinations = new ArrayList<>();
             for (JsonValue server : config.knownEndpoints().get("servers").asArray()) {
                 destinations.add(server.asObject().getInt("cell", 0));
@@ -63,14 +63,14 @@
             for (int i = 0; i < MAX_RPCS && System.nanoTime() < untilNanos && !destinations.isEmpty(); i++) {
                 network.submit(
                         i,
-                        config.classes().get(i % config.classes().size()),
+                        config.classNames().get(i % config.classNames().size()),
                         destinations.get(i % destinations.size()));
                 if (i % RPCS_PER_BURST == 0) {
                     Thread.sleep(BURST_GAP_MILLIS);
                 }
                 network.answerCalls();
             }
-            return platform.counters().get("attempts_total", "end", "delivered");
+            return relayServer.counters().get("attempts_total", "end", "delivered");
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
                 for (Path path : files.sorted(Comparator.reverseOrder()).toList()) {
@@ -84,7 +84,7 @@
      * Parses a change of the endpoint list as it would arrive on the watch; true if that succeeds. The build calls this
      * when it records the classes to preload, because loading the parser's classes one by one would delay a start.
      */
-    public static boolean readsChanges() {
+    public static boolean parsesChange() {
         List<String> changes = new ArrayList<>();
         String change = "{\n \"version\": 1}";
         new JsonObjectSplitter(100, changes::add, changes::add).add((change + '\n').getBytes(StandardCharsets.UTF_8));
@@ -108,10 +108,10 @@
         }
 
         @Override
-        public void connect(InetSocketAddress address, Dial dial) {
+        public void connect(InetSocketAddress address, ConnectListener listener) {
             ByteArrayEndPoint endPoint = newEndPoint();
             callEndPoints.add(endPoint);
-            open(endPoint, dial.connected(endPoint));
+            open(endPoint, listener.connected(endPoint));
         }
 
         private ByteArrayEndPoint newEndPoint() {
--- a/src/main/java/juniperusher/lab/Experiment.java
+++ b/src/main/java/juniperusher/lab/Experiment.java
@@ -66,12 +66,12 @@
      * @param variants by variant, the file with its settings applied
      * @throws IllegalArgumentException with a one-line message, if parts of the file contradict each other
      */
-    public static Experiment of(JsonObject file, Map<String, JsonObject> variants) {
+    public static Experiment fromJson(JsonObject file, Map<String, JsonObject> variants) {
         Map<String, List<Plan>> plans = new LinkedHashMap<>();
         variants.forEach((name, json) -> {
             List<Plan> seeds = new ArrayList<>();
             for (int i = 0; i < json.getInt("runs", 1); i++) {
-                seeds.add(Plan.of(json, json.getLong("seed", 1) + i));
+                seeds.add(Plan.fromJson(json, json.getLong("seed", 1) + i));
             }
             plans.put(name, seeds);
         });
@@ -130,17 +130,17 @@
     }
 
     /** Compares the runs with all expectations. */
-    public List<Verdict> judge(List<Run> runs) {
+    public List<Verdict> evaluate(List<RunResult> runs) {
         List<Verdict> out = new ArrayList<>();
         for (Expectation expectation : expectations) {
             for (String variant : expectation.variants()) {
-                out.add(judge(expectation, variant, runs));
+                out.add(evaluate(expectation, variant, runs));
             }
         }
         return out;
     }
 
-    private static Verdict judge(Expectation expectation, String variant, List<Run> runs) {
+    private static Verdict evaluate(Expectation expectation, String variant, List<RunResult> runs) {
         double value = aggregate(expectation.aggregate(), values(runs, variant, expectation.figure()));
         String text = String.format(
                 Locale.ROOT, "%s of %s, %s: %.4f", expectation.aggregate(), expectation.figure(), variant, value);
@@ -168,7 +168,7 @@
     }
 
     /** The values of a figure in the runs of a variant. */
-    public static double[] values(List<Run> runs, String variant, String figure) {
+    public static double[] values(List<RunResult> runs, String variant, String figure) {
         return runs.stream()
                 .filter(run -> run.variant().equals(variant))
                 .mapToDouble(run -> run.figures().get(figure))
--- a/src/main/java/juniperusher/lab/LabSettings.java
+++ b/src/main/java/juniperusher/lab/LabSettings.java
@@ -4,11 +4,11 @@
 import com.eclipsesource.json.JsonObject;
 import java.util.ArrayList;
 import java.util.List;
-import juniperusher.Protocol.Allowed;
+import juniperusher.Protocol.DestinationKind;
 import juniperusher.Protocol.Effect;
-import juniperusher.Protocol.Kind;
 import juniperusher.Protocol.MessageClass;
 import juniperusher.Protocol.Rules;
+import juniperusher.Protocol.SenderLimits;
 import juniperusher.Protocol.Settings;
 import juniperusher.Protocol.Tenant;
 import juniperusher.Protocol.Weight;
@@ -16,17 +16,17 @@
 /** The settings of the relays in a plan, for the decision module and as a configuration file. */
 public final class LabSettings {
     /** Notices, which may be repeated. */
-    public static final MessageClass NOTICE =
+    public static final MessageClass NOTICE_CLASS =
             new MessageClass("aviso-push", Effect.SAFE, false, 5, false, 0.8, 6, 1, 0.1);
     /** Orders, which must not be sent again once they may have run. */
-    public static final MessageClass ORDER =
+    public static final MessageClass ORDER_CLASS =
             new MessageClass("ordem-build", Effect.UNSAFE, false, 5, false, 4, 20, 3, 0.5);
     /** The names of the classes in every plan, in the order of their indexes. */
-    public static final List<String> CLASS_NAMES = List.of(NOTICE.name(), ORDER.name());
+    public static final List<String> CLASS_NAMES = List.of(NOTICE_CLASS.name(), ORDER_CLASS.name());
 
-    /** Index of {@link #NOTICE} among the classes. */
+    /** Index of {@link #NOTICE_CLASS} among the classes. */
     public static final int NOTICE_INDEX = 0;
-    /** Index of {@link #ORDER} among the classes. */
+    /** Index of {@link #ORDER_CLASS} among the classes. */
     public static final int ORDER_INDEX = 1;
     /** Index of the sequenced class, in plans that have one. */
     public static final int SEQUENCED_INDEX = 2;
@@ -42,11 +42,12 @@
     /** The message classes of a plan. */
     public static List<MessageClass> classes(Plan plan) {
         if (plan.sequenced().share() == 0) {
-            return List.of(NOTICE, ORDER);
+            return List.of(NOTICE_CLASS, ORDER_CLASS);
         }
         Effect effect = plan.sequenced().unsafe() ? Effect.UNSAFE : Effect.SAFE;
         boolean ordered = plan.relays().keysEnabled();
-        return List.of(NOTICE, ORDER, new MessageClass("etapa-registo", effect, false, 5, ordered, 2, 16, 1, 0.3));
+        return List.of(
+                NOTICE_CLASS, ORDER_CLASS, new MessageClass("etapa-registo", effect, false, 5, ordered, 2, 16, 1, 0.3));
     }
 
     /** The longest deadline of any message class, s. */
@@ -95,7 +96,7 @@
                 0,
                 List.of(0.0),
                 new Rules(0.5, 0.14, 13, 2.5, DestinationModel.WINDOW_SECONDS, 0.5, 10),
-                new Allowed(
+                new SenderLimits(
                         MAX_ATTEMPTS,
                         maxPending(plan),
                         maxCalls(plan),
@@ -108,7 +109,7 @@
                         1,
                         KEEP_ALIVE_SECONDS),
                 classes(plan),
-                List.of(new Kind(1, false)),
+                List.of(new DestinationKind(1, false)),
                 tenants(plan));
     }
 
@@ -121,7 +122,7 @@
     public static JsonObject json(Plan plan, int relay, double keepAlive) {
         Settings settings = of(plan);
         Rules rules = settings.rules();
-        Allowed allowed = settings.allowed();
+        SenderLimits limits = settings.limits();
         JsonArray classes = new JsonArray();
         for (MessageClass kind : settings.classes()) {
             classes.add(new JsonObject()
@@ -149,16 +150,16 @@
                         new JsonObject()
                                 .add("cpuUsPerRequest", 0.0)
                                 .add("cpuUsPerS", 50_000)
-                                .add("dialTimeoutS", allowed.connectTimeout())
+                                .add("dialTimeoutS", limits.connectTimeout())
                                 .add("keepaliveS", keepAlive)
-                                .add("maxAttempts", allowed.attempts())
-                                .add("maxRetryAfterS", allowed.maxRetryAfter())
-                                .add("mayCancel", allowed.cancel())
-                                .add("mostHeld", allowed.held())
-                                .add("parallelTries", allowed.secondCopies())
-                                .add("peerMessages", allowed.notes())
-                                .add("probes", allowed.probes())
-                                .add("retryAfter", allowed.retryAfter())
+                                .add("maxAttempts", limits.maxAttempts())
+                                .add("maxRetryAfterS", limits.maxRetryAfter())
+                                .add("mayCancel", limits.mayCancel())
+                                .add("mostHeld", limits.maxPending())
+                                .add("parallelTries", limits.mayDuplicate())
+                                .add("peerMessages", limits.mayNotify())
+                                .add("probes", limits.mayProbe())
+                                .add("retryAfter", limits.mayTellRetryAfter())
                                 .add("streamsPerConn", 1))
                 .add("azs", new JsonArray().add("here"))
                 .add("locality", settings.zone())
@@ -169,7 +170,7 @@
                                 .add("feeByZone", new JsonArray().add(0.0))
                                 .add("kindApart", new JsonArray().add(false))
                                 .add("late", "halving")
-                                .add("maxCalls", allowed.calls()))
+                                .add("maxCalls", limits.maxCalls()))
                 .add("fees", new JsonObject().add("crossZone", settings.crossZoneFee()))
                 .add("kinds", new JsonArray().add("member"))
                 .add(
@@ -180,15 +181,15 @@
                 .add(
                         "obligations",
                         new JsonObject()
-                                .add("askWithinS", rules.askWithin())
-                                .add("coldFrom", rules.coldFrom())
+                                .add("askWithinS", rules.listMaxAge())
+                                .add("coldFrom", rules.coldShare())
                                 .add("drainGraceS", rules.drainGrace())
                                 .add("graceToAnswerS", 0.02)
                                 .add("keyQuietS", rules.keyQuiet())
-                                .add("tipAfterS", rules.tipAfter())
-                                .add("tipMultiple", rules.tipMultiple())
-                                .add("warmWithinS", rules.warmWithin()))
-                .add("overShareWorth", settings.overShareWorth())
+                                .add("tipAfterS", rules.overloadTime())
+                                .add("tipMultiple", rules.overloadFactor())
+                                .add("warmWithinS", rules.warmUp()))
+                .add("overShareWorth", settings.overQuotaShare())
                 .add("peersTotal", settings.senders())
                 .add("quantumS", 0.005)
                 .add("requestClasses", classes)
--- a/src/main/java/juniperusher/lab/Plan.java
+++ b/src/main/java/juniperusher/lab/Plan.java
@@ -42,8 +42,8 @@
      *
      * @param stormEnabled      whether the storm package is on
      * @param maxPendingSeconds bound on the pending messages of a relay, in s of its part of the total rate
-     * @param maxCallsFactor    bound on its calls in flight, as a multiple of those that its part of the total
-     *                          rate needs at a typical answer time
+     * @param maxCallsFactor    bound on its calls in flight, as a multiple of those that its part of the total rate
+     *                          needs at a typical answer time
      * @param keysEnabled       whether relays know the class as ordered; if not, they break the order of keys
      * @param tenantsEnabled    whether relays know the tenants and their quotas
      * @param overShareWorth    factor on the worth of a message beyond the quota of its tenant
@@ -85,8 +85,8 @@
      * @param keyedShare               share of its messages that have a key
      * @param meanGap                  mean time between two messages of a key, s
      * @param meanLifetime             mean time for which a key is used, s
-     * @param meanAcknowledgementDelay mean time until a client acknowledges the status report of an
-     *                                 undelivered message, s; 0 for immediately
+     * @param meanAcknowledgementDelay mean time until a client acknowledges the status report of an undelivered
+     *                                 message, s; 0 for immediately
      */
     public record SequencedClass(
             double share,
@@ -200,7 +200,7 @@
     }
 
     /** Reads a plan from an experiment file that was validated and has its defaults filled in. */
-    public static Plan of(JsonObject file, long seed) {
+    public static Plan fromJson(JsonObject file, long seed) {
         JsonObject relays = file.get("relays").asObject();
         JsonObject notes = file.get("notes").asObject();
         JsonObject clients = file.get("clients").asObject();
--- a/src/main/java/juniperusher/lab/Run.java
+++ b/src/main/java/juniperusher/lab/RunResult.java
@@ -21,12 +21,12 @@
  *                    worth requested of destinations with trouble is earned again over 3 s); {@code broken} (rule
  *                    violations)
  * @param series      by name, one value a second
- * @param percentiles s, the latencies of {@code sound}, {@code struck} and {@code sequenced}, in the order of
- *                    {@link Tally#PERCENTILES}
+ * @param percentiles s, the latencies of {@code sound}, {@code struck} and {@code sequenced}, in the order of {@link
+ *                    Tally#PERCENTILES}
  * @param violations  the first violations of delivery rules, each in one line
  * @param hash        of the history; equal for equal plans and seeds in virtual time, 0 on sockets
  */
-public record Run(
+public record RunResult(
         String variant,
         long seed,
         Map<String, Double> figures,
--- a/src/main/java/juniperusher/lab/Tally.java
+++ b/src/main/java/juniperusher/lab/Tally.java
@@ -119,7 +119,7 @@
      *
      * @param hash of the history, or 0 if the engine does not repeat exactly
      */
-    public Run result(String variant, List<DestinationModel> models, RuleChecker rules, long hash) {
+    public RunResult result(String variant, List<DestinationModel> models, RuleChecker rules, long hash) {
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put("worth", share(earnedWorth[0] + earnedWorth[1], requestedWorth[0] + requestedWorth[1]));
         figures.put("worth_struck", share(earnedWorth[1], requestedWorth[1]));
@@ -158,7 +158,8 @@
                 PERCENTILES.stream()
                         .mapToDouble(at -> histogram.getValueAtPercentile(at) / MICROS_PER_SECOND)
                         .toArray()));
-        return new Run(variant, plan.seed(), figures, new TreeMap<>(series), percentiles, rules.violations(), hash);
+        return new RunResult(
+                variant, plan.seed(), figures, new TreeMap<>(series), percentiles, rules.violations(), hash);
     }
 
     /** Time from the end of the last trouble to the first window in which enough of the worth was earned. */
--- a/src/main/java/juniperusher/lab/VirtualEngine.java
+++ b/src/main/java/juniperusher/lab/VirtualEngine.java
@@ -9,31 +9,31 @@
 import juniperusher.Protocol.Action;
 import juniperusher.Protocol.AnswerAcknowledged;
 import juniperusher.Protocol.AnswerPending;
-import juniperusher.Protocol.Arrived;
-import juniperusher.Protocol.Cancel;
+import juniperusher.Protocol.AttemptEnded;
+import juniperusher.Protocol.CancelAttempt;
 import juniperusher.Protocol.Effect;
-import juniperusher.Protocol.Ended;
 import juniperusher.Protocol.Event;
 import juniperusher.Protocol.Fail;
 import juniperusher.Protocol.Log;
 import juniperusher.Protocol.Message;
-import juniperusher.Protocol.Note;
-import juniperusher.Protocol.Noted;
+import juniperusher.Protocol.MessageAccepted;
+import juniperusher.Protocol.NoteReceived;
 import juniperusher.Protocol.Outcome;
 import juniperusher.Protocol.Phase;
 import juniperusher.Protocol.Probe;
-import juniperusher.Protocol.Probed;
+import juniperusher.Protocol.ProbeEnded;
 import juniperusher.Protocol.Refuse;
 import juniperusher.Protocol.Send;
+import juniperusher.Protocol.SendNote;
+import juniperusher.Protocol.SetTimer;
 import juniperusher.Protocol.Settings;
 import juniperusher.Protocol.Target;
 import juniperusher.Protocol.TargetList;
-import juniperusher.Protocol.WakeAt;
-import juniperusher.Protocol.Woken;
+import juniperusher.Protocol.TimerFired;
 import juniperusher.lab.Plan.Crash;
+import juniperusher.storm.StormAdvisor;
 import juniperusher.storm.StormSettings;
 import juniperusher.storm.StormState;
-import juniperusher.storm.Storms;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
@@ -110,11 +110,11 @@
     }
 
     /** Runs a plan to its end. */
-    public static Run play(String variant, Plan plan) {
-        return new VirtualEngine(plan).play(variant);
+    public static RunResult run(String variant, Plan plan) {
+        return new VirtualEngine(plan).run(variant);
     }
 
-    private Run play(String variant) {
+    private RunResult run(String variant) {
         for (Crash crash : plan.crashes()) {
             schedule(crash.at(), () -> relays.get(crash.relay()).kill(crash.downSeconds()));
         }
@@ -150,9 +150,9 @@
         int recovering = 0;
         for (Relay relay : relays) {
             pending += relay.pending.size();
-            if (relay.storms != null && !relay.down) {
-                storms += relay.storms.count(StormState.STORM);
-                recovering += relay.storms.count(StormState.RECOVERING);
+            if (relay.stormAdvisor != null && !relay.down) {
+                storms += relay.stormAdvisor.count(StormState.STORM);
+                recovering += relay.stormAdvisor.count(StormState.RECOVERING);
             }
         }
         tally.addSample("owed", now, pending);
@@ -227,7 +227,7 @@
         private final Map<Integer, AcceptedMessage> unacknowledged = new LinkedHashMap<>();
 
         private Control control;
-        private Storms storms;
+        private StormAdvisor stormAdvisor;
         private List<Object> inbox = new ArrayList<>();
         private boolean roundScheduled;
         private double lastRound = -1;
@@ -242,8 +242,8 @@
         private void start() {
             generation++;
             control = new Control(settings, relaySeedRandom.nextLong());
-            storms = plan.relays().stormEnabled()
-                    ? new Storms(StormSettings.USUAL, settings, number, 1000 + number * 7.5, now)
+            stormAdvisor = plan.relays().stormEnabled()
+                    ? new StormAdvisor(StormSettings.DEFAULT, settings, number, 1000 + number * 7.5, now)
                     : null;
             inbox = new ArrayList<>();
             roundScheduled = false;
@@ -291,7 +291,7 @@
         }
 
         void accept(ClientMessage request) {
-            if (pending.size() >= settings.allowed().held()) {
+            if (pending.size() >= settings.limits().maxPending()) {
                 resubmitOrGiveUp(request, FULL_RETRY_AFTER_SECONDS);
                 return;
             }
@@ -328,7 +328,7 @@
             for (Object one : inbox) {
                 events.add(
                         one instanceof AcceptedMessage message
-                                ? new Arrived(new Message(
+                                ? new MessageAccepted(new Message(
                                         message.id,
                                         message.request.messageClass,
                                         message.request.tenant,
@@ -343,9 +343,10 @@
                                 : (Event) one);
             }
             inbox = new ArrayList<>();
-            List<Action> actions = control.decide(now, storms == null ? events : storms.before(now, events));
-            if (storms != null) {
-                actions.addAll(storms.after(now, actions));
+            List<Action> actions =
+                    control.decide(now, stormAdvisor == null ? events : stormAdvisor.beforeDecision(now, events));
+            if (stormAdvisor != null) {
+                actions.addAll(stormAdvisor.afterDecision(now, actions));
             }
             actions.forEach(this::carryOut);
         }
@@ -357,17 +358,17 @@
                 AcceptedMessage message = pending.get(refuse.message());
                 addToHash(2, message.id);
                 finishUndelivered(message, true);
-                resubmitOrGiveUp(message.request, refuse.after());
+                resubmitOrGiveUp(message.request, refuse.retryAfter());
             } else if (action instanceof Fail fail) {
                 addToHash(3, fail.message());
                 finishUndelivered(pending.get(fail.message()), false);
-            } else if (action instanceof WakeAt wake) {
-                scheduleWhileUp(wake.time(), () -> post(new Woken(wake.token())));
-            } else if (action instanceof Cancel cancel) {
+            } else if (action instanceof SetTimer timer) {
+                scheduleWhileUp(timer.time(), () -> post(new TimerFired(timer.token())));
+            } else if (action instanceof CancelAttempt cancel) {
                 cancel(cancel);
             } else if (action instanceof Probe probe) {
                 probe(probe.target());
-            } else if (action instanceof Note note) {
+            } else if (action instanceof SendNote note) {
                 sendNote(note);
             } else if (action instanceof Log) {
                 addToHash(4, number);
@@ -434,7 +435,7 @@
                 finish(message);
                 tally.messageDelivered(message.request, now);
             }
-            post(new Ended(
+            post(new AttemptEnded(
                     message.id,
                     attempt,
                     message.request.destination + 1,
@@ -445,13 +446,13 @@
                     null));
         }
 
-        private void cancel(Cancel cancel) {
+        private void cancel(CancelAttempt cancel) {
             AcceptedMessage message = pending.get(cancel.message());
             if (message != null && message.inFlight && message.attempts - 1 == cancel.attempt()) {
                 message.mayHaveRun = true;
                 message.inFlight = false;
                 rules.attemptAbandoned(message.id, now, true);
-                post(new Ended(
+                post(new AttemptEnded(
                         message.id,
                         cancel.attempt(),
                         message.request.destination + 1,
@@ -471,7 +472,7 @@
                 DestinationModel.Answer answer = callDestination(target - 1);
                 scheduleWhileUp(
                         Math.min(now + answer.delay() + delay, sentAt + PROBE_TIMEOUT_SECONDS),
-                        () -> post(new Probed(
+                        () -> post(new ProbeEnded(
                                 target,
                                 answer.outcome() == Outcome.DELIVERED,
                                 answer.outcome() == Outcome.FULL,
@@ -479,7 +480,7 @@
             });
         }
 
-        private void sendNote(Note note) {
+        private void sendNote(SendNote note) {
             for (Relay other : relays) {
                 if (other == this || note.to() >= 0 && note.to() != other.number) {
                     continue;
@@ -487,7 +488,7 @@
                 for (double delay : notes.copyDelays()) {
                     schedule(now + delay, () -> {
                         if (!other.down) {
-                            other.post(new Noted(number, note.note()));
+                            other.post(new NoteReceived(number, note.note()));
                         }
                     });
                 }
--- a/src/main/java/juniperusher/lab/fleet/DistributionChecker.java
+++ b/src/main/java/juniperusher/lab/fleet/DistributionChecker.java
@@ -71,13 +71,13 @@
 
     /** What a publisher holds in memory. */
     public void memory(double at, String node, Publisher.Memory memory) {
-        int largest = Math.max(limits.partBytes(), limits.deltaBytes() + limits.changeBytes());
+        int largest = Math.max(limits.maxPartBytes(), limits.maxDeltaBytes() + limits.maxChangeBytes());
         int frame = 128; // what a frame has beside
-        if (memory.mostInFlightBytes() > limits.windowBytes() + largest + frame
-                || memory.logChanges() > limits.logChanges()
-                || memory.logBytes() > limits.logBytes()
-                || memory.subscribers() > limits.subscribers() + CONTROLS
-                || memory.snapshotsUnderWay() > limits.snapshotsAtOnce()) {
+        if (memory.maxInFlightBytes() > limits.windowBytes() + largest + frame
+                || memory.logChanges() > limits.maxLogChanges()
+                || memory.logBytes() > limits.maxLogBytes()
+                || memory.subscribers() > limits.maxSubscribers() + CONTROLS
+                || memory.snapshotSlotsInUse() > limits.maxConcurrentSnapshots()) {
             fail(at, node + " is beyond its bounds: " + memory);
         }
     }
--- a/src/main/java/juniperusher/lab/fleet/DistributionWorld.java
+++ b/src/main/java/juniperusher/lab/fleet/DistributionWorld.java
@@ -91,7 +91,7 @@
             return new Subscriber<>(
                     name,
                     setting.timing(),
-                    setting.limits().stateBytes(),
+                    setting.limits().maxStateBytes(),
                     new LedgerCodec(setting.stateBytes()),
                     random.nextLong());
         }
@@ -134,7 +134,7 @@
                 } else if (step instanceof SubscriberStep.Replaced<Ledger> replaced) {
                     tookOver(replaced.version(), "whole " + replaced.version());
                 } else if (step instanceof SubscriberStep.Advanced<Ledger> advanced) {
-                    tookOver(advanced.to(), advanced.from() + " to " + advanced.to());
+                    tookOver(advanced.toVersion(), advanced.fromVersion() + " to " + advanced.toVersion());
                 } else if (step instanceof SubscriberStep.Refused<Ledger> refused) {
                     draw(name, "refuses " + refused.version());
                 }
@@ -147,7 +147,7 @@
         }
 
         void checkStaleness() {
-            checker.staleness(events.now(), name, subscriber.version(), subscriber.staleness(clock()));
+            checker.staleness(events.now(), name, subscriber.version(), subscriber.stalenessSeconds(clock()));
         }
 
         abstract void start();
@@ -175,7 +175,7 @@
             Subscriber<Ledger> before = subscriber;
             subscriber = newSubscriber();
             if (before != null && before.state() != null) {
-                subscriber.resume(before.version(), before.state(), before.currentAt()); // as from its folder
+                subscriber.resume(before.version(), before.state(), before.lastKnownCurrentAt()); // as from its folder
             }
             run(subscriber.start(preferred(), clock()));
         }
@@ -194,7 +194,7 @@
                 heldBefore = subscriber.version();
                 tookOverAt = events.now();
             }
-            planWake(subscriber.due());
+            planWake(subscriber.nextTickAt());
         }
 
         private Version heldBefore = Version.NONE;
@@ -277,13 +277,13 @@
             if (++handled % (setting.relays() <= SMALL ? 1 : SAMPLE) == 0) {
                 checker.memory(events.now(), name, process.publisher().memory());
             }
-            planWake(process.due());
+            planWake(process.nextTickAt());
         }
 
         void published(long from) {
             Publisher<Ledger> publisher = process.publisher();
-            if (publisher.newest().revision() > from) {
-                checker.published(events.now(), publisher.newest(), publisher.state());
+            if (publisher.newestVersion().revision() > from) {
+                checker.published(events.now(), publisher.newestVersion(), publisher.state());
             }
         }
 
@@ -310,7 +310,7 @@
 
         @Override
         Version version() {
-            return process.publisher().newest();
+            return process.publisher().newestVersion();
         }
     }
 
@@ -484,9 +484,9 @@
         next.run(next.process.lead(++tokens, next.clock()));
         next.published(from);
         for (ControlNode other : controls) {
-            if (other != next && other.alive && !other.process.publisher().leads()) {
+            if (other != next && other.alive && !other.process.publisher().isLeading()) {
                 other.later(setting.delay(), () -> {
-                    if (!other.process.publisher().leads()) {
+                    if (!other.process.publisher().isLeading()) {
                         other.follow();
                     }
                 });
@@ -497,7 +497,7 @@
     /** A process that believes to lead hears from the store that another one does. */
     public void leaseLost(String control) {
         ControlNode node = (ControlNode) nodes.get(control);
-        if (node.alive && node.process.publisher().leads() && !control.equals(leader)) {
+        if (node.alive && node.process.publisher().isLeading() && !control.equals(leader)) {
             draw(control, "lease lost");
             node.follow();
         }
@@ -511,7 +511,7 @@
     /** Each control process that believes to lead publishes so many changes in one go. */
     public void change(int count) {
         for (ControlNode control : controls) {
-            if (control.alive && control.process.publisher().leads()) {
+            if (control.alive && control.process.publisher().isLeading()) {
                 publish(control, count);
             }
         }
@@ -647,8 +647,8 @@
     public double staleness(String name) {
         Node node = nodes.get(name);
         return node instanceof ControlNode control
-                ? control.process.publisher().age(node.clock())
-                : node.subscriber.staleness(node.clock());
+                ? control.process.publisher().ageSeconds(node.clock())
+                : node.subscriber.stalenessSeconds(node.clock());
     }
 
     /** Whether a process lives. */
@@ -668,17 +668,17 @@
 
     /** How often a process has left a source for that reason. */
     public long breaks(String name, Reason reason) {
-        return nodes.get(name).subscriber.breaks(reason);
+        return nodes.get(name).subscriber.disconnects(reason);
     }
 
     /** States and changes that a process has refused. */
     public long refused(String name) {
-        return nodes.get(name).subscriber.refused();
+        return nodes.get(name).subscriber.refusedCount();
     }
 
     /** Messages to a process that brought nothing new. */
     public long doubled(String name) {
-        return nodes.get(name).subscriber.doubled();
+        return nodes.get(name).subscriber.duplicateCount();
     }
 
     /** A control process's publisher. */
--- a/src/main/java/juniperusher/lab/fleet/OwnershipWorld.java
+++ b/src/main/java/juniperusher/lab/fleet/OwnershipWorld.java
@@ -7,8 +7,8 @@
 import java.util.SplittableRandom;
 import juniperusher.ownership.Holding;
 import juniperusher.ownership.Lease;
+import juniperusher.ownership.LeaseTiming;
 import juniperusher.ownership.Step;
-import juniperusher.ownership.Terms;
 import juniperusher.store.Op;
 import juniperusher.store.Reply;
 import juniperusher.store.Request;
@@ -28,7 +28,7 @@
     private static final double MOST_AHEAD = 7_200; // s by which clocks differ
     private static final double WAY = 0.01; // s that a request or an answer takes
 
-    private final Terms terms;
+    private final LeaseTiming timing;
     private final StoreState store = new StoreState();
     private final TokenChecker checker = new TokenChecker();
     private final Timeline timeline;
@@ -73,8 +73,8 @@
             stopped = false;
             waiting.clear();
             wakeAt = Double.POSITIVE_INFINITY;
-            lease = new Lease(terms, THING, name + "/" + ++life, random.nextLong());
-            carryOut(lease.want(clock()));
+            lease = new Lease(timing, THING, name + "/" + ++life, random.nextLong());
+            carryOut(lease.acquire(clock()));
         }
 
         /** Guards what is out from a life that is over: its answers come to nobody. */
@@ -93,18 +93,18 @@
 
         void carryOut(List<Step> steps) {
             for (Step step : steps) {
-                if (step instanceof Step.Ask ask) {
-                    send(this, ask.request(), reply -> carryOut(lease.answered(ask.number(), reply, clock())));
-                } else if (step instanceof Step.Held held) {
+                if (step instanceof Step.SendRequest ask) {
+                    send(this, ask.request(), reply -> carryOut(lease.answerReceived(ask.number(), reply, clock())));
+                } else if (step instanceof Step.Acquired held) {
                     timeline.add(now(), name, "owns " + held.holding().token());
-                } else if (step instanceof Step.Doubted) {
+                } else if (step instanceof Step.Uncertain) {
                     timeline.add(now(), name, "in doubt");
                 } else if (step instanceof Step.Lost) {
                     timeline.add(now(), name, "lost");
                 }
             }
             believe();
-            double due = now() + (lease.due() - clock()) / rate;
+            double due = now() + (lease.nextTickAt() - clock()) / rate;
             if (due < wakeAt) {
                 wakeAt = due;
                 later(Math.max(0, due - now()), this::wake);
@@ -117,7 +117,7 @@
         }
 
         void believe() {
-            boolean holds = !stopped && alive && lease.holds(clock());
+            boolean holds = !stopped && alive && lease.isOwner(clock());
             owns = holds;
             checker.believes(now(), THING, name, holds ? lease.holding().token() : 0);
             if (holds && now() >= actedAt + ACT) {
@@ -147,15 +147,15 @@
      * further
      * apart from the store's than the margin allows for.
      */
-    public OwnershipWorld(Terms terms, int size, long seed) {
-        this(terms, size, seed, terms.margin() / terms.ttl() / 3);
+    public OwnershipWorld(LeaseTiming timing, int size, long seed) {
+        this(timing, size, seed, timing.safetyMarginSeconds() / timing.ttlSeconds() / 3);
     }
 
     /**
      * The same, with clocks that run apart from the store's by up to {@code drift} of the time that passes.
      */
-    public OwnershipWorld(Terms terms, int size, long seed, double drift) {
-        this.terms = terms;
+    public OwnershipWorld(LeaseTiming timing, int size, long seed, double drift) {
+        this.timing = timing;
         random = new SplittableRandom(seed);
         List<String> columns = new ArrayList<>(List.of("store"));
         for (int i = 0; i < size; i++) {
@@ -262,7 +262,7 @@
     public void storeDown(boolean down) {
         timeline.add(now(), "store", down ? "down" : "back");
         if (!down && storeDown) {
-            store.restarted(now());
+            store.restart(now());
         }
         storeDown = down;
     }
@@ -271,7 +271,7 @@
     public void endEarly() {
         timeline.add(now(), "store", "ends leases early");
         checker.leasesBroken();
-        store.leases().forEach(store::end);
+        store.leases().forEach(store::endLease);
     }
 
     /** Plays until then, in seconds. */
--- a/src/main/java/juniperusher/lab/hollow/HollowControl.java
+++ b/src/main/java/juniperusher/lab/hollow/HollowControl.java
@@ -35,8 +35,8 @@
         try (ControlService service =
                 ControlService.start(settings(Json.parse(first).asObject()), loop -> dialer(loop, unreachable))) {
             out.println(new JsonObject()
-                    .add("listen", text(service.listening()))
-                    .add("operator", text(service.operator())));
+                    .add("listen", text(service.subscriberAddress()))
+                    .add("operator", text(service.operatorAddress())));
             String line;
             while ((line = lines.readLine()) != null) {
                 List<String> sources =
@@ -44,7 +44,7 @@
                 unreachable.clear();
                 unreachable.addAll(sources);
                 if (!sources.isEmpty()) {
-                    service.loop().execute(() -> service.server().freezeUpstream());
+                    service.loop().execute(() -> service.server().pauseUpstream());
                 }
                 out.println(new JsonObject().add("unreachable", sources.size()));
             }
@@ -53,7 +53,7 @@
     }
 
     private static Dialer dialer(EventLoop loop, Set<String> unreachable) {
-        Dialer direct = Dialer.direct(loop, Timing.USUAL.connectPatience());
+        Dialer direct = Dialer.direct(loop, Timing.DEFAULT.connectTimeoutSeconds());
         return (source, handler) -> unreachable.contains(source) ? null : direct.dial(source, handler);
     }
 
--- a/src/main/java/juniperusher/lab/hollow/HollowExperiment.java
+++ b/src/main/java/juniperusher/lab/hollow/HollowExperiment.java
@@ -64,7 +64,7 @@
      *
      * @throws IllegalArgumentException in one line, where its values do not go together
      */
-    public static HollowExperiment of(JsonObject file) {
+    public static HollowExperiment fromJson(JsonObject file) {
         JsonObject budgets = file.get("budgets").asObject();
         List<Fault> faults = new ArrayList<>();
         for (JsonValue fault : file.get("faults").asArray()) {
--- a/src/main/java/juniperusher/lab/hollow/HollowFleet.java
+++ b/src/main/java/juniperusher/lab/hollow/HollowFleet.java
@@ -109,7 +109,7 @@
      * @param progress hears what goes on
      * @throws IllegalArgumentException in one line, if it does not fit the memory
      */
-    public static HollowResults play(
+    public static HollowResults run(
             HollowExperiment experiment, String mainClass, Path folder, long memoryMb, Consumer<String> progress)
             throws IOException, InterruptedException {
         if (experiment.memoryMb() > memoryMb) {
--- a/src/main/java/juniperusher/lab/hollow/HollowRelay.java
+++ b/src/main/java/juniperusher/lab/hollow/HollowRelay.java
@@ -65,10 +65,10 @@
             return;
         }
         reachableSince = nowMicros;
-        Dialer direct = Dialer.direct(loop, Timing.USUAL.connectPatience());
+        Dialer direct = Dialer.direct(loop, Timing.DEFAULT.connectTimeoutSeconds());
         Dialer dialer = (source, handler) -> unreachable.contains(source) ? null : direct.dial(source, handler);
         lives++;
-        client = new ControlClient(loop, dialer, name, Timing.USUAL, MAX_MAP_BYTES, seed * 31 + lives, this);
+        client = new ControlClient(loop, dialer, name, Timing.DEFAULT, MAX_MAP_BYTES, seed * 31 + lives, this);
         if (map != null) {
             client.resume(version, map, Double.NEGATIVE_INFINITY);
         }
@@ -84,7 +84,7 @@
         Traffic traffic = client.traffic();
         bytesBefore += traffic.bytesIn() + traffic.bytesOut();
         messagesBefore += traffic.messagesIn() + traffic.messagesOut();
-        refused += client.status().refused();
+        refused += client.status().refusedCount();
         client = null;
         if (forget) {
             version = Version.NONE;
@@ -95,14 +95,14 @@
     /** Nothing more comes on its present connection. */
     void freeze() {
         if (client != null) {
-            client.freeze();
+            client.pauseCurrentConnection();
         }
     }
 
     /** What comes waits in the kernel, as with a slow reader, or is read again. */
     void reading(boolean on) {
         if (client != null) {
-            client.reading(on);
+            client.setReading(on);
         }
     }
 
@@ -139,11 +139,11 @@
     }
 
     long refused() {
-        return refused + (client == null ? 0 : client.status().refused());
+        return refused + (client == null ? 0 : client.status().refusedCount());
     }
 
     @Override
-    public void inForce(Version newer, ShardMap newMap) {
+    public void mapActivated(Version newer, ShardMap newMap) {
         arrivals.add(number, epoch(), newMap.epoch(), HollowHost.nowMicros(), reachableSince);
         version = newer;
         map = newMap;
--- a/src/main/java/juniperusher/lab/report/Comparison.java
+++ b/src/main/java/juniperusher/lab/report/Comparison.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import juniperusher.lab.Run;
+import juniperusher.lab.RunResult;
 
 /**
  * Two results side by side: for each variant that both have, each figure's mean and the difference with its
@@ -47,8 +47,8 @@
         double[] a = first.values(variant, figure);
         double[] b = second.values(variant, figure);
         List<Double> pairs = new ArrayList<>();
-        for (Run one : first.runs()) {
-            for (Run other : second.runs()) {
+        for (RunResult one : first.runs()) {
+            for (RunResult other : second.runs()) {
                 if (one.variant().equals(variant) && other.variant().equals(variant) && one.seed() == other.seed()) {
                     pairs.add(other.figures().get(figure) - one.figures().get(figure));
                 }
--- a/src/main/java/juniperusher/lab/report/Report.java
+++ b/src/main/java/juniperusher/lab/report/Report.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.IntStream;
-import juniperusher.lab.Run;
+import juniperusher.lab.RunResult;
 import juniperusher.lab.Tally;
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
@@ -76,7 +76,7 @@
         figures(results, out);
         out.append("<h2>Latency by percentile</h2>").append(Html.image(latency(results)));
         for (String variant : results.variants()) {
-            Run run = results.runs().stream()
+            RunResult run = results.runs().stream()
                     .filter(one -> one.variant().equals(variant))
                     .findFirst()
                     .orElseThrow();
@@ -135,7 +135,7 @@
         return chart;
     }
 
-    private static XYChart time(Run run, List<String> lines) {
+    private static XYChart time(RunResult run, List<String> lines) {
         XYChart chart = chart(String.join(" and ", lines), "s", "a second");
         for (String line : lines) {
             double[] values = run.series().get(line);
--- a/src/main/java/juniperusher/lab/report/Results.java
+++ b/src/main/java/juniperusher/lab/report/Results.java
@@ -16,14 +16,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 import juniperusher.lab.Experiment.Verdict;
-import juniperusher.lab.Run;
+import juniperusher.lab.RunResult;
 
 /**
  * The results of an experiment's runs.
  *
  * @param engine virtual or sockets
  */
-public record Results(String title, String engine, List<Run> runs, List<Verdict> judged) {
+public record Results(String title, String engine, List<RunResult> runs, List<Verdict> judged) {
     private static final String FILE = "result.json";
 
     /** Whether all expectations hold and no rule was broken. */
@@ -34,7 +34,7 @@
 
     /** The variants in their order. */
     public List<String> variants() {
-        return runs.stream().map(Run::variant).distinct().toList();
+        return runs.stream().map(RunResult::variant).distinct().toList();
     }
 
     /** The names of the figures in their order. */
@@ -57,9 +57,9 @@
                 .append(", ")
                 .append(runs.size())
                 .append(" runs, seeds ")
-                .append(runs.stream().mapToLong(Run::seed).min().orElse(0))
+                .append(runs.stream().mapToLong(RunResult::seed).min().orElse(0))
                 .append(" to ")
-                .append(runs.stream().mapToLong(Run::seed).max().orElse(0))
+                .append(runs.stream().mapToLong(RunResult::seed).max().orElse(0))
                 .append("; means)\n");
         int wide = variants().stream().mapToInt(String::length).max().orElse(0) + 2;
         int first =
@@ -102,7 +102,7 @@
         judged.forEach(
                 one -> expectations.add(new JsonObject().add("held", one.met()).add("text", one.text())));
         JsonArray all = new JsonArray();
-        for (Run run : runs) {
+        for (RunResult run : runs) {
             JsonObject figures = new JsonObject();
             run.figures().forEach((name, value) -> figures.add(name, number(value)));
             JsonArray broken = new JsonArray();
@@ -154,7 +154,7 @@
                     .forEach(one -> judged.add(new Verdict(
                             one.asObject().getBoolean("held", false),
                             one.asObject().getString("text", ""))));
-            List<Run> runs = new ArrayList<>();
+            List<RunResult> runs = new ArrayList<>();
             json.get("runs").asArray().forEach(one -> runs.add(run(one.asObject())));
             return new Results(json.getString("title", ""), json.getString("engine", ""), runs, judged);
         } catch (ParseException | UnsupportedOperationException | NullPointerException | IllegalArgumentException e) {
@@ -162,12 +162,12 @@
         }
     }
 
-    private static Run run(JsonObject json) {
+    private static RunResult run(JsonObject json) {
         Map<String, Double> figures = new LinkedHashMap<>();
         json.get("figures").asObject().forEach(one -> figures.put(one.getName(), read(one.getValue())));
         List<String> broken = new ArrayList<>();
         json.get("broken").asArray().forEach(one -> broken.add(one.asString()));
-        return new Run(
+        return new RunResult(
                 json.getString("variant", ""),
                 json.getLong("seed", 0),
                 figures,
--- a/src/main/java/juniperusher/lab/scale/ConfigSlopes.java
+++ b/src/main/java/juniperusher/lab/scale/ConfigSlopes.java
@@ -9,7 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import juniperusher.Protocol.Retuned;
+import juniperusher.Protocol.SettingsChanged;
 import juniperusher.http.Config;
 
 /** What one change of configuration costs: the whole file is read anew at each. */
@@ -94,8 +94,8 @@
         @Override
         public double measure(int size) throws IOException {
             ControlFixture control = new ControlFixture(size);
-            Retuned retuned = new Retuned(ControlFixture.settings(1));
-            return Meter.nanosPerStep(() -> control.round(List.of(retuned)));
+            SettingsChanged change = new SettingsChanged(ControlFixture.settings(1));
+            return Meter.nanosPerStep(() -> control.round(List.of(change)));
         }
     }
 }
--- a/src/main/java/juniperusher/lab/scale/ControlFixture.java
+++ b/src/main/java/juniperusher/lab/scale/ControlFixture.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import juniperusher.Control;
 import juniperusher.Protocol.Action;
-import juniperusher.Protocol.Allowed;
-import juniperusher.Protocol.Arrived;
+import juniperusher.Protocol.AttemptEnded;
+import juniperusher.Protocol.DestinationKind;
 import juniperusher.Protocol.Effect;
-import juniperusher.Protocol.Ended;
 import juniperusher.Protocol.Event;
-import juniperusher.Protocol.Kind;
 import juniperusher.Protocol.Message;
+import juniperusher.Protocol.MessageAccepted;
 import juniperusher.Protocol.MessageClass;
 import juniperusher.Protocol.Outcome;
 import juniperusher.Protocol.Phase;
 import juniperusher.Protocol.Rules;
 import juniperusher.Protocol.Send;
+import juniperusher.Protocol.SenderLimits;
 import juniperusher.Protocol.Settings;
 import juniperusher.Protocol.Target;
 import juniperusher.Protocol.TargetList;
@@ -58,9 +58,9 @@
                 0,
                 List.of(0.0),
                 new Rules(0.5, 0.14, 13, 2.5, 1.5, 0.5, 10),
-                new Allowed(12, UNLIMITED, UNLIMITED, true, false, true, true, true, 2, 1, 10),
+                new SenderLimits(12, UNLIMITED, UNLIMITED, true, false, true, true, true, 2, 1, 10),
                 List.of(new MessageClass("notice", Effect.SAFE, false, 5, false, 0.8, LONG, 1, 0.1)),
-                List.of(new Kind(1, false)),
+                List.of(new DestinationKind(1, false)),
                 List.of());
     }
 
@@ -98,7 +98,7 @@
         List<Event> ends = new ArrayList<>();
         for (Action action : round(arrivals(called))) {
             if (action instanceof Send send) {
-                ends.add(new Ended(send.message(), 0, send.target(), Outcome.FULL, ANSWER, false, CLOSED, null));
+                ends.add(new AttemptEnded(send.message(), 0, send.target(), Outcome.FULL, ANSWER, false, CLOSED, null));
             }
         }
         requireSent(ends, called);
@@ -127,7 +127,7 @@
         List<Event> ends = new ArrayList<>(count);
         for (Action action : round(arrivals(count))) {
             if (action instanceof Send send) {
-                ends.add(new Ended(send.message(), 0, send.target(), Outcome.DELIVERED, ANSWER, true, 0, null));
+                ends.add(new AttemptEnded(send.message(), 0, send.target(), Outcome.DELIVERED, ANSWER, true, 0, null));
             }
         }
         requireSent(ends, count);
@@ -144,7 +144,7 @@
         List<Event> arrivals = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             int id = messages++;
-            arrivals.add(new Arrived(new Message(id, 0, 0, id % called, 0, LONG)));
+            arrivals.add(new MessageAccepted(new Message(id, 0, 0, id % called, 0, LONG)));
         }
         return arrivals;
     }
--- a/src/main/java/juniperusher/lab/scale/JournalSlopes.java
+++ b/src/main/java/juniperusher/lab/scale/JournalSlopes.java
@@ -55,7 +55,7 @@
 
         final int take(Journal journal, int id) {
             String name = String.format(Locale.ROOT, "message-%010d", id);
-            return journal.taken(
+            return journal.writeAccepted(
                     new RpcRequest(
                             name, "http", 0, id % 280, 1_900_000_000_000L, "10.0.0.1:8080", false, new byte[bodyBytes]),
                     CLASS);
@@ -70,10 +70,10 @@
         final void passAll(Journal journal, int count) {
             for (int i = 0; i < count; i++) {
                 int number = take(journal, i);
-                journal.attempt(number, 0);
-                journal.outcome(number, false);
-                journal.ended(number, new RpcEnd("", "", RpcEnd.Kind.DELIVERED, 0));
-                journal.acknowledged(number);
+                journal.writeAttempt(number, 0);
+                journal.writeOutcome(number, false);
+                journal.writeEnd(number, new RpcEnd("", "", RpcEnd.Kind.DELIVERED, 0));
+                journal.writeAcknowledged(number);
             }
         }
     }
@@ -100,7 +100,7 @@
         double measure(int size, Path folder) throws IOException {
             Journal journal = open(folder, LARGE);
             passAll(journal, size);
-            long bytes = journal.bytes();
+            long bytes = journal.sizeBytes();
             journal.close();
             return bytes;
         }
@@ -132,7 +132,7 @@
         double measure(int size, Path folder) throws IOException {
             Journal journal = open(folder, LARGE);
             takeAll(journal, size);
-            long bytes = journal.bytes();
+            long bytes = journal.sizeBytes();
             journal.close();
             return bytes;
         }
--- a/src/main/java/juniperusher/lab/scale/MembershipSlopes.java
+++ b/src/main/java/juniperusher/lab/scale/MembershipSlopes.java
@@ -2,15 +2,16 @@
 
 import java.io.IOException;
 import java.util.List;
-import juniperusher.http.AgentList;
+import juniperusher.http.EndpointListParser;
 import juniperusher.membership.Membership;
-import juniperusher.membership.Timing;
+import juniperusher.membership.WatchTiming;
 
 /** What the list of endpoints costs, by listed endpoints: as a whole, kept, and at one change. */
 final class MembershipSlopes {
     private static final String ENDPOINT = "listed endpoint";
     private static final String SOURCE = "scale";
-    private static final AgentList READER = new AgentList(List.of(EndpointLists.KIND), List.of(EndpointLists.ZONE));
+    private static final EndpointListParser READER =
+            new EndpointListParser(List.of(EndpointLists.KIND), List.of(EndpointLists.ZONE));
 
     private MembershipSlopes() {}
 
@@ -19,8 +20,8 @@
     }
 
     private static Membership told(String list) {
-        Membership membership = new Membership(Timing.USUAL, List.of(SOURCE), 1);
-        membership.word(SOURCE, READER.read(list), 1);
+        Membership membership = new Membership(WatchTiming.DEFAULT, List.of(SOURCE), 1);
+        membership.sourceUpdated(SOURCE, READER.parse(list), 1);
         return membership;
     }
 
@@ -74,8 +75,8 @@
             String drain = EndpointLists.change(2, 0, "draining").toString();
             String back = EndpointLists.change(3, 0, "up").toString();
             return Meter.nanosPerStep(() -> {
-                        membership.word(SOURCE, READER.read(drain), 2);
-                        membership.word(SOURCE, READER.read(back), 2);
+                        membership.sourceUpdated(SOURCE, READER.parse(drain), 2);
+                        membership.sourceUpdated(SOURCE, READER.parse(back), 2);
                     })
                     / 2;
         }
--- a/src/main/java/juniperusher/lab/scale/StormSlopes.java
+++ b/src/main/java/juniperusher/lab/scale/StormSlopes.java
@@ -4,18 +4,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import juniperusher.Protocol.Action;
-import juniperusher.Protocol.Arrived;
-import juniperusher.Protocol.Ended;
+import juniperusher.Protocol.AttemptEnded;
 import juniperusher.Protocol.Event;
 import juniperusher.Protocol.Message;
-import juniperusher.Protocol.Note;
-import juniperusher.Protocol.Noted;
+import juniperusher.Protocol.MessageAccepted;
+import juniperusher.Protocol.NoteReceived;
 import juniperusher.Protocol.Outcome;
 import juniperusher.Protocol.Send;
+import juniperusher.Protocol.SendNote;
 import juniperusher.Protocol.TargetList;
+import juniperusher.storm.StormAdvisor;
 import juniperusher.storm.StormSettings;
 import juniperusher.storm.StormState;
-import juniperusher.storm.Storms;
 
 /** What the storm package costs where it is on: by listed destinations and by relays that write notes. */
 final class StormSlopes {
@@ -44,23 +44,23 @@
         private static final double LEFT = 20; // s to deadlines
         private static final int DOWN = 10; // destinations that are down: as many as a note holds
 
-        private final Storms storms;
+        private final StormAdvisor stormAdvisor;
         private double now;
         private int messages;
 
         Fixture(int me, int relays, int destinations) {
-            storms = new Storms(StormSettings.USUAL, ControlFixture.settings(relays), me, EPOCH, 0);
+            stormAdvisor = new StormAdvisor(StormSettings.DEFAULT, ControlFixture.settings(relays), me, EPOCH, 0);
             round(List.of(new TargetList(true, ControlFixture.targets(destinations))));
         }
 
         /** A round as the decision loop has it, with the gauges that are read after it. */
         List<Action> round(List<Event> events) {
             now += ROUND;
-            storms.before(now, events);
-            List<Action> further = storms.after(now, List.of());
-            storms.count(StormState.STORM);
-            storms.count(StormState.RECOVERING);
-            storms.out();
+            stormAdvisor.beforeDecision(now, events);
+            List<Action> further = stormAdvisor.afterDecision(now, List.of());
+            stormAdvisor.count(StormState.STORM);
+            stormAdvisor.count(StormState.RECOVERING);
+            stormAdvisor.outageCount();
             return further;
         }
 
@@ -68,7 +68,7 @@
         void holdOneEach(int destinations) {
             List<Event> arrivals = new ArrayList<>();
             for (int destination = 0; destination < destinations; destination++) {
-                arrivals.add(new Arrived(new Message(++messages, 0, 0, destination, 0, LEFT)));
+                arrivals.add(new MessageAccepted(new Message(++messages, 0, 0, destination, 0, LEFT)));
             }
             round(arrivals);
         }
@@ -81,18 +81,18 @@
                 List<Event> ends = new ArrayList<>();
                 for (int destination = 0; destination < DOWN; destination++) {
                     int id = ++messages;
-                    arrivals.add(new Arrived(new Message(id, 0, 0, destination, 0, LEFT)));
+                    arrivals.add(new MessageAccepted(new Message(id, 0, 0, destination, 0, LEFT)));
                     sends.add(new Send(id, destination, 1));
-                    ends.add(new Ended(id, 0, destination, Outcome.ERROR, STEP / 2, false, 0, null));
+                    ends.add(new AttemptEnded(id, 0, destination, Outcome.ERROR, STEP / 2, false, 0, null));
                 }
-                storms.before(now, arrivals);
-                storms.after(now, sends);
-                storms.before(now + STEP / 2, ends);
+                stormAdvisor.beforeDecision(now, arrivals);
+                stormAdvisor.afterDecision(now, sends);
+                stormAdvisor.beforeDecision(now + STEP / 2, ends);
             }
             now += 1; // the pause between two notes is over
             return round(List.of()).stream()
-                    .filter(Note.class::isInstance)
-                    .map(action -> ((Note) action).note())
+                    .filter(SendNote.class::isInstance)
+                    .map(action -> ((SendNote) action).note())
                     .findFirst()
                     .orElseThrow(() -> new IllegalStateException("no note was written"));
         }
@@ -138,7 +138,7 @@
     }
 
     private static double notesPerSecond(int relays) {
-        return (relays - 1) / StormSettings.USUAL.noteEvery();
+        return (relays - 1) / StormSettings.DEFAULT.noteIntervalSeconds();
     }
 
     /** Bytes of notes that reach a relay in a second while all relays see destinations down, without headers. */
@@ -214,7 +214,7 @@
     private static List<Event> fromAll(int relays, byte[] note) {
         List<Event> notes = new ArrayList<>();
         for (int from = 1; from < relays; from++) {
-            notes.add(new Noted(from, note));
+            notes.add(new NoteReceived(from, note));
         }
         return notes;
     }
--- a/src/main/java/juniperusher/lab/shard/FleetShape.java
+++ b/src/main/java/juniperusher/lab/shard/FleetShape.java
@@ -10,7 +10,7 @@
 import juniperusher.shard.RelayInfo;
 import juniperusher.shard.ShardMap;
 import juniperusher.shard.ShardRange;
-import juniperusher.shard.assign.Assignment;
+import juniperusher.shard.assign.AssignmentPlanner;
 import juniperusher.shard.assign.LoadBounds;
 
 /**
@@ -39,7 +39,7 @@
         for (int region = 0; region < regions; region++) {
             sizes.put("region-" + region, destinations / regions);
         }
-        return new Assignment(LoadBounds.USUAL).firstMap(0, sizes, relays(), rangesPerRelay);
+        return new AssignmentPlanner(LoadBounds.DEFAULT).createFirstMap(0, sizes, relays(), rangesPerRelay);
     }
 
     /** The same, after two years: the last moves of its ranges lie anywhere in that time. */
--- a/src/main/java/juniperusher/lab/shard/ShardFigures.java
+++ b/src/main/java/juniperusher/lab/shard/ShardFigures.java
@@ -16,8 +16,8 @@
 import juniperusher.shard.ShardMapCodec;
 import juniperusher.shard.ShardMapStep;
 import juniperusher.shard.ShardRange;
-import juniperusher.shard.assign.Assignment;
 import juniperusher.shard.assign.AssignmentPlan;
+import juniperusher.shard.assign.AssignmentPlanner;
 import juniperusher.shard.assign.LoadBounds;
 
 /**
@@ -41,7 +41,7 @@
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     private final ShardMapCodec codec = new ShardMapCodec();
-    private final Assignment assignment = new Assignment(LoadBounds.USUAL);
+    private final AssignmentPlanner assignment = new AssignmentPlanner(LoadBounds.DEFAULT);
     private volatile Object sink; // so that no work is left out
 
     private ShardFigures() {}
@@ -75,12 +75,12 @@
         row("decode, ms", median(() -> codec.decode(snapshot)));
         row("lookup ownerOf, ns", lookup(map, false));
         row("lookup rangeOf, ns", lookup(map, true));
-        delta("one move", map, map.next(moves(map, 1)));
-        delta("11,000 moves in one epoch", map, map.next(moves(map, BURST)));
+        delta("one move", map, map.withSteps(moves(map, 1)));
+        delta("11,000 moves in one epoch", map, map.withSteps(moves(map, BURST)));
         delta("11,000 epochs of one move, coalesced", map, oneByOne(map));
-        row("next, one move, ms", median(() -> map.next(moves(map, 1))));
+        row("next, one move, ms", median(() -> map.withSteps(moves(map, 1))));
         List<ShardMapStep> burst = moves(map, BURST);
-        row("next, 11,000 moves, ms", median(() -> map.next(burst)));
+        row("next, 11,000 moves, ms", median(() -> map.withSteps(burst)));
         ShardMap copy = codec.decode(snapshot);
         long start = processorNanos();
         copy.digest();
@@ -97,7 +97,7 @@
     private ShardMap oneByOne(ShardMap map) {
         ShardMap next = map;
         for (ShardMapStep step : moves(map, BURST)) {
-            next = next.next(step);
+            next = next.withSteps(step);
         }
         return next;
     }
@@ -232,8 +232,8 @@
         System.out.println("| %s | %d | %d | %.3f | %.3f | %d | %d | %d | %s |"
                 .formatted(
                         what,
-                        plan.moved(),
-                        plan.minimum(),
+                        plan.movedDestinations(),
+                        plan.minMovedDestinations(),
                         spread[0],
                         spread[1],
                         next.rangeCount(),
@@ -284,8 +284,8 @@
             }
             AssignmentPlan plan = assignment.plan(map, available);
             map = plan.applyTo(map);
-            moved += plan.moved();
-            minimum += plan.minimum();
+            moved += plan.movedDestinations();
+            minimum += plan.minMovedDestinations();
         }
         row("moved", moved);
         row("minimum", minimum);
--- a/src/main/java/juniperusher/lab/sockets/Bench.java
+++ b/src/main/java/juniperusher/lab/sockets/Bench.java
@@ -98,7 +98,7 @@
                 endPoint -> new PeerConnection(endPoint, network.threads(), 10_000, new PeerConnection.Handler() {
                     @Override
                     public void asked(PeerConnection connection, HttpMessage request) {
-                        Long since = meant.remove(String.valueOf(request.get("X-Call-Id")));
+                        Long since = meant.remove(String.valueOf(request.header("X-Call-Id")));
                         if (since != null) {
                             latency.get().recordValue(Load.micros(System.nanoTime() - since));
                         }
@@ -178,7 +178,7 @@
                 seconds,
                 LabSettings.CLASS_NAMES.get(0),
                 0,
-                LabSettings.NOTICE.deadline(),
+                LabSettings.NOTICE_CLASS.deadline(),
                 BYTES,
                 "b" + ++runs + '-',
                 meant::put);
@@ -230,7 +230,7 @@
                                         .add("spread", "constant")
                                         .add("told_wait", 0)
                                         .add("troubles", new JsonArray())));
-        JsonObject settings = LabSettings.json(Plan.of(plan, 1), 0, Emulation.KEEP_ALIVE);
+        JsonObject settings = LabSettings.json(Plan.fromJson(plan, 1), 0, Emulation.KEEP_ALIVE);
         settings.get("familyInfo").asObject().set("maxCalls", 200);
         JsonObject json = new JsonObject()
                 .add("name", "bench")
--- a/src/main/java/juniperusher/lab/sockets/Client.java
+++ b/src/main/java/juniperusher/lab/sockets/Client.java
@@ -89,16 +89,16 @@
                             case 200, 202 -> listener.taken();
                             case 429, 503 ->
                                 listener.refused(
-                                        response.get("Retry-After") == null
+                                        response.header("Retry-After") == null
                                                 ? 0
-                                                : Double.parseDouble(response.get("Retry-After")));
+                                                : Double.parseDouble(response.header("Retry-After")));
                             default -> listener.failed("answer " + response.status());
                         }
                     }
 
                     @Override
-                    public void ended(CallEnd why, int firstLine) {
-                        listener.failed(why.toString());
+                    public void ended(CallEnd end, int statusLineCode) {
+                        listener.failed(end.toString());
                     }
                 });
         network.scheduler().schedule(() -> exchange.abandon(CallEnd.TIMED_OUT), PATIENCE, TimeUnit.MILLISECONDS);
@@ -113,11 +113,11 @@
                 new HttpPool.Listener() {
                     @Override
                     public void answered(HttpMessage response) {
-                        told.accept(response.text());
+                        told.accept(response.bodyText());
                     }
 
                     @Override
-                    public void ended(CallEnd why, int firstLine) {
+                    public void ended(CallEnd end, int statusLineCode) {
                         told.accept(""); // it is down
                     }
                 });
--- a/src/main/java/juniperusher/lab/sockets/Emulation.java
+++ b/src/main/java/juniperusher/lab/sockets/Emulation.java
@@ -167,7 +167,7 @@
                 connection.answer(HttpMessage.response(404, ""));
                 return;
             }
-            String id = probe ? null : String.valueOf(request.get("X-Call-Id"));
+            String id = probe ? null : String.valueOf(request.header("X-Call-Id"));
             if (!watcher.begun(relay, destination, id)) {
                 connection.answer(HttpMessage.response(200, "")); // delivered before: said once more
                 return;
@@ -230,7 +230,7 @@
         public void asked(PeerConnection connection, HttpMessage request) {
             lab.execute(() -> {
                 if (request.path().startsWith("/status")) {
-                    List<String> ended = notices(request.text());
+                    List<String> ended = notices(request.bodyText());
                     connection.answer(HttpMessage.response(204, ""));
                     ended.forEach(watcher::acknowledged);
                 } else if (request.path().contains("stream=1")) {
--- a/src/main/java/juniperusher/lab/sockets/Forwarder.java
+++ b/src/main/java/juniperusher/lab/sockets/Forwarder.java
@@ -45,9 +45,9 @@
                             "Host",
                             "endpoint",
                             "X-Call-Id",
-                            request.get("X-Call-Id"),
+                            request.header("X-Call-Id"),
                             "X-Budget",
-                            request.get("X-Budget")),
+                            request.header("X-Budget")),
                     () -> true,
                     new HttpPool.Listener() {
                         @Override
@@ -56,7 +56,7 @@
                         }
 
                         @Override
-                        public void ended(CallEnd why, int firstLine) {
+                        public void ended(CallEnd end, int statusLineCode) {
                             return; // lost, as a bare forwarder loses it
                         }
                     });
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public boolean closing() {
+    public boolean closesConnections() {
         return false;
     }
 }
--- a/src/main/java/juniperusher/lab/sockets/PeerConnection.java
+++ b/src/main/java/juniperusher/lab/sockets/PeerConnection.java
@@ -110,7 +110,7 @@
     void answer(HttpMessage response) {
         out = false;
         parser.reset();
-        write(response.bytes());
+        write(response.encode());
     }
 
     /** Writes the head of an answer without an end, or a piece of it. */
--- a/src/main/java/juniperusher/lab/sockets/SocketEngine.java
+++ b/src/main/java/juniperusher/lab/sockets/SocketEngine.java
@@ -28,7 +28,7 @@
 import juniperusher.lab.Plan;
 import juniperusher.lab.Plan.Crash;
 import juniperusher.lab.RuleChecker;
-import juniperusher.lab.Run;
+import juniperusher.lab.RunResult;
 import juniperusher.lab.Tally;
 import juniperusher.net.Network;
 
@@ -97,11 +97,11 @@
      * @param progress is told the seconds played, about once a second
      * @throws IOException if a relay does not start
      */
-    public static Run play(String variant, Plan plan, String program, DoubleConsumer progress) throws Exception {
+    public static RunResult run(String variant, Plan plan, String program, DoubleConsumer progress) throws Exception {
         Path folder = Files.createTempDirectory("juniperusher-lab");
         SocketEngine engine = new SocketEngine(plan, program);
         try {
-            return engine.play(variant, folder, progress);
+            return engine.run(variant, folder, progress);
         } finally {
             engine.close();
             try (Stream<Path> files = Files.walk(folder)) {
@@ -121,7 +121,7 @@
         network.close();
     }
 
-    private Run play(String variant, Path folder, DoubleConsumer progress) throws Exception {
+    private RunResult run(String variant, Path folder, DoubleConsumer progress) throws Exception {
         NoteNetwork notes = prepare(folder);
         try {
             for (RelayProcess relay : relays) {
--- a/src/main/java/juniperusher/maintenance/Maintenance.java
+++ b/src/main/java/juniperusher/maintenance/Maintenance.java
@@ -44,24 +44,25 @@
     }
 
     /** Whether {@code id} is under maintenance. */
-    public boolean holds(String id) {
+    public boolean contains(String id) {
         return endpointIds.contains(id);
     }
 
     /** The ids under maintenance in ascending order; unmodifiable. */
-    public Set<String> held() {
+    public Set<String> endpointIds() {
         return java.util.Collections.unmodifiableSet(endpointIds);
     }
 
     /** Returns the snapshot of discovery with every ready endpoint under maintenance changed to draining. */
-    public Snapshot over(Snapshot discovered) {
+    public Snapshot applyTo(Snapshot discovered) {
         PMap<Integer, Endpoint> result = discovered.endpoints();
         for (Map.Entry<Integer, Endpoint> numbered : discovered.endpoints().entrySet()) {
             Endpoint endpoint = numbered.getValue();
             if (endpointIds.contains(endpoint.id()) && endpoint.target().phase() == Phase.READY) {
                 result = result.plus(
                         numbered.getKey(),
-                        new Endpoint(endpoint.id(), draining(endpoint.target()), endpoint.address(), endpoint.since()));
+                        new Endpoint(
+                                endpoint.id(), draining(endpoint.target()), endpoint.address(), endpoint.phaseSince()));
             }
         }
         return result == discovered.endpoints()
@@ -77,7 +78,7 @@
     }
 
     /** Returns the target, changed to draining if it is ready and its endpoint {@code id} is under maintenance. */
-    public Target over(String id, Target target) {
+    public Target applyTo(String id, Target target) {
         return endpointIds.contains(id) && target.phase() == Phase.READY ? draining(target) : target;
     }
 
@@ -89,8 +90,8 @@
     public List<Target> changedFrom(Maintenance before, Snapshot discovered) {
         List<Target> changed = new ArrayList<>();
         for (Endpoint endpoint : discovered.endpoints().values()) {
-            Target now = over(endpoint.id(), endpoint.target());
-            if (now.phase() != before.over(endpoint.id(), endpoint.target()).phase()) {
+            Target now = applyTo(endpoint.id(), endpoint.target());
+            if (now.phase() != before.applyTo(endpoint.id(), endpoint.target()).phase()) {
                 changed.add(now);
             }
         }
@@ -98,7 +99,7 @@
     }
 
     /** Whether the snapshot contains an endpoint with the id. */
-    public static boolean known(String id, Snapshot discovered) {
+    public static boolean isKnown(String id, Snapshot discovered) {
         return discovered.endpoints().values().stream()
                 .anyMatch(endpoint -> endpoint.id().equals(id));
     }
--- a/src/main/java/juniperusher/maintenance/MaintenanceFile.java
+++ b/src/main/java/juniperusher/maintenance/MaintenanceFile.java
@@ -4,7 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
-import juniperusher.files.ReplacedFile;
+import juniperusher.files.AtomicFile;
 
 /**
  * File {@code maintenance} in the persistent state folder, which stores a {@link Maintenance}. It is replaced
@@ -40,6 +40,6 @@
     /** Replaces the file, creating the folder if need be. Readers see the new content once this returns. */
     public void write(Maintenance maintenance) throws IOException {
         Files.createDirectories(folder);
-        ReplacedFile.write(folder.resolve(NAME), maintenance.serialize());
+        AtomicFile.write(folder.resolve(NAME), maintenance.serialize());
     }
 }
--- a/src/main/java/juniperusher/membership/DiscoveryWatch.java
+++ b/src/main/java/juniperusher/membership/DiscoveryWatch.java
@@ -23,7 +23,7 @@
     /** After this time without unreadable data, the backoff before the full list is fetched starts short again. */
     private static final double UNREADABLE_RESET_SECONDS = 10;
 
-    private final Timing timing;
+    private final WatchTiming timing;
     private InetSocketAddress address;
     private int current; // number of the current watch, 0 for none
     private int lastNumber;
@@ -43,7 +43,7 @@
     private final TreeMap<Integer, Boolean> replaced = new TreeMap<>();
     private final SplittableRandom random;
 
-    DiscoveryWatch(Timing timing, SplittableRandom random) {
+    DiscoveryWatch(WatchTiming timing, SplittableRandom random) {
         this.timing = timing;
         this.random = random;
         firstByteTimeoutSeconds = timing.firstByteTimeoutSeconds();
--- a/src/main/java/juniperusher/membership/Entry.java
+++ b/src/main/java/juniperusher/membership/EndpointEntry.java
@@ -14,17 +14,17 @@
  * @param weight      weight in the unit that the settings define, usually a rate in calls per second
  * @param phase       phase that the source requests for the endpoint
  */
-public record Entry(
+public record EndpointEntry(
         String id, InetSocketAddress address, int destination, int kind, int zone, double weight, Phase phase) {
     /** This entry with the phase {@code GONE}, for an endpoint that the source no longer lists. */
-    Entry asGone() {
-        return new Entry(id, address, destination, kind, zone, weight, Phase.GONE);
+    EndpointEntry asGone() {
+        return new EndpointEntry(id, address, destination, kind, zone, weight, Phase.GONE);
     }
 
     /** This entry, with the given address if it has none of its own. */
-    Entry withDefaultAddress(InetSocketAddress defaultAddress) {
+    EndpointEntry withDefaultAddress(InetSocketAddress defaultAddress) {
         return address != null || defaultAddress == null
                 ? this
-                : new Entry(id, defaultAddress, destination, kind, zone, weight, phase);
+                : new EndpointEntry(id, defaultAddress, destination, kind, zone, weight, phase);
     }
 }
--- a/src/main/java/juniperusher/membership/EndpointRegistry.java
+++ b/src/main/java/juniperusher/membership/EndpointRegistry.java
@@ -31,7 +31,7 @@
     private int lastNumber;
 
     /** Number of an endpoint, and the last entry of each source for it. */
-    private record Registration(int number, PMap<String, Entry> entries) {}
+    private record Registration(int number, PMap<String, EndpointEntry> entries) {}
 
     /**
      * Result of an update.
@@ -83,16 +83,16 @@
      * @param confirmed whether to mark the new snapshot as confirmed by discovery
      * @throws IllegalArgumentException if the source is unknown
      */
-    Change apply(String source, Update update, String origin, boolean confirmed, double now) {
+    Change apply(String source, EndpointUpdate update, String origin, boolean confirmed, double now) {
         if (!sources.contains(source)) {
             throw new IllegalArgumentException("unknown source '" + source + "'; known sources: " + sources);
         }
-        Map<String, Entry> newEntries = new LinkedHashMap<>();
+        Map<String, EndpointEntry> newEntries = new LinkedHashMap<>();
         update.entries().forEach(entry -> newEntries.put(entry.id(), entry));
-        if (update.whole()) {
+        if (update.fullList()) {
             registrations.forEach((id, registration) -> {
-                Entry previous = registration.entries().get(source);
-                if (previous != null && !update.unread().contains(id)) {
+                EndpointEntry previous = registration.entries().get(source);
+                if (previous != null && !update.unreadableIds().contains(id)) {
                     newEntries.putIfAbsent(id, previous.asGone());
                 }
             });
@@ -101,7 +101,7 @@
         PSet<Integer> destinations = snapshot.destinations();
         List<Target> changedTargets = new ArrayList<>();
         List<Endpoint> vacatedEndpoints = new ArrayList<>();
-        for (Entry entry : newEntries.values()) {
+        for (EndpointEntry entry : newEntries.values()) {
             Endpoint previous = currentEndpoint(entry.id());
             Endpoint merged = merge(source, entry, previous, now);
             if (merged == null || merged.equals(previous)) {
@@ -130,13 +130,13 @@
     }
 
     /** Records the entry and returns the merged endpoint, or null if no endpoint results from it. */
-    private Endpoint merge(String source, Entry entry, Endpoint previous, double now) {
+    private Endpoint merge(String source, EndpointEntry entry, Endpoint previous, double now) {
         Registration registration = registrations.get(entry.id());
-        PMap<String, Entry> entries = registration == null ? HashTreePMap.empty() : registration.entries();
-        Entry lastEntry = entries.get(source);
+        PMap<String, EndpointEntry> entries = registration == null ? HashTreePMap.empty() : registration.entries();
+        EndpointEntry lastEntry = entries.get(source);
         entries = entries.plus(source, entry.withDefaultAddress(lastEntry == null ? null : lastEntry.address()));
         Phase phase = entries.values().stream()
-                .map(Entry::phase)
+                .map(EndpointEntry::phase)
                 .max(Comparator.naturalOrder())
                 .orElseThrow();
         boolean listed = entries.values().stream().anyMatch(entryOfSource -> entryOfSource.phase() != Phase.GONE);
@@ -153,11 +153,11 @@
         }
         int number = previous != null ? previous.target().id() : ++lastNumber;
         registrations = registrations.plus(entry.id(), new Registration(number, entries));
-        Entry highestRanked = highestRankedEntry(entries);
+        EndpointEntry highestRanked = highestRankedEntry(entries);
         InetSocketAddress address = highestRanked.address() != null
                 ? highestRanked.address()
                 : entries.values().stream()
-                        .map(Entry::address)
+                        .map(EndpointEntry::address)
                         .filter(Objects::nonNull)
                         .findFirst()
                         .orElse(null);
@@ -171,12 +171,12 @@
                 highestRanked.weight(),
                 phase);
         boolean samePhase = previous != null && previous.target().phase() == phase;
-        return new Endpoint(entry.id(), target, address, samePhase ? previous.since() : now);
+        return new Endpoint(entry.id(), target, address, samePhase ? previous.phaseSince() : now);
     }
 
-    private Entry highestRankedEntry(PMap<String, Entry> entries) {
+    private EndpointEntry highestRankedEntry(PMap<String, EndpointEntry> entries) {
         for (String source : sources) {
-            Entry candidate = entries.get(source);
+            EndpointEntry candidate = entries.get(source);
             if (candidate != null && candidate.phase() != Phase.GONE) {
                 return candidate;
             }
@@ -191,7 +191,7 @@
     private PMap<Integer, Endpoint> withoutExpired(PMap<Integer, Endpoint> endpoints, double now) {
         Set<Integer> expired = new HashSet<>();
         endpoints.forEach((number, endpoint) -> {
-            if (endpoint.target().phase() == Phase.GONE && now - endpoint.since() > goneRetentionSeconds) {
+            if (endpoint.target().phase() == Phase.GONE && now - endpoint.phaseSince() > goneRetentionSeconds) {
                 expired.add(number);
             }
         });
--- a/src/main/java/juniperusher/membership/Membership.java
+++ b/src/main/java/juniperusher/membership/Membership.java
@@ -11,7 +11,7 @@
  * State machine that maintains the list of endpoints from discovery and from additional sources. It performs no
  * I/O: a single thread passes in events, each with its time in seconds of a monotonic clock, and carries out the
  * returned steps in order. Data from an abandoned watch is ignored. Updates of additional sources arrive through
- * {@link #word}. Not thread-safe.
+ * {@link #sourceUpdated}. Not thread-safe.
  */
 public final class Membership {
     /** Source name of discovery. */
@@ -29,7 +29,7 @@
      * @param additionalSources names of additional sources in descending rank; discovery ranks above all of them
      * @param seed              seed of the jitter of backoffs
      */
-    public Membership(Timing timing, List<String> additionalSources, long seed) {
+    public Membership(WatchTiming timing, List<String> additionalSources, long seed) {
         List<String> sources = new ArrayList<>(List.of(DISCOVERY));
         sources.addAll(additionalSources);
         registry = new EndpointRegistry(sources, timing.goneRetentionSeconds());
@@ -42,14 +42,14 @@
      * @param savedList    list of discovery that an earlier process has saved; it may be empty
      * @param fixedTargets targets that no source lists and that stay as they are
      */
-    public Snapshot known(Update savedList, List<Target> fixedTargets, double now) {
+    public Snapshot initialize(EndpointUpdate savedList, List<Target> fixedTargets, double now) {
         registry.addFixedTargets(fixedTargets, now);
         lastDataAt = now;
         return registry.apply(DISCOVERY, savedList, "known", false, now).snapshot();
     }
 
     /** All targets of a snapshot in the order of their numbers, as the initial list for the decision module. */
-    public static TargetList whole(Snapshot snapshot) {
+    public static TargetList fullTargetList(Snapshot snapshot) {
         return new TargetList(
                 true,
                 snapshot.endpoints().values().stream()
@@ -59,7 +59,7 @@
     }
 
     /** Sets the address of discovery, at the start and whenever it changes; an open watch is abandoned. */
-    public List<Step> moved(InetSocketAddress address, double now) {
+    public List<Step> discoveryMoved(InetSocketAddress address, double now) {
         discoveryAddress = address.getAddress() == null
                 ? address.toString()
                 : address.getAddress().getHostAddress() + ':' + address.getPort();
@@ -67,7 +67,7 @@
     }
 
     /** Data has arrived on a watch; an empty line counts. */
-    public List<Step> heard(int watchNumber, double now) {
+    public List<Step> dataReceived(int watchNumber, double now) {
         if (watch.dataReceived(watchNumber, now)) {
             lastDataAt = now;
         }
@@ -75,7 +75,7 @@
     }
 
     /** A readable update has arrived on a watch. */
-    public List<Step> told(int watchNumber, Update update, double now) {
+    public List<Step> updateReceived(int watchNumber, EndpointUpdate update, double now) {
         if (!watch.dataReceived(watchNumber, now) || !watch.accepts(watchNumber, update.version())) {
             return List.of();
         }
@@ -86,17 +86,17 @@
     }
 
     /** Unreadable data has arrived on a watch; the full list is fetched while the watch continues. */
-    public List<Step> damaged(int watchNumber, double now) {
+    public List<Step> unreadableDataReceived(int watchNumber, double now) {
         return watch.unreadableDataReceived(watchNumber, now);
     }
 
     /** Discovery has refused a watch as overloaded, with a retry-after delay in seconds, 0 if it gave none. */
-    public List<Step> turnedAway(int watchNumber, double retryAfterSeconds, double now) {
+    public List<Step> watchRefused(int watchNumber, double retryAfterSeconds, double now) {
         return watch.refused(watchNumber, retryAfterSeconds, now);
     }
 
     /** A watch has ended for any reason. */
-    public List<Step> ended(int watchNumber, double now) {
+    public List<Step> watchEnded(int watchNumber, double now) {
         return watch.ended(watchNumber, now);
     }
 
@@ -105,12 +105,12 @@
      *
      * @throws IllegalArgumentException if the source is unknown
      */
-    public List<Step> word(String source, Update update, double now) {
+    public List<Step> sourceUpdated(String source, EndpointUpdate update, double now) {
         return publish(
                 registry.apply(source, update, source, registry.snapshot().confirmed(), now));
     }
 
-    /** Opens and replaces watches whose time has come; has to be called no later than {@link #due}. */
+    /** Opens and replaces watches whose time has come; has to be called no later than {@link #nextTickAt}. */
     public List<Step> tick(double now) {
         return watch.tick(now);
     }
@@ -132,7 +132,7 @@
     }
 
     /** Time at which data of discovery last arrived, in seconds of the events' clock; an empty line counts. */
-    public double heardAt() {
+    public double lastDataAt() {
         return lastDataAt;
     }
 
@@ -142,7 +142,7 @@
     }
 
     /** Time of the next {@link #tick}, in seconds of the events' clock. */
-    public double due() {
+    public double nextTickAt() {
         return watch.nextTickAt();
     }
 }
--- a/src/main/java/juniperusher/membership/Snapshot.java
+++ b/src/main/java/juniperusher/membership/Snapshot.java
@@ -13,11 +13,11 @@
  * most of their structure.
  *
  * @param serial       number of the snapshot in this process, increased by one with each
- * @param source       origin of the last update: address of discovery, name of another source, or {@code known} for
- *                     the saved list
+ * @param source       origin of the last update: address of discovery, name of another source, or {@code known} for the
+ *                     saved list
  * @param version      version of its state that the source stated last
  * @param confirmed    whether discovery has confirmed the list in this process, as opposed to a saved list
- * @param updatedAt       time of the last update from a source, in seconds of the events' clock
+ * @param updatedAt    time of the last update from a source, in seconds of the events' clock
  * @param endpoints    endpoints by number; one that is gone is kept for a while, since calls to it may be in flight
  * @param destinations all destinations that were ever listed
  */
@@ -46,7 +46,7 @@
     }
 
     /** Whether the endpoint serves the destination and accepts new calls by its phase; health is not considered. */
-    public boolean ready(int number, int destination) {
+    public boolean isReady(int number, int destination) {
         Target target = target(number);
         return target != null && target.phase() == Phase.READY && target.destination() == destination;
     }
--- a/src/main/java/juniperusher/membership/Step.java
+++ b/src/main/java/juniperusher/membership/Step.java
@@ -9,23 +9,23 @@
     /**
      * Open a watch.
      *
-     * @param watch   number of the watch, unique in this process
-     * @param address address of discovery
-     * @param whole   request the full list once; otherwise request a stream of changes
-     * @param index   version of the list after which changes are requested
+     * @param watchNumber  number of the watch, unique in this process
+     * @param address      address of discovery
+     * @param fullList     request the full list once; otherwise request a stream of changes
+     * @param afterVersion version of the list after which changes are requested
      */
-    record Open(int watch, InetSocketAddress address, boolean whole, long index) implements Step {}
+    record Open(int watchNumber, InetSocketAddress address, boolean fullList, long afterVersion) implements Step {}
 
     /** Close the watch; data that still arrives on it is ignored. */
-    record Abandon(int watch) implements Step {}
+    record Abandon(int watchNumber) implements Step {}
 
     /**
      * Publish a new resolver result: make the snapshot current, then pass the changed targets to the decision
      * module, then close idle connections to former addresses.
      *
-     * @param snapshot the new state
-     * @param told     targets that are new or have changed
-     * @param left     former endpoints that are gone or have moved
+     * @param snapshot         the new state
+     * @param changedTargets   targets that are new or have changed
+     * @param vacatedEndpoints former endpoints that are gone or have moved
      */
-    record Publish(Snapshot snapshot, TargetList told, List<Endpoint> left) implements Step {}
+    record Publish(Snapshot snapshot, TargetList changedTargets, List<Endpoint> vacatedEndpoints) implements Step {}
 }
--- a/src/main/java/juniperusher/membership/Timing.java
+++ b/src/main/java/juniperusher/membership/WatchTiming.java
@@ -19,7 +19,7 @@
  *     of discovery is noticed soon
  * @param goneRetentionSeconds time for which an endpoint that is gone is kept; no call to it is in flight after that
  */
-public record Timing(
+public record WatchTiming(
         double silenceTimeoutSeconds,
         double firstByteTimeoutSeconds,
         double firstBackoffSeconds,
@@ -29,9 +29,9 @@
     /** Seconds after which the platform assumes that a relay knows a change of the list. */
     public static final double NOTIFICATION_LIMIT_SECONDS = 6;
     /** Defaults for the platform's discovery agent. */
-    public static final Timing USUAL = new Timing(2.9, 0.9, 0.5, 2.4, 1, 30);
+    public static final WatchTiming DEFAULT = new WatchTiming(2.9, 0.9, 0.5, 2.4, 1, 30);
 
-    public Timing {
+    public WatchTiming {
         if (!(silenceTimeoutSeconds > 0
                 && firstByteTimeoutSeconds > 0
                 && firstBackoffSeconds > 0
--- a/src/main/java/juniperusher/mgmt/Operated.java
+++ b/src/main/java/juniperusher/mgmt/ManagedRelay.java
@@ -1,9 +1,9 @@
 package juniperusher.mgmt;
 
 /** The relay as the operators' calls see it. Implementations are thread-safe. */
-public interface Operated {
+public interface ManagedRelay {
     /** The result of entering or leaving maintenance. */
-    enum Answer {
+    enum MaintenanceResult {
         /** The call has taken effect, or already had. */
         DONE,
         /** Discovery has never listed an endpoint with this id. */
@@ -13,29 +13,29 @@
     }
 
     /** Whether this process serves clients at present. */
-    boolean serving();
+    boolean isServing();
 
-    /** Puts the endpoint under maintenance: after the return no new calls go to it, until {@link #exit}. */
-    Answer enter(String id);
+    /** Puts the endpoint under maintenance: after the return no new calls go to it, until {@link #exitMaintenance}. */
+    MaintenanceResult enterMaintenance(String id);
 
     /** Ends the maintenance of the endpoint, so that calls may go to it again. */
-    Answer exit(String id);
+    MaintenanceResult exitMaintenance(String id);
 
     /** Stands for a relay that is still starting: it does not serve, and maintenance calls are refused. */
-    Operated STARTING = new Operated() {
+    ManagedRelay STARTING = new ManagedRelay() {
         @Override
-        public boolean serving() {
+        public boolean isServing() {
             return false;
         }
 
         @Override
-        public Answer enter(String id) {
-            return Answer.NOT_NOW;
+        public MaintenanceResult enterMaintenance(String id) {
+            return MaintenanceResult.NOT_NOW;
         }
 
         @Override
-        public Answer exit(String id) {
-            return Answer.NOT_NOW;
+        public MaintenanceResult exitMaintenance(String id) {
+            return MaintenanceResult.NOT_NOW;
         }
     };
 }
--- a/src/main/java/juniperusher/mgmt/Management.java
+++ b/src/main/java/juniperusher/mgmt/OperatorListener.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import juniperusher.net.HttpMessage;
 import juniperusher.net.HttpServerConnection;
-import juniperusher.net.Inbound;
+import juniperusher.net.InboundConnections;
 import juniperusher.net.Network;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -29,31 +29,32 @@
  * An invalid body gets 400, another method 405, another path 404. A connection is closed if its call has not arrived
  * within 2.5 s or if no data arrives for 2 s, so that callers which hold connections open do not delay others.
  */
-public final class Management implements HttpServerConnection.Handler, AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Management.class);
+public final class OperatorListener implements HttpServerConnection.Handler, AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(OperatorListener.class);
     private static final int MAX_BODY_BYTES = 4 * 1024; // ids of endpoints are short
     private static final int MAX_CONNECTIONS = 64; // beyond that, the longest waiting ones are shed
 
-    private final AtomicReference<Operated> currentRelay = new AtomicReference<>(Operated.STARTING);
+    private final AtomicReference<ManagedRelay> currentRelay = new AtomicReference<>(ManagedRelay.STARTING);
     private final AtomicLong shedCount = new AtomicLong();
     private Closeable listener;
 
-    private Management() {}
+    private OperatorListener() {}
 
     /**
-     * Listens on {@code address}. Calls act on {@link Operated#STARTING} until {@link #operate} is called.
+     * Listens on {@code address}. Calls act on {@link ManagedRelay#STARTING} until {@link #setRelay} is called.
      *
      * @throws IOException if the address cannot be bound
      */
-    public static Management listen(Network network, InetSocketAddress address) throws IOException {
-        Management management = new Management();
-        Inbound ownBound = Inbound.oldestFirst(MAX_CONNECTIONS, management.shedCount::incrementAndGet);
-        management.listener = network.listen(
+    public static OperatorListener listen(Network network, InetSocketAddress address) throws IOException {
+        OperatorListener operatorListener = new OperatorListener();
+        InboundConnections ownBound =
+                InboundConnections.oldestFirst(MAX_CONNECTIONS, operatorListener.shedCount::incrementAndGet);
+        operatorListener.listener = network.listen(
                 address,
-                endPoint -> new HttpServerConnection(endPoint, network, ownBound, MAX_BODY_BYTES, management),
+                endPoint -> new HttpServerConnection(endPoint, network, ownBound, MAX_BODY_BYTES, operatorListener),
                 false);
         LOG.atInfo().addKeyValue("address", address).log("listening for operator calls");
-        return management;
+        return operatorListener;
     }
 
     @Override
@@ -64,7 +65,7 @@
     }
 
     /** Makes calls act on {@code relay} from now on. */
-    public void operate(Operated relay) {
+    public void setRelay(ManagedRelay relay) {
         currentRelay.set(relay);
     }
 
@@ -74,7 +75,7 @@
     }
 
     @Override
-    public boolean closing() {
+    public boolean closesConnections() {
         return true; // one call per connection
     }
 
@@ -88,13 +89,13 @@
         String path = request.path();
         int query = path.indexOf('?');
         path = query < 0 ? path : path.substring(0, query);
-        Operated relay = currentRelay.get();
+        ManagedRelay relay = currentRelay.get();
         switch (path) {
             case "/status":
                 if (!request.method().equals("GET")) {
                     return HttpMessage.response(405, "expected GET\n", "Allow", "GET");
                 }
-                return relay.serving()
+                return relay.isServing()
                         ? HttpMessage.response(200, "serving\n")
                         : HttpMessage.response(503, "not serving\n");
             case "/maintenance/enter":
@@ -109,7 +110,7 @@
                     return HttpMessage.response(400, e.getMessage() + '\n');
                 }
                 boolean enter = path.endsWith("enter");
-                Operated.Answer result = enter ? relay.enter(id) : relay.exit(id);
+                ManagedRelay.MaintenanceResult result = enter ? relay.enterMaintenance(id) : relay.exitMaintenance(id);
                 LOG.atInfo()
                         .addKeyValue("target", id)
                         .addKeyValue("call", enter ? "enter" : "exit")
--- a/src/main/java/juniperusher/net/HttpClientConnection.java
+++ b/src/main/java/juniperusher/net/HttpClientConnection.java
@@ -370,7 +370,7 @@
         byte[] bytes = new byte[content.remaining()];
         content.get(bytes);
         HttpPool.Exchange current = currentExchange;
-        if (current != null && !current.streamed(status, bytes)) {
+        if (current != null && !current.consume(status, bytes)) {
             body.writeBytes(bytes);
             responseInvalid |= body.size() > current.maxResponseBytes();
         }
--- a/src/main/java/juniperusher/net/HttpMessage.java
+++ b/src/main/java/juniperusher/net/HttpMessage.java
@@ -16,11 +16,11 @@
 /**
  * An HTTP/1.1 request or response with its whole content. The body is not copied and must not be modified.
  *
- * @param start  method and path of a request, separated by a space, or the status code of a response
- * @param fields header fields
- * @param body   the content, empty if there is none
+ * @param startLine method and path of a request, separated by a space, or the status code of a response
+ * @param fields    header fields
+ * @param body      the content, empty if there is none
  */
-public record HttpMessage(String start, HttpFields fields, byte[] body) {
+public record HttpMessage(String startLine, HttpFields fields, byte[] body) {
     private static final int HEAD_BUFFER_BYTES = 4096;
     private static final Pattern DECIMAL_NUMBER = Pattern.compile("[+-]?\\d{1,12}(\\.\\d{0,12})?([eE][+-]?\\d{1,2})?");
 
@@ -44,38 +44,38 @@
 
     /** The method of a request. */
     public String method() {
-        return start.substring(0, start.indexOf(' '));
+        return startLine.substring(0, startLine.indexOf(' '));
     }
 
     /** The path of a request, including its query. */
     public String path() {
-        return start.substring(start.indexOf(' ') + 1);
+        return startLine.substring(startLine.indexOf(' ') + 1);
     }
 
     /** The status code of a response. */
     public int status() {
-        return Integer.parseInt(start);
+        return Integer.parseInt(startLine);
     }
 
     /** The value of the first header field of this name, or null if there is none. */
-    public String get(String name) {
+    public String header(String name) {
         return fields.get(name);
     }
 
     /** The delay of the {@code Retry-After} field in seconds; 0 if it is missing, not a number or not positive. */
-    public double retryAfter() {
-        String value = get("Retry-After");
-        double seconds = value == null ? 0 : number(value);
+    public double retryAfterSeconds() {
+        String value = header("Retry-After");
+        double seconds = value == null ? 0 : parseNumber(value);
         return seconds > 0 ? seconds : 0;
     }
 
     /** Parses a decimal number; NaN for any other text, including 'Infinity' and '0x1p3'. */
-    public static double number(String text) {
+    public static double parseNumber(String text) {
         return DECIMAL_NUMBER.matcher(text.strip()).matches() ? Double.parseDouble(text.strip()) : Double.NaN;
     }
 
     /** The content decoded as UTF-8. */
-    public String text() {
+    public String bodyText() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
@@ -84,9 +84,9 @@
      *
      * @throws IllegalArgumentException if the message cannot be encoded
      */
-    public ByteBuffer bytes() {
+    public ByteBuffer encode() {
         HttpGenerator generator = new HttpGenerator();
-        boolean request = start.indexOf(' ') > 0;
+        boolean request = startLine.indexOf(' ') > 0;
         MetaData.Request requestHead = request
                 ? new MetaData.Request(0, method(), HttpURI.from(path()), HttpVersion.HTTP_1_1, fields, body.length)
                 : null;
@@ -115,7 +115,7 @@
                 }
             }
         } catch (IOException e) {
-            throw new IllegalArgumentException("cannot encode the HTTP message: " + start, e);
+            throw new IllegalArgumentException("cannot encode the HTTP message: " + startLine, e);
         }
     }
 }
--- a/src/main/java/juniperusher/net/HttpPool.java
+++ b/src/main/java/juniperusher/net/HttpPool.java
@@ -50,16 +50,16 @@
          * The exchange ended without a whole response. {@code firstLine} is the status code of the response's first
          * line, or 0 if that line did not arrive.
          */
-        void ended(CallEnd why, int firstLine);
+        void ended(CallEnd end, int statusLineCode);
 
         /** The first line of the response has arrived with this status code. */
-        default void begun(int status) {}
+        default void statusReceived(int status) {}
 
         /**
          * The maximum size of a response's content in bytes; a longer response ends as {@link CallEnd#SPOILT}. With
          * {@link Long#MAX_VALUE} the response may also take any time.
          */
-        default long most() {
+        default long maxResponseBytes() {
             return MAX_RESPONSE_BYTES;
         }
 
@@ -67,7 +67,7 @@
          * Offers a piece of the response's content on arrival. If this returns true, the listener has consumed the
          * piece and it is not part of the response passed to {@link #answered}.
          */
-        default boolean streamed(int status, byte[] piece) {
+        default boolean consume(int status, byte[] piece) {
             return false;
         }
     }
@@ -85,7 +85,7 @@
      */
     public Exchange exchange(
             InetSocketAddress address, int owner, HttpMessage request, BooleanSupplier mayStart, Listener listener) {
-        Exchange exchange = new Exchange(new ConnectionKey(address, owner), request.bytes(), mayStart, listener);
+        Exchange exchange = new Exchange(new ConnectionKey(address, owner), request.encode(), mayStart, listener);
         HttpClientConnection idleConnection = takeIdle(exchange.key);
         while (idleConnection != null && !idleConnection.hasNoInput()) {
             idleConnection.closeGracefully();
@@ -184,7 +184,7 @@
     }
 
     /** One request and its response; ends exactly once. */
-    public final class Exchange implements Network.Dial {
+    public final class Exchange implements Network.ConnectListener {
         private final ConnectionKey key;
         private final ByteBuffer request;
         private final BooleanSupplier mayStart;
@@ -237,7 +237,7 @@
 
         void statusLineReceived(int status) {
             statusLineCode = status;
-            listener.begun(status);
+            listener.statusReceived(status);
         }
 
         /** Reads a response that has arrived but that the selector has not processed yet. */
@@ -252,15 +252,15 @@
         }
 
         long maxResponseBytes() {
-            return listener.most();
+            return listener.maxResponseBytes();
         }
 
         boolean hasUnboundedResponse() {
-            return listener.most() == Long.MAX_VALUE;
+            return listener.maxResponseBytes() == Long.MAX_VALUE;
         }
 
-        boolean streamed(int status, byte[] piece) {
-            return listener.streamed(status, piece);
+        boolean consume(int status, byte[] piece) {
+            return listener.consume(status, piece);
         }
 
         void answered(HttpMessage response, HttpClientConnection reusable) {
@@ -285,7 +285,7 @@
                 finished = true;
                 mayBeComplete = requestMayBeComplete;
             }
-            listener.ended(why.given(mayBeComplete), statusLineCode);
+            listener.ended(why.adjustedForLastByte(mayBeComplete), statusLineCode);
         }
 
         /**
@@ -307,7 +307,7 @@
             if (current != null) {
                 current.close();
             }
-            listener.ended(why.given(mayBeComplete), statusLineCode);
+            listener.ended(why.adjustedForLastByte(mayBeComplete), statusLineCode);
         }
     }
 }
--- a/src/main/java/juniperusher/net/HttpServerConnection.java
+++ b/src/main/java/juniperusher/net/HttpServerConnection.java
@@ -28,7 +28,8 @@
  * down the output and discards further input until the client closes or a limit is reached. A request that arrives
  * after the output is shut down is discarded unread; its client sends it again on another connection.
  */
-public final class HttpServerConnection extends AbstractConnection implements HttpParser.RequestHandler, Inbound.Guest {
+public final class HttpServerConnection extends AbstractConnection
+        implements HttpParser.RequestHandler, InboundConnections.InboundConnection {
     private static final int INPUT_BUFFER_BYTES = 8 * 1024;
     private static final int MAX_HEAD_BYTES = 16 * 1024; // requests with a longer head are refused
     // Applies in every state. Without it, clients that send one request and keep the connection would use up
@@ -46,7 +47,7 @@
     private static final ByteBuffer DISCARD_BUFFER = ByteBuffer.allocateDirect(64 * 1024);
 
     private final Handler handler;
-    private final Inbound inbound;
+    private final InboundConnections inboundConnections;
     private final int maxBodyBytes;
     private final HttpParser parser = new HttpParser(this, MAX_HEAD_BYTES);
     private final ByteBuffer input = BufferUtil.allocate(INPUT_BUFFER_BYTES);
@@ -60,8 +61,8 @@
     private int discardReads;
     private long lingerBytes; // bytes discarded plus one; 0 until the output is shut down
     private volatile boolean shedRequested; // ends after the next response, or at once if no request is in progress
-    private volatile Inbound.Standing standing = Inbound.Standing.MUTE;
-    private volatile long standingSinceNanos = System.nanoTime();
+    private volatile InboundConnections.ConnectionState state = InboundConnections.ConnectionState.NO_DATA;
+    private volatile long stateSinceNanos = System.nanoTime();
 
     /** Answers requests. */
     public interface Handler {
@@ -72,10 +73,10 @@
         void handle(HttpMessage request, Responder responder);
 
         /** Whether connections should close after their next response. */
-        boolean closing();
+        boolean closesConnections();
 
         /** An invalid, oversized or timed-out request was refused with this status code. */
-        default void refused(int status) {}
+        default void requestRefused(int status) {}
     }
 
     /** Sends the response to one request. */
@@ -85,23 +86,27 @@
 
     /** Creates a connection within the network's bound; longer request bodies than {@code maxBodyBytes} get 413. */
     public HttpServerConnection(EndPoint endPoint, Network network, int maxBodyBytes, Handler handler) {
-        this(endPoint, network, network.inbound(), maxBodyBytes, handler);
+        this(endPoint, network, network.inboundConnections(), maxBodyBytes, handler);
     }
 
     /** Creates a connection within a separate bound; longer request bodies than {@code maxBodyBytes} get 413. */
     public HttpServerConnection(
-            EndPoint endPoint, Network network, Inbound inbound, int maxBodyBytes, Handler handler) {
+            EndPoint endPoint,
+            Network network,
+            InboundConnections inboundConnections,
+            int maxBodyBytes,
+            Handler handler) {
         super(endPoint, network.threads());
         this.handler = handler;
         this.maxBodyBytes = maxBodyBytes;
-        this.inbound = inbound;
+        this.inboundConnections = inboundConnections;
     }
 
     @Override
     public void onOpen() {
         super.onOpen();
         getEndPoint().setIdleTimeout(IDLE_TIMEOUT_MILLIS);
-        inbound.add(this);
+        inboundConnections.add(this);
         if (shedRequested) {
             endWithoutInput(503); // shed on arrival; its request may have arrived already
         } else if (getEndPoint().isOpen()) {
@@ -113,14 +118,14 @@
     private void awaitInput() {
         fillInterested();
         if (shedRequested && lingerBytes == 0) {
-            shed();
+            closeGracefully();
         }
     }
 
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        inbound.remove(this);
+        inboundConnections.remove(this);
     }
 
     /** Reading never blocks, so the selector thread reads each request without a hand-over to another thread. */
@@ -130,13 +135,13 @@
     }
 
     @Override
-    public Inbound.Standing standing() {
-        return standing;
+    public InboundConnections.ConnectionState state() {
+        return state;
     }
 
     @Override
-    public long since() {
-        return standingSinceNanos;
+    public long stateSinceNanos() {
+        return stateSinceNanos;
     }
 
     /**
@@ -145,7 +150,7 @@
      * which ends the connection with its response.
      */
     @Override
-    public void shed() {
+    public void closeGracefully() {
         shedRequested = true;
         if (getEndPoint() instanceof AbstractEndPoint selectorEndPoint) {
             selectorEndPoint.getFillInterest().onFail(SHED_CAUSE);
@@ -153,13 +158,13 @@
     }
 
     @Override
-    public void drop() {
+    public void closeNow() {
         close();
     }
 
-    private void setStanding(Inbound.Standing next) {
-        standing = next;
-        standingSinceNanos = System.nanoTime();
+    private void setState(InboundConnections.ConnectionState next) {
+        state = next;
+        stateSinceNanos = System.nanoTime();
     }
 
     @Override
@@ -176,7 +181,8 @@
     private void endWithoutInput(int status) {
         if (lingerBytes > 0) {
             close(); // the linger time is over
-        } else if (status == 503 && standing == Inbound.Standing.MUTE || standing == Inbound.Standing.UNFINISHED) {
+        } else if (status == 503 && state == InboundConnections.ConnectionState.NO_DATA
+                || state == InboundConnections.ConnectionState.RECEIVING) {
             if (refuse(HttpMessage.response(status, ""))) {
                 onFillable();
             }
@@ -190,7 +196,7 @@
         getEndPoint().shutdownOutput();
         lingerBytes = 1;
         phaseStartNanos = System.nanoTime();
-        setStanding(Inbound.Standing.MUTE);
+        setState(InboundConnections.ConnectionState.NO_DATA);
         getEndPoint().setIdleTimeout(idleTimeoutMillis);
     }
 
@@ -240,9 +246,9 @@
                     }
                 }
                 statusIfNoInput = shedRequested ? statusIfNoInput : 0; // input arrived, so it has not timed out
-                if (standing != Inbound.Standing.UNFINISHED) {
+                if (state != InboundConnections.ConnectionState.RECEIVING) {
                     phaseStartNanos = System.nanoTime();
-                    setStanding(Inbound.Standing.UNFINISHED);
+                    setState(InboundConnections.ConnectionState.RECEIVING);
                     getEndPoint().setIdleTimeout(IDLE_TIMEOUT_MILLIS);
                 }
                 int before = input.remaining();
@@ -275,7 +281,7 @@
         requestComplete = false;
         fields = HttpFields.build();
         body = new ByteArrayOutputStream();
-        setStanding(Inbound.Standing.SERVED);
+        setState(InboundConnections.ConnectionState.HANDLING);
         AtomicBoolean oneFinished = new AtomicBoolean();
         handler.handle(request, response -> respond(response, oneFinished));
         return !oneFinished.compareAndSet(false, true);
@@ -283,7 +289,7 @@
 
     /** Writes an error response, after which the connection ends. Returns true like {@link #handleRequest}. */
     private boolean refuse(HttpMessage response) {
-        handler.refused(response.status());
+        handler.requestRefused(response.status());
         refusal = response;
         fields = HttpFields.build();
         body = new ByteArrayOutputStream();
@@ -295,10 +301,11 @@
     }
 
     private void respond(HttpMessage response, AtomicBoolean oneFinished) {
-        boolean last = closeAfterResponse || shedRequested || handler.closing() || inbound.isCrowded();
+        boolean last =
+                closeAfterResponse || shedRequested || handler.closesConnections() || inboundConnections.isCrowded();
         HttpMessage sent = last
                 ? new HttpMessage(
-                        response.start(),
+                        response.startLine(),
                         HttpFields.build(response.fields())
                                 .put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString()),
                         response.body())
@@ -311,7 +318,7 @@
                                         startLingering(IDLE_TIMEOUT_MILLIS);
                                     } else {
                                         parser.reset();
-                                        setStanding(Inbound.Standing.IDLE);
+                                        setState(InboundConnections.ConnectionState.IDLE);
                                         getEndPoint().setIdleTimeout(IDLE_TIMEOUT_MILLIS);
                                     }
                                     if (!oneFinished.compareAndSet(false, true)) {
@@ -319,7 +326,7 @@
                                     }
                                 },
                                 failure -> close()),
-                        sent.bytes());
+                        sent.encode());
     }
 
     // ---- callbacks of the parser ----
--- a/src/main/java/juniperusher/net/Inbound.java
+++ b/src/main/java/juniperusher/net/InboundConnections.java
@@ -9,44 +9,44 @@
  * the watch and the journal. When the bound is exceeded, the least important connection is shed, that is, ended as soon
  * as no request is in progress on it. Connections that have sent no data are shed first. Thread-safe.
  */
-public final class Inbound {
-    private static final long MUTE_AFTER_NANOS = 250_000_000L; // then a connection without data is shed first
+public final class InboundConnections {
+    private static final long NO_DATA_AFTER_NANOS = 250_000_000L; // then a connection without data is shed first
     private static final long STALLED_AFTER_NANOS = 1_000_000_000L; // then an incomplete request counts as stalled
     private static final double CROWDED_SHARE = 0.45; // of the bound; well below the share that clients may use
-    private static final int SERVED_RANK = 5; // the highest rank; connections of this rank are not shed for others
+    private static final int HANDLING_RANK = 5; // the highest rank; connections of this rank are not shed for others
     private static final int SHED_DIVISOR = 8; // 1/8 of the bound may be shed but not closed yet
 
     private final int maxConnections;
     private final Runnable onShed;
     private final boolean oldestFirst;
-    private final Set<Guest> connections = new LinkedHashSet<>();
-    private final Set<Guest> shedButOpen = new LinkedHashSet<>();
+    private final Set<InboundConnection> connections = new LinkedHashSet<>();
+    private final Set<InboundConnection> shedButOpen = new LinkedHashSet<>();
 
     /** The state of an inbound connection. */
-    public enum Standing {
+    public enum ConnectionState {
         /** No data has arrived yet, the handshake is incomplete, or the output is already shut down. */
-        MUTE,
+        NO_DATA,
         /** Open without a request since the last response. */
         IDLE,
         /** A request has arrived in part. */
-        UNFINISHED,
+        RECEIVING,
         /** A request is being handled. */
-        SERVED
+        HANDLING
     }
 
     /** An inbound connection. Its methods may be called on any thread. */
-    public interface Guest {
+    public interface InboundConnection {
         /** The current state. */
-        Standing standing();
+        ConnectionState state();
 
         /** The {@link System#nanoTime} at which the current state began. */
-        long since();
+        long stateSinceNanos();
 
         /** Ends the connection once no request is in progress; a request that has just arrived is answered first. */
-        void shed();
+        void closeGracefully();
 
         /** Closes the connection at once, because its file descriptor is needed. */
-        void drop();
+        void closeNow();
     }
 
     /**
@@ -55,15 +55,15 @@
      * Each connection carries one short call, so the one that has waited longest is shed first, whatever it has sent.
      * Otherwise a call that is not read yet would be shed before connections that hold an incomplete call open.
      */
-    public static Inbound oldestFirst(int maxConnections, Runnable onShed) {
-        return new Inbound(maxConnections, onShed, true);
+    public static InboundConnections oldestFirst(int maxConnections, Runnable onShed) {
+        return new InboundConnections(maxConnections, onShed, true);
     }
 
-    Inbound(int maxConnections, Runnable onShed) {
+    InboundConnections(int maxConnections, Runnable onShed) {
         this(maxConnections, onShed, false);
     }
 
-    private Inbound(int maxConnections, Runnable onShed, boolean oldestFirst) {
+    private InboundConnections(int maxConnections, Runnable onShed, boolean oldestFirst) {
         this.maxConnections = maxConnections;
         this.onShed = onShed;
         this.oldestFirst = oldestFirst;
@@ -73,9 +73,9 @@
      * Adds a new connection. At the bound, sheds the least important of the other connections, or the new one if all
      * others are being served.
      */
-    public void add(Guest connection) {
-        Guest shed = null;
-        Guest dropped = null;
+    public void add(InboundConnection connection) {
+        InboundConnection shed = null;
+        InboundConnection dropped = null;
         synchronized (connections) {
             if (connections.size() >= maxConnections) {
                 shed = selectToShed(connection);
@@ -92,10 +92,10 @@
         }
         if (shed != null) {
             onShed.run();
-            shed.shed();
+            shed.closeGracefully();
         }
         if (dropped != null) {
-            dropped.drop(); // its client may never close; the descriptor is needed now
+            dropped.closeNow(); // its client may never close; the descriptor is needed now
         }
     }
 
@@ -103,45 +103,47 @@
      * Sheds all connections, or with {@code idleOnly} only the idle ones and those that have sent no data for some
      * time; on a connection just opened a request may still arrive. Requests in progress are answered first.
      */
-    public void endAll(boolean idleOnly) {
-        List<Guest> selected;
+    public void closeAll(boolean idleOnly) {
+        List<InboundConnection> selected;
         long now = System.nanoTime();
         synchronized (connections) {
             selected = connections.stream()
                     .filter(connection -> !idleOnly
-                            || connection.standing() == Standing.IDLE
-                            || connection.standing() == Standing.MUTE && now - connection.since() > MUTE_AFTER_NANOS)
+                            || connection.state() == ConnectionState.IDLE
+                            || connection.state() == ConnectionState.NO_DATA
+                                    && now - connection.stateSinceNanos() > NO_DATA_AFTER_NANOS)
                     .toList();
         }
-        selected.forEach(Guest::shed);
+        selected.forEach(InboundConnection::closeGracefully);
     }
 
-    private Guest selectToShed(Guest newcomer) {
-        Guest selected = newcomer;
+    private InboundConnection selectToShed(InboundConnection newcomer) {
+        InboundConnection selected = newcomer;
         int lowestRank = Integer.MAX_VALUE;
         long now = System.nanoTime();
-        for (Guest connection : connections) {
-            int rank = oldestFirst && connection.standing() != Standing.SERVED
+        for (InboundConnection connection : connections) {
+            int rank = oldestFirst && connection.state() != ConnectionState.HANDLING
                     ? 0
-                    : rank(connection.standing(), now - connection.since());
-            if (rank < lowestRank || rank == lowestRank && connection.since() - selected.since() < 0) {
+                    : rank(connection.state(), now - connection.stateSinceNanos());
+            if (rank < lowestRank
+                    || rank == lowestRank && connection.stateSinceNanos() - selected.stateSinceNanos() < 0) {
                 selected = connection;
                 lowestRank = rank;
             }
         }
-        return lowestRank == SERVED_RANK ? newcomer : selected;
+        return lowestRank == HANDLING_RANK ? newcomer : selected;
     }
 
     /**
      * The importance of a connection; the lowest rank is shed first. A new connection, whose first request is
      * probably on its way, ranks above an idle one, whose client can open a new connection.
      */
-    private static int rank(Standing standing, long ageNanos) {
-        return switch (standing) {
-            case MUTE -> ageNanos > MUTE_AFTER_NANOS ? 0 : 3;
+    private static int rank(ConnectionState state, long ageNanos) {
+        return switch (state) {
+            case NO_DATA -> ageNanos > NO_DATA_AFTER_NANOS ? 0 : 3;
             case IDLE -> 1;
-            case UNFINISHED -> ageNanos > STALLED_AFTER_NANOS ? 2 : 4;
-            case SERVED -> SERVED_RANK;
+            case RECEIVING -> ageNanos > STALLED_AFTER_NANOS ? 2 : 4;
+            case HANDLING -> HANDLING_RANK;
         };
     }
 
@@ -154,7 +156,7 @@
     }
 
     /** Removes a closed connection. */
-    public void remove(Guest connection) {
+    public void remove(InboundConnection connection) {
         synchronized (connections) {
             connections.remove(connection);
             shedButOpen.remove(connection);
--- a/src/main/java/juniperusher/net/Network.java
+++ b/src/main/java/juniperusher/net/Network.java
@@ -44,7 +44,7 @@
     private final QueuedThreadPool threads = new QueuedThreadPool(THREAD_COUNT, THREAD_COUNT);
     private final Scheduler scheduler = new ScheduledExecutorScheduler("timers", true);
     private final Selector selector = new Selector();
-    private final Inbound inbound;
+    private final InboundConnections inboundConnections;
     private final AtomicLong shedCount = new AtomicLong();
     private final AtomicLong closedUnopenedCount = new AtomicLong();
     private final AtomicInteger openingCount = new AtomicInteger();
@@ -52,7 +52,7 @@
     private final int maxOpenAndOpening;
 
     /** Receives the result of a connection attempt. Methods run on the selector thread or the caller's. */
-    public interface Dial {
+    public interface ConnectListener {
         /** The socket is connected; returns the connection object to use on it. */
         Connection connected(EndPoint endPoint);
 
@@ -73,7 +73,7 @@
      */
     public Network(double connectTimeoutSeconds, int descriptors) throws Exception {
         int maxConnections = Math.max(MIN_CONNECTION_BOUND, (int) (descriptors * INBOUND_DESCRIPTOR_SHARE));
-        inbound = new Inbound(maxConnections, shedCount::incrementAndGet);
+        inboundConnections = new InboundConnections(maxConnections, shedCount::incrementAndGet);
         maxOpenAndOpening =
                 maxConnections + Math.max(MIN_CONNECTION_BOUND, (int) (descriptors * OPENING_DESCRIPTOR_SHARE));
         threads.setName("net");
@@ -131,7 +131,7 @@
      * @throws IllegalArgumentException if the value is not 0 or the descriptor is no listening TCP socket; its message
      *     is one line
      */
-    public static ServerSocketChannel inherited(String fd) throws IOException {
+    public static ServerSocketChannel inheritedSocket(String fd) throws IOException {
         if (!fd.strip().equals("0")) {
             throw new IllegalArgumentException(
                     "RELAY_ACCEPT_FD is '" + fd + "': expected 0, the descriptor " + "that standard input holds");
@@ -144,16 +144,16 @@
     }
 
     /** Opens a connection and reports the result to {@code dial}. Does not block. */
-    public void connect(InetSocketAddress address, Dial dial) {
+    public void connect(InetSocketAddress address, ConnectListener listener) {
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open();
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             channel.configureBlocking(false);
             if (channel.connect(address)) {
-                selector.accept(channel, dial);
+                selector.accept(channel, listener);
             } else {
-                selector.connect(channel, dial);
+                selector.connect(channel, listener);
             }
         } catch (IOException | RuntimeException e) {
             if (channel != null) {
@@ -163,32 +163,32 @@
                     e.addSuppressed(ignored);
                 }
             }
-            dial.failed(e);
+            listener.failed(e);
         }
     }
 
     /** The inbound connections within the clients' bound. */
-    public Inbound inbound() {
-        return inbound;
+    public InboundConnections inboundConnections() {
+        return inboundConnections;
     }
 
     /** The number of inbound connections that were closed unopened because of the bound, since the start. */
-    public long unopened() {
+    public long closedUnopenedCount() {
         return closedUnopenedCount.get();
     }
 
     /** The number of failed accepts since the start. */
-    public long acceptFailures() {
+    public long acceptFailureCount() {
         return acceptFailureCount.get();
     }
 
     /** The number of inbound connections that are accepted but not opened yet. */
-    public int coming() {
+    public int openingCount() {
         return openingCount.get();
     }
 
     /** The number of inbound connections that were shed because of the bound, since the start. */
-    public long shed() {
+    public long shedCount() {
         return shedCount.get();
     }
 
@@ -310,7 +310,7 @@
             }
             openingCount.incrementAndGet();
             // Many connections may be accepted before the first is opened, so they count as well.
-            if (match == null || match.bounded && inbound.size() + openingCount.get() > maxOpenAndOpening) {
+            if (match == null || match.bounded && inboundConnections.size() + openingCount.get() > maxOpenAndOpening) {
                 openingCount.decrementAndGet();
                 closedUnopenedCount.incrementAndGet();
                 socket.close();
@@ -329,8 +329,8 @@
         @Override
         @SuppressWarnings("unchecked")
         public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object attachment) {
-            if (attachment instanceof Dial dial) {
-                return dial.connected(endPoint);
+            if (attachment instanceof ConnectListener listener) {
+                return listener.connected(endPoint);
             }
             openingCount.decrementAndGet();
             return ((Function<EndPoint, Connection>) attachment).apply(endPoint);
@@ -338,8 +338,8 @@
 
         @Override
         protected void connectionFailed(SelectableChannel channel, Throwable why, Object attachment) {
-            if (attachment instanceof Dial dial) {
-                dial.failed(why);
+            if (attachment instanceof ConnectListener listener) {
+                listener.failed(why);
             }
         }
     }
--- a/src/main/java/juniperusher/ownership/Lease.java
+++ b/src/main/java/juniperusher/ownership/Lease.java
@@ -39,7 +39,7 @@
     private static final double NEVER = Double.POSITIVE_INFINITY;
     private static final int MAX_TRACKED_REQUESTS = 8; // requests whose late answers are still processed
 
-    private final Terms terms;
+    private final LeaseTiming timing;
     private final String key;
     private final String holderName; // unique to this process; a restarted process has another name
     private final SplittableRandom random;
@@ -65,15 +65,15 @@
      * @param holderName name of the holder; no other process, and no restart of this one, may use the same
      * @param seed       seed of the jitter of backoffs
      */
-    public Lease(Terms terms, String key, String holderName, long seed) {
-        this.terms = terms;
+    public Lease(LeaseTiming timing, String key, String holderName, long seed) {
+        this.timing = timing;
         this.key = key;
         this.holderName = holderName;
         random = new SplittableRandom(seed);
     }
 
     /** Starts to acquire the resource, if need be again after it was lost. */
-    public List<Step> want(double time) {
+    public List<Step> acquire(double time) {
         if (state == State.IDLE || state == State.LOST) {
             state = State.ACQUIRING;
             released = false;
@@ -101,7 +101,7 @@
     }
 
     /** Whether the process may act as the owner at this time. Has to be checked right before each binding action. */
-    public boolean holds(double time) {
+    public boolean isOwner(double time) {
         return state == State.HOLDING && time < validUntil;
     }
 
@@ -109,7 +109,7 @@
      * Processes the store's answer to the request of that number. A late answer renews the lease from the time at which
      * its own request was sent.
      */
-    public List<Step> answered(int number, Reply reply, double time) {
+    public List<Step> answerReceived(int number, Reply reply, double time) {
         advanceClock(time);
         List<Step> steps = new ArrayList<>();
         SentRequest request = trackedRequests.remove(number);
@@ -133,15 +133,15 @@
 
     private void leaseRenewed(Reply.Leased leased, double requestSentAt, double time, List<Step> steps) {
         leaseId = leased.lease();
-        validUntil = Math.max(validUntil, requestSentAt + leased.ttl() - terms.margin());
+        validUntil = Math.max(validUntil, requestSentAt + leased.ttl() - timing.safetyMarginSeconds());
         if (holding == null) {
             nextRequestAt = time; // claim the resource with the new lease
             return;
         }
-        nextRequestAt = requestSentAt + terms.renewIntervalSeconds();
+        nextRequestAt = requestSentAt + timing.renewIntervalSeconds();
         if (state == State.UNCERTAIN && time < validUntil) {
             state = State.HOLDING; // the lease has not ended at the store, so the key still exists
-            steps.add(new Step.Held(holding));
+            steps.add(new Step.Acquired(holding));
         }
     }
 
@@ -157,9 +157,9 @@
             token = entry.created(); // claimed by a request of ours whose answer was lost
         }
         holding = new Holding(key, token);
-        nextRequestAt = lastSentAt + terms.renewIntervalSeconds();
+        nextRequestAt = lastSentAt + timing.renewIntervalSeconds();
         state = time < validUntil ? State.HOLDING : State.UNCERTAIN;
-        steps.add(state == State.HOLDING ? new Step.Held(holding) : new Step.Doubted(holding));
+        steps.add(state == State.HOLDING ? new Step.Acquired(holding) : new Step.Uncertain(holding));
     }
 
     /**
@@ -183,15 +183,18 @@
         return steps;
     }
 
-    /** Updates the state to the time; has to be called no later than {@link #due}, and before each {@link #holds}. */
+    /**
+     * Updates the state to the time; has to be called no later than {@link #nextTickAt}, and before each {@link
+     * #isOwner}.
+     */
     public List<Step> tick(double time) {
         advanceClock(time);
         List<Step> steps = new ArrayList<>();
         if (state == State.HOLDING && now >= validUntil) {
             state = State.UNCERTAIN;
-            steps.add(new Step.Doubted(holding));
+            steps.add(new Step.Uncertain(holding));
         }
-        if (awaitedRequest != 0 && now >= lastSentAt + terms.requestTimeoutSeconds()) {
+        if (awaitedRequest != 0 && now >= lastSentAt + timing.requestTimeoutSeconds()) {
             awaitedRequest = 0; // lost or late; the next request finds out whether it took effect
             nextRequestAt = released ? NEVER : now;
         }
@@ -204,10 +207,10 @@
     private Request nextRequest() {
         if (leaseId == 0) {
             validUntil = Double.NEGATIVE_INFINITY;
-            return new Request.Grant(terms.ttl());
+            return new Request.Grant(timing.ttlSeconds());
         }
         // A lease that is about to end is renewed before the claim, since the key would be deleted with it.
-        if (holding != null || now >= validUntil - terms.renewIntervalSeconds()) {
+        if (holding != null || now >= validUntil - timing.renewIntervalSeconds()) {
             return new Request.KeepAlive(leaseId);
         }
         return new Request.Txn(
@@ -224,7 +227,7 @@
             trackedRequests.remove(trackedRequests.keySet().iterator().next());
         }
         nextRequestAt = NEVER;
-        steps.add(new Step.Ask(awaitedRequest, request));
+        steps.add(new Step.SendRequest(awaitedRequest, request));
     }
 
     private void endHolding(List<Step> steps) {
@@ -238,7 +241,7 @@
     }
 
     private double backoff() {
-        return terms.retryBackoffSeconds() / 2 + random.nextDouble() * terms.retryBackoffSeconds() / 2;
+        return timing.retryBackoffSeconds() / 2 + random.nextDouble() * timing.retryBackoffSeconds() / 2;
     }
 
     private void advanceClock(double time) {
@@ -249,9 +252,9 @@
     }
 
     /** Time of the next {@link #tick}, in seconds of the process's clock. */
-    public double due() {
+    public double nextTickAt() {
         double due =
-                awaitedRequest != 0 ? lastSentAt + terms.requestTimeoutSeconds() : released ? NEVER : nextRequestAt;
+                awaitedRequest != 0 ? lastSentAt + timing.requestTimeoutSeconds() : released ? NEVER : nextRequestAt;
         return state == State.HOLDING ? Math.min(due, validUntil) : due;
     }
 
--- a/src/main/java/juniperusher/settings/OperatorSettings.java
+++ b/src/main/java/juniperusher/settings/OperatorSettings.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
-import juniperusher.settings.CheckedToml.InvalidTomlException;
+import juniperusher.settings.TomlReader.InvalidTomlException;
 import juniperusher.storm.StormSettings;
 
 /**
@@ -30,7 +30,7 @@
      */
     public static OperatorSettings read(Path file) throws IOException {
         JsonObject effective =
-                CheckedToml.by(OperatorSettings.class, SCHEMA_RESOURCE).read(file, List.of());
+                TomlReader.withSchema(OperatorSettings.class, SCHEMA_RESOURCE).read(file, List.of());
         JsonObject storm = enabledTable(effective, "storm");
         try {
             return new OperatorSettings(
@@ -75,7 +75,7 @@
      */
     public static String describeKeys() {
         StringBuilder out = new StringBuilder();
-        JsonObject tables = CheckedToml.by(OperatorSettings.class, SCHEMA_RESOURCE)
+        JsonObject tables = TomlReader.withSchema(OperatorSettings.class, SCHEMA_RESOURCE)
                 .schema()
                 .get("properties")
                 .asObject();
--- a/src/main/java/juniperusher/settings/CheckedToml.java
+++ b/src/main/java/juniperusher/settings/TomlReader.java
@@ -29,7 +29,7 @@
  * Reads TOML files and validates them against a JSON Schema (draft 2020-12). The schema also holds the
  * defaults; a result contains every key that has one.
  */
-public final class CheckedToml {
+public final class TomlReader {
     private final JsonObject schema;
     private final com.networknt.schema.Schema validator;
 
@@ -48,16 +48,16 @@
         }
     }
 
-    private CheckedToml(String schemaText) {
+    private TomlReader(String schemaText) {
         schema = Json.parse(schemaText).asObject();
         validator = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                 .getSchema(schemaText);
     }
 
     /** Creates a reader for a schema, which is a resource in the package of the given class. */
-    public static CheckedToml by(Class<?> resourceClass, String schemaName) {
+    public static TomlReader withSchema(Class<?> resourceClass, String schemaName) {
         try (InputStream in = resourceClass.getResourceAsStream(schemaName)) {
-            return new CheckedToml(new String(in.readAllBytes(), StandardCharsets.UTF_8));
+            return new TomlReader(new String(in.readAllBytes(), StandardCharsets.UTF_8));
         } catch (IOException e) {
             throw new IllegalStateException(schemaName, e); // the schema is part of the jar
         }
--- a/src/main/java/juniperusher/shard/ShardMap.java
+++ b/src/main/java/juniperusher/shard/ShardMap.java
@@ -133,16 +133,16 @@
      *
      * @throws InvalidStepException if a step cannot be applied, the list is empty, or the result is not a valid map
      */
-    public ShardMap next(List<ShardMapStep> steps) {
+    public ShardMap withSteps(List<ShardMapStep> steps) {
         return new ShardMapEditor(this).next(steps);
     }
 
-    /** Does the same as {@link #next(List)}. */
-    public ShardMap next(ShardMapStep... steps) {
-        return next(List.of(steps));
+    /** Does the same as {@link #withSteps(List)}. */
+    public ShardMap withSteps(ShardMapStep... steps) {
+        return withSteps(List.of(steps));
     }
 
-    /** Returns the map's version number; {@link #next} increases it by one. */
+    /** Returns the map's version number; {@link #withSteps} increases it by one. */
     public long epoch() {
         return epoch;
     }
--- a/src/main/java/juniperusher/shard/ShardMapStep.java
+++ b/src/main/java/juniperusher/shard/ShardMapStep.java
@@ -2,7 +2,7 @@
 
 /**
  * A change to a {@link ShardMap}. A step refers to a range by its first destination; the preceding steps of the same
- * epoch are already applied. {@link ShardMap#next} applies either all steps of an epoch or none. Immutable.
+ * epoch are already applied. {@link ShardMap#withSteps} applies either all steps of an epoch or none. Immutable.
  */
 public sealed interface ShardMapStep {
     /** Assigns the range that starts at {@code from} to another relay, which must be of the range's region. */
--- a/src/main/java/juniperusher/shard/assign/Assignment.java
+++ b/src/main/java/juniperusher/shard/assign/AssignmentPlanner.java
@@ -18,17 +18,17 @@
  * <p>After the steps of a plan, every range of a region that has an available relay is owned by an available relay of
  * that region, and the load of each available relay is within {@link LoadBounds}, rounded outward to whole
  * destinations. The load of a relay is the number of its destinations. The plan moves few destinations more than the
- * lower bound {@link AssignmentPlan#minimum}. It splits a range if no whole range fits.
+ * lower bound {@link AssignmentPlan#minMovedDestinations}. It splits a range if no whole range fits.
  *
  * <p>The plan changes nothing in a region without an available relay. A region that is disconnected looks from outside
  * like one that has failed, but its relays continue to work with the map that they have. If their ranges were
  * assigned to others, destinations would have two owners, and all ranges would move twice.
  */
-public final class Assignment {
+public final class AssignmentPlanner {
     private final LoadBounds bounds;
 
     /** Creates an assignment that keeps the load of each relay within the bounds. */
-    public Assignment(LoadBounds bounds) {
+    public AssignmentPlanner(LoadBounds bounds) {
         this.bounds = bounds;
     }
 
@@ -87,7 +87,7 @@
      * @param relays all relays of the map
      * @param rangesPerRelay the number of ranges per relay; there are fewer if a region has too few destinations
      */
-    public ShardMap firstMap(int from, Map<String, Integer> regions, List<RelayInfo> relays, int rangesPerRelay) {
+    public ShardMap createFirstMap(int from, Map<String, Integer> regions, List<RelayInfo> relays, int rangesPerRelay) {
         List<ShardRange> ranges = new ArrayList<>();
         int nextDestination = from;
         for (Map.Entry<String, Integer> region : regions.entrySet()) {
@@ -110,6 +110,6 @@
         List<ShardMapStep> steps = plan(unowned, relayNames).steps().stream()
                 .filter(step -> !(step instanceof ShardMapStep.Merge))
                 .toList();
-        return unowned.next(steps);
+        return unowned.withSteps(steps);
     }
 }
--- a/src/main/java/juniperusher/shard/assign/LoadBounds.java
+++ b/src/main/java/juniperusher/shard/assign/LoadBounds.java
@@ -9,7 +9,7 @@
  */
 public record LoadBounds(double minLoadRatio, double maxLoadRatio) {
     /** Permits loads from 10 % below to 10 % above the fair share. */
-    public static final LoadBounds USUAL = new LoadBounds(0.9, 1.1);
+    public static final LoadBounds DEFAULT = new LoadBounds(0.9, 1.1);
 
     /**
      * Checks the bounds.
--- a/src/main/java/juniperusher/sim/BatchServer.java
+++ b/src/main/java/juniperusher/sim/BatchServer.java
@@ -11,21 +11,21 @@
 import java.util.Map;
 import java.util.Set;
 import juniperusher.Control;
-import juniperusher.Protocol.Arrived;
-import juniperusher.Protocol.Ended;
+import juniperusher.Protocol.AttemptEnded;
 import juniperusher.Protocol.Event;
-import juniperusher.Protocol.ListFailed;
+import juniperusher.Protocol.LoadReport;
 import juniperusher.Protocol.Message;
-import juniperusher.Protocol.Noted;
+import juniperusher.Protocol.MessageAccepted;
+import juniperusher.Protocol.MessageWithdrawn;
+import juniperusher.Protocol.NoteReceived;
 import juniperusher.Protocol.Outcome;
 import juniperusher.Protocol.Phase;
-import juniperusher.Protocol.Probed;
-import juniperusher.Protocol.Report;
-import juniperusher.Protocol.Streaming;
+import juniperusher.Protocol.ProbeEnded;
+import juniperusher.Protocol.ResponseStarted;
 import juniperusher.Protocol.Target;
 import juniperusher.Protocol.TargetList;
-import juniperusher.Protocol.Withdrawn;
-import juniperusher.Protocol.Woken;
+import juniperusher.Protocol.TimerFired;
+import juniperusher.Protocol.WatchFailed;
 
 /**
  * Runs instances of the decision module for the simulator. A frame from the simulator is a batch: the current
@@ -56,10 +56,10 @@
     /** An instance and its events in the current batch. */
     private static final class Instance {
         private final Control control;
-        private final SettingsParser.Parsed parsed;
+        private final SettingsParser.ParsedSettings parsed;
         private final List<Event> pendingEvents = new ArrayList<>();
 
-        private Instance(SettingsParser.Parsed parsed, long seed) {
+        private Instance(SettingsParser.ParsedSettings parsed, long seed) {
             this.parsed = parsed;
             control = new Control(parsed.settings(), seed);
         }
@@ -68,7 +68,7 @@
     /**
      * Reads batches and writes a reply to each until the input ends between two frames.
      *
-     * @throws WireException if the input is malformed
+     * @throws MalformedInputException if the input is malformed
      */
     void serve(InputStream in, OutputStream out) throws IOException {
         for (byte[] frame = readFrame(in); frame != null; frame = readFrame(in)) {
@@ -83,15 +83,15 @@
             return null;
         }
         if (size.length < 4) {
-            throw new WireException("frame cut short in its length: " + size.length + " bytes of 4");
+            throw new MalformedInputException("frame cut short in its length: " + size.length + " bytes of 4");
         }
         int length = ByteBuffer.wrap(size).getInt();
         if (length < HEADER_BYTES) {
-            throw new WireException("frame of " + (length & 0xffffffffL) + " bytes is no batch");
+            throw new MalformedInputException("frame of " + (length & 0xffffffffL) + " bytes is no batch");
         }
         byte[] rest = in.readNBytes(length - 4);
         if (rest.length < length - 4) {
-            throw new WireException("frame cut short: " + (rest.length + 4) + " bytes of " + length);
+            throw new MalformedInputException("frame cut short: " + (rest.length + 4) + " bytes of " + length);
         }
         byte[] frame = new byte[length];
         System.arraycopy(size, 0, frame, 0, 4);
@@ -126,7 +126,8 @@
             } else {
                 Instance instance = instances.get(currentInstance);
                 if (instance == null) {
-                    throw new WireException(recordName + ": instance " + currentInstance + " was not started");
+                    throw new MalformedInputException(
+                            recordName + ": instance " + currentInstance + " was not started");
                 }
                 instance.pendingEvents.add(readEvent(in, code, instance, recordName));
                 instancesToRun.add(currentInstance);
@@ -134,7 +135,7 @@
             in.endRecord(recordName);
         }
         if (!in.atEnd()) {
-            throw new WireException("frame has bytes after its last record, at byte " + in.position());
+            throw new MalformedInputException("frame has bytes after its last record, at byte " + in.position());
         }
         return decide(nowSeconds, instancesToRun);
     }
@@ -174,7 +175,8 @@
                         case 1 -> Phase.READY;
                         case 2 -> Phase.DRAINING;
                         default ->
-                            throw new WireException("byte " + in.position() + ": phase " + phaseCode + " is unknown");
+                            throw new MalformedInputException(
+                                    "byte " + in.position() + ": phase " + phaseCode + " is unknown");
                     };
             targets.add(new Target(id, destination, kind, zone, weight, phase));
         }
@@ -191,22 +193,22 @@
                 int attempt = in.u16();
                 in.id(); // target, not used
                 in.f64(); // not used
-                yield new Streaming(message, attempt);
+                yield new ResponseStarted(message, attempt);
             }
             case PROBED -> {
                 int target = in.id();
                 int status = in.u16();
                 double elapsed = in.f64();
                 readReport(in, instance.parsed); // not used
-                yield new Probed(target, status == 10, status == 30, elapsed); // status as in readEnded
+                yield new ProbeEnded(target, status == 10, status == 30, elapsed); // status as in readEnded
             }
-            case WOKEN -> new Woken(in.u64());
-            case WITHDRAWN -> new Withdrawn(in.id());
+            case WOKEN -> new TimerFired(in.u64());
+            case WITHDRAWN -> new MessageWithdrawn(in.id());
             case NOTED -> {
                 int from = in.u16();
-                yield new Noted(from, in.bytes(in.u16()));
+                yield new NoteReceived(from, in.bytes(in.u16()));
             }
-            default -> throw new WireException(recordName + ": unknown code");
+            default -> throw new MalformedInputException(recordName + ": unknown code");
         };
     }
 
@@ -215,11 +217,11 @@
         in.u32(); // not used
         int status = in.u8(); // 0: only changed targets, 3: the list could not be read, else: the whole list
         if (status == 3) {
-            return new ListFailed();
+            return new WatchFailed();
         }
         List<Target> targets = targetLists.get(listNumber);
         if (targets == null) {
-            throw new WireException("byte " + in.position() + ": list " + listNumber + " was not received");
+            throw new MalformedInputException("byte " + in.position() + ": list " + listNumber + " was not received");
         }
         return new TargetList(status != 0, targets);
     }
@@ -233,10 +235,10 @@
         in.f64(); // not used
         int destination = Math.round(in.f32());
         in.u8(); // not used
-        return new Arrived(new Message(id, messageClass, tenant, destination, key, remainingSeconds));
+        return new MessageAccepted(new Message(id, messageClass, tenant, destination, key, remainingSeconds));
     }
 
-    private static Event readEnded(FrameReader in, SettingsParser.Parsed parsed) {
+    private static Event readEnded(FrameReader in, SettingsParser.ParsedSettings parsed) {
         int message = in.id();
         int attempt = in.u16();
         int target = in.id();
@@ -254,25 +256,27 @@
                     case 60 -> Outcome.RESET;
                     case 70 -> Outcome.CANCELLED;
                     case 80 -> Outcome.NOT_SENT;
-                    default -> throw new WireException("byte " + in.position() + ": outcome " + status + " is unknown");
+                    default ->
+                        throw new MalformedInputException(
+                                "byte " + in.position() + ": outcome " + status + " is unknown");
                 };
         double retryAfterSeconds = outcome == Outcome.FULL ? retryAfterMillis / 1000.0 : 0;
-        return new Ended(
+        return new AttemptEnded(
                 message, attempt, target, outcome, elapsed, finished, retryAfterSeconds, readReport(in, parsed));
     }
 
     /** Reads a load report; returns null if it has no limit. */
-    private static Report readReport(FrameReader in, SettingsParser.Parsed parsed) {
+    private static LoadReport readReport(FrameReader in, SettingsParser.ParsedSettings parsed) {
         int count = in.u8();
         double[] values = new double[count];
         for (int i = 0; i < count; i++) {
             values[i] = in.f32();
         }
         int limitField = parsed.limitField();
-        int leftField = parsed.leftField();
+        int leftField = parsed.remainingField();
         if (limitField < 0 || limitField >= count) {
             return null;
         }
-        return new Report(values[limitField], leftField >= 0 && leftField < count ? values[leftField] : 0);
+        return new LoadReport(values[limitField], leftField >= 0 && leftField < count ? values[leftField] : 0);
     }
 }
--- a/src/main/java/juniperusher/sim/FrameReader.java
+++ b/src/main/java/juniperusher/sim/FrameReader.java
@@ -5,7 +5,7 @@
 
 /**
  * Reads the fields of a frame in order; integers are big-endian. Reading past the end of the current record or of
- * the frame throws a {@link WireException}. Not thread-safe.
+ * the frame throws a {@link MalformedInputException}. Not thread-safe.
  */
 final class FrameReader {
     private final ByteBuffer in;
@@ -33,7 +33,7 @@
      */
     void beginRecord(long size, String record) {
         if (size > frameEnd - in.position()) {
-            throw new WireException(record + " at byte " + in.position() + ": " + size
+            throw new MalformedInputException(record + " at byte " + in.position() + ": " + size
                     + " bytes of fields, but the frame ends after " + (frameEnd - in.position()));
         }
         in.limit(in.position() + (int) size);
@@ -42,7 +42,7 @@
     /** Checks that the record was read completely and removes its limit. */
     void endRecord(String record) {
         if (in.hasRemaining()) {
-            throw new WireException(
+            throw new MalformedInputException(
                     record + " ending at byte " + in.limit() + ": " + in.remaining() + " bytes too many");
         }
         in.limit(frameEnd);
@@ -98,7 +98,7 @@
 
     private void requireBytes(long length) {
         if (length > in.remaining()) {
-            throw new WireException("byte " + in.position() + ": " + length + " bytes wanted, but only "
+            throw new MalformedInputException("byte " + in.position() + ": " + length + " bytes wanted, but only "
                     + in.remaining() + " are left in the record");
         }
     }
--- a/src/main/java/juniperusher/sim/ReplyWriter.java
+++ b/src/main/java/juniperusher/sim/ReplyWriter.java
@@ -10,17 +10,17 @@
 import java.util.Arrays;
 import java.util.List;
 import juniperusher.Protocol.Action;
-import juniperusher.Protocol.Cancel;
+import juniperusher.Protocol.CancelAttempt;
 import juniperusher.Protocol.CloseIdle;
 import juniperusher.Protocol.Fail;
 import juniperusher.Protocol.Log;
-import juniperusher.Protocol.Note;
 import juniperusher.Protocol.Probe;
 import juniperusher.Protocol.Refuse;
-import juniperusher.Protocol.Reload;
+import juniperusher.Protocol.ReloadList;
 import juniperusher.Protocol.Send;
-import juniperusher.Protocol.WakeAt;
-import juniperusher.Protocol.Watch;
+import juniperusher.Protocol.SendNote;
+import juniperusher.Protocol.SetListWatch;
+import juniperusher.Protocol.SetTimer;
 
 /** Collects the reply to a batch and writes it as one frame. Not thread-safe. */
 final class ReplyWriter {
@@ -88,22 +88,22 @@
         } else if (action instanceof Refuse a) {
             writeRecordHeader(REFUSE, 12);
             recordOutput.writeInt(a.message());
-            recordOutput.writeDouble(a.after());
+            recordOutput.writeDouble(a.retryAfter());
         } else if (action instanceof Fail a) {
             writeRecordHeader(FAIL, 4);
             recordOutput.writeInt(a.message());
-        } else if (action instanceof WakeAt a) {
+        } else if (action instanceof SetTimer a) {
             writeRecordHeader(WAKE_AT, 16);
             recordOutput.writeDouble(a.time());
             recordOutput.writeLong(a.token());
-        } else if (action instanceof Cancel a) {
+        } else if (action instanceof CancelAttempt a) {
             writeRecordHeader(CANCEL, 6);
             recordOutput.writeInt(a.message());
             recordOutput.writeShort(a.attempt());
-        } else if (action instanceof Watch a) {
+        } else if (action instanceof SetListWatch a) {
             writeRecordHeader(WATCH, 1);
-            recordOutput.writeByte(a.on() ? 1 : 0);
-        } else if (action instanceof Reload) {
+            recordOutput.writeByte(a.open() ? 1 : 0);
+        } else if (action instanceof ReloadList) {
             writeRecordHeader(RELOAD, 0);
         } else if (action instanceof Probe a) {
             writeRecordHeader(PROBE, 4);
@@ -111,7 +111,7 @@
         } else if (action instanceof CloseIdle a) {
             writeRecordHeader(CLOSE_IDLE, 4);
             recordOutput.writeInt(a.target());
-        } else if (action instanceof Note a) {
+        } else if (action instanceof SendNote a) {
             writeRecordHeader(NOTE, 6 + a.note().length);
             recordOutput.writeInt(a.to());
             recordOutput.writeShort(a.note().length);
--- a/src/main/java/juniperusher/sim/SettingsParser.java
+++ b/src/main/java/juniperusher/sim/SettingsParser.java
@@ -4,11 +4,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import juniperusher.Protocol.Allowed;
+import juniperusher.Protocol.DestinationKind;
 import juniperusher.Protocol.Effect;
-import juniperusher.Protocol.Kind;
 import juniperusher.Protocol.MessageClass;
 import juniperusher.Protocol.Rules;
+import juniperusher.Protocol.SenderLimits;
 import juniperusher.Protocol.Settings;
 import juniperusher.Protocol.Tenant;
 import juniperusher.Protocol.Weight;
@@ -25,7 +25,7 @@
                         line.substring(0, equalsSign).strip(),
                         line.substring(equalsSign + 1).strip());
             } else if (!line.isBlank()) {
-                throw new WireException("settings: no '=' in line '" + line + "'");
+                throw new MalformedInputException("settings: no '=' in line '" + line + "'");
             }
         }
     }
@@ -33,26 +33,26 @@
     /**
      * Parsed settings.
      *
-     * @param settings   settings of the decision module
-     * @param leftField  index of the value x0 in load reports, the share of the limit that is left; -1 if not
-     *     reported
-     * @param limitField index of the value x1 in load reports, the limit in calls per second; -1 if not reported
+     * @param settings       settings of the decision module
+     * @param remainingField index of the value x0 in load reports, the share of the limit that is left; -1 if not
+     *                       reported
+     * @param limitField     index of the value x1 in load reports, the limit in calls per second; -1 if not reported
      */
-    public record Parsed(Settings settings, int leftField, int limitField) {}
+    public record ParsedSettings(Settings settings, int remainingField, int limitField) {}
 
     /**
      * Parses the settings.
      *
-     * @throws WireException if a line is malformed, or a required setting is missing or invalid
+     * @throws MalformedInputException if a line is malformed, or a required setting is missing or invalid
      */
-    public static Parsed parse(String text) {
+    public static ParsedSettings parse(String text) {
         SettingsParser parser = new SettingsParser(text);
         try {
             List<String> fields =
                     List.of(parser.values.getOrDefault("loadReport.fields", "").split(","));
-            return new Parsed(parser.settings(), fields.indexOf("x0"), fields.indexOf("x1"));
+            return new ParsedSettings(parser.settings(), fields.indexOf("x0"), fields.indexOf("x1"));
         } catch (IllegalArgumentException e) {
-            throw new WireException("settings: " + e.getMessage());
+            throw new MalformedInputException("settings: " + e.getMessage());
         }
     }
 
@@ -65,7 +65,7 @@
                 doubleSetting("obligations.tipAfterS"),
                 doubleSetting("obligations.keyQuietS", 0),
                 doubleSetting("obligations.askWithinS", 0));
-        Allowed allowed = new Allowed(
+        SenderLimits limits = new SenderLimits(
                 intSetting("allowed.maxAttempts"),
                 intSetting("allowed.mostHeld"),
                 intSetting("familyInfo.maxCalls"),
@@ -87,7 +87,7 @@
                 doubleSetting("fees.crossZone", 0),
                 routeFees(),
                 rules,
-                allowed,
+                limits,
                 classes(),
                 kinds(),
                 tenants());
@@ -118,14 +118,14 @@
         return classes;
     }
 
-    private List<Kind> kinds() {
+    private List<DestinationKind> kinds() {
         String[] batches = values.getOrDefault("familyInfo.batchByKind", "").split(",");
         String[] apartFlags = values.getOrDefault("familyInfo.kindApart", "").split(",");
-        List<Kind> kinds = new ArrayList<>();
+        List<DestinationKind> kinds = new ArrayList<>();
         for (int i = 0; i < Math.max(batches.length, apartFlags.length); i++) {
             String batch = i < batches.length && !batches[i].isEmpty() ? batches[i] : "1";
             try {
-                kinds.add(new Kind(
+                kinds.add(new DestinationKind(
                         (int) Double.parseDouble(batch), i < apartFlags.length && apartFlags[i].equals("true")));
             } catch (NumberFormatException e) {
                 throw unreadableSetting("familyInfo.batchByKind");
@@ -169,7 +169,7 @@
     private String requiredSetting(String key) {
         String value = values.get(key);
         if (value == null) {
-            throw new WireException("settings: " + key + " is missing");
+            throw new MalformedInputException("settings: " + key + " is missing");
         }
         return value;
     }
@@ -202,7 +202,7 @@
         return values.containsKey(key) ? booleanSetting(key) : defaultValue;
     }
 
-    private WireException unreadableSetting(String key) {
-        return new WireException("settings: " + key + " is unreadable: '" + values.get(key) + "'");
+    private MalformedInputException unreadableSetting(String key) {
+        return new MalformedInputException("settings: " + key + " is unreadable: '" + values.get(key) + "'");
     }
 }
--- a/src/main/java/juniperusher/sim/SimHost.java
+++ b/src/main/java/juniperusher/sim/SimHost.java
@@ -19,7 +19,7 @@
         try {
             new BatchServer().serve(new BufferedInputStream(in, 1 << 16), out);
             return 0;
-        } catch (WireException e) {
+        } catch (MalformedInputException e) {
             System.err.println("simhost: " + e.getMessage());
             return 1;
         }
--- a/src/main/java/juniperusher/status/ReportQueue.java
+++ b/src/main/java/juniperusher/status/ReportQueue.java
@@ -81,7 +81,7 @@
      * The post was written to its connection. Its hedging delay starts again here: a process that has just started may
      * take long to get there, and an additional post would slow it down further.
      */
-    public void posted(int number, long now) {
+    public void postWritten(int number, long now) {
         Post<R> post = postsInFlight.get(number);
         if (post != null) {
             post.sentAt = now;
@@ -91,7 +91,7 @@
     }
 
     /** The platform has acknowledged the reports of the post. */
-    public List<Step<R>> answered(int number, long now) {
+    public List<Step<R>> postAcknowledged(int number, long now) {
         Post<R> post = postsInFlight.remove(number);
         if (post == null) {
             return List.of();
@@ -113,7 +113,7 @@
     }
 
     /** The post has ended without an acknowledgement. */
-    public List<Step<R>> failed(int number, long now) {
+    public List<Step<R>> postFailed(int number, long now) {
         Post<R> post = postsInFlight.remove(number);
         if (post == null) {
             return List.of();
@@ -138,7 +138,7 @@
 
     /** Time of the next post if no event comes before it, or {@link #NEVER}. */
     public long nextPostAt() {
-        if (waiting() == 0) {
+        if (unacknowledgedCount() == 0) {
             return NEVER;
         }
         if (postsInFlight.isEmpty()) {
@@ -152,12 +152,12 @@
     }
 
     /** Number of reports that are not acknowledged. */
-    public int waiting() {
+    public int unacknowledgedCount() {
         return unsent.size() + unacknowledged.size();
     }
 
     /** Whether the post is in flight: neither answered, failed nor abandoned. */
-    public boolean isOut(int number) {
+    public boolean isInFlight(int number) {
         return postsInFlight.containsKey(number);
     }
 
--- a/src/main/java/juniperusher/status/ReportTiming.java
+++ b/src/main/java/juniperusher/status/ReportTiming.java
@@ -22,5 +22,5 @@
      * 80 ms if the platform has a part of a core; three unresponsive connections take 320 ms. A body of 100 lines stays
      * well below the platform's limit.
      */
-    public static final ReportTiming USUAL = new ReportTiming(100, 8, 80, 200, 640, 50);
+    public static final ReportTiming DEFAULT = new ReportTiming(100, 8, 80, 200, 640, 50);
 }
--- a/src/main/java/juniperusher/store/StoreState.java
+++ b/src/main/java/juniperusher/store/StoreState.java
@@ -45,7 +45,7 @@
             if (!leases.containsKey(revoke.lease())) {
                 return new Reply.NoLease(revoke.lease());
             }
-            end(revoke.lease());
+            endLease(revoke.lease());
             return new Reply.Done(true, revision, List.of());
         }
         return transact((Request.Txn) request);
@@ -114,11 +114,11 @@
         List.copyOf(leases.keySet()).stream()
                 .sorted()
                 .filter(id -> leases.get(id).expiresAt() <= now)
-                .forEach(this::end);
+                .forEach(this::endLease);
     }
 
     /** Ends a lease and deletes its keys; also used before it expires, to inject a fault. */
-    public void end(long lease) {
+    public void endLease(long lease) {
         leases.remove(lease);
         List<String> attachedKeys = keys.values().stream()
                 .filter(entry -> entry.lease() == lease)
@@ -137,7 +137,7 @@
      * Restarts the store after an outage that ends now. The time of each lease starts again, since the store could not
      * receive renewals meanwhile.
      */
-    public void restarted(double time) {
+    public void restart(double time) {
         now = Math.max(now, time);
         leases.replaceAll((id, lease) -> new Lease(lease.ttlSeconds(), now + lease.ttlSeconds()));
     }
--- a/src/main/java/juniperusher/storm/DestinationStorm.java
+++ b/src/main/java/juniperusher/storm/DestinationStorm.java
@@ -264,13 +264,13 @@
             case STORM ->
                 inOutage
                         ? null
-                        : recoveredAt > outageStart && now - recoveredAt < rules.warmWithin()
+                        : recoveredAt > outageStart && now - recoveredAt < rules.warmUp()
                                 ? changeTo(StormState.RECOVERING, "returned")
                                 : quiet ? changeTo(StormState.CALM, "over") : null;
             case RECOVERING ->
                 inOutage
                         ? changeTo(StormState.STORM, "fell again")
-                        : now - recoveredAt < rules.warmWithin()
+                        : now - recoveredAt < rules.warmUp()
                                 ? null
                                 : quiet
                                         ? changeTo(StormState.CALM, "warm")
@@ -304,10 +304,10 @@
         }
         double rate = statedRate() * settings.rateMargin() * rateFactor;
         if (inOutage) {
-            return new RateCurve(now, rules.coldFrom(), rules.warmWithin(), rate); // as if it recovered now
+            return new RateCurve(now, rules.coldShare(), rules.warmUp(), rate); // as if it recovered now
         }
         return state == StormState.RECOVERING
-                ? new RateCurve(recoveredAt, rules.coldFrom(), rules.warmWithin(), rate)
+                ? new RateCurve(recoveredAt, rules.coldShare(), rules.warmUp(), rate)
                 : RateCurve.constant(rate);
     }
 
