--- a/src/main/java/juniperusher/storm/Storms.java
+++ b/src/main/java/juniperusher/storm/StormAdvisor.java
@@ -11,31 +11,31 @@
 import java.util.TreeSet;
 import java.util.stream.Stream;
 import juniperusher.Protocol.Action;
-import juniperusher.Protocol.Advised;
-import juniperusher.Protocol.Arrived;
-import juniperusher.Protocol.Ended;
+import juniperusher.Protocol.AttemptEnded;
+import juniperusher.Protocol.DestinationAdvice;
 import juniperusher.Protocol.Event;
 import juniperusher.Protocol.Fail;
 import juniperusher.Protocol.Log;
-import juniperusher.Protocol.Note;
-import juniperusher.Protocol.Noted;
+import juniperusher.Protocol.MessageAccepted;
+import juniperusher.Protocol.MessageWithdrawn;
+import juniperusher.Protocol.NoteReceived;
 import juniperusher.Protocol.Phase;
 import juniperusher.Protocol.Probe;
-import juniperusher.Protocol.Probed;
+import juniperusher.Protocol.ProbeEnded;
 import juniperusher.Protocol.Refuse;
 import juniperusher.Protocol.Send;
+import juniperusher.Protocol.SendNote;
 import juniperusher.Protocol.Settings;
 import juniperusher.Protocol.Target;
 import juniperusher.Protocol.TargetList;
-import juniperusher.Protocol.Withdrawn;
 
 /**
  * Detects retry storms and limits what this relay sends meanwhile. It sees the events of the decision module before
- * each round and its actions after it. By {@link Advised} it tells the module for each destination the rate that this
- * relay may send, the maximum of pending messages and the time until there is capacity for more; it informs the other
- * relays by notes. Not thread-safe; deterministic for the same sequence of rounds.
+ * each round and its actions after it. By {@link DestinationAdvice} it tells the module for each destination the rate
+ * that this relay may send, the maximum of pending messages and the time until there is capacity for more; it informs
+ * the other relays by notes. Not thread-safe; deterministic for the same sequence of rounds.
  */
-public final class Storms {
+public final class StormAdvisor {
     /** A longer retry-after delay indicates an outage of the destination rather than a rate limit. */
     private static final double MIN_OUTAGE_RETRY_AFTER_SECONDS = 3;
     /** The number of pending messages at another relay is considered unknown after this time without a note. */
@@ -80,7 +80,7 @@
     private final Fingerprints refusedFingerprints = new Fingerprints();
     private double roundTime;
     private final Map<Long, PeerPending> peerPending = new HashMap<>(); // by relay and destination
-    private final Map<Integer, Advised> lastAdvice = new HashMap<>(); // by destination
+    private final Map<Integer, DestinationAdvice> lastAdvice = new HashMap<>(); // by destination
     private final List<Log> stateChangeLogs = new ArrayList<>();
     private double nextNoteAt;
     private long stateChanges;
@@ -97,7 +97,7 @@
      *     restart
      * @param startTime time of the rounds' clock at the start of the process
      */
-    public Storms(
+    public StormAdvisor(
             StormSettings settings,
             Settings moduleSettings,
             int relayNumber,
@@ -116,13 +116,13 @@
      * Whether an arriving message that its client has not marked as resubmitted was refused before, by its fingerprint.
      * Has to be called before the round that contains its arrival.
      */
-    public boolean comesAgain(int message, long fingerprint) {
+    public boolean isUnmarkedResubmission(int message, long fingerprint) {
         fingerprintsByMessage.put(message, fingerprint);
         return refusedFingerprints.takeRefusal(fingerprint, roundTime);
     }
 
     /** Records the refusal of a request that was never passed to the decision module as a message. */
-    public void turnedAway(double now, long fingerprint) {
+    public void requestRefused(double now, long fingerprint) {
         refusedFingerprints.recordRefusal(fingerprint, now);
     }
 
@@ -132,11 +132,11 @@
      * @return the events for the module: those given, without results of probes that it has not requested, followed by
      *     advice
      */
-    public List<Event> before(double now, List<Event> events) {
+    public List<Event> beforeDecision(double now, List<Event> events) {
         List<Event> moduleEvents = new ArrayList<>();
         roundTime = now;
         for (Event event : events) {
-            if (!(event instanceof Probed probed) || applyProbeResult(now, probed)) {
+            if (!(event instanceof ProbeEnded probeEnd) || applyProbeResult(now, probeEnd)) {
                 applyEvent(now, event);
                 moduleEvents.add(event);
             }
@@ -153,7 +153,7 @@
                         + " reason=" + change.reason() + " owed=" + storm.pending() + " stated="
                         + storm.statedRate()));
             }
-            Advised next = advise(number, storm, now);
+            DestinationAdvice next = advise(number, storm, now);
             if (differsNotably(lastAdvice.get(number), next)) {
                 lastAdvice.put(number, next);
                 moduleEvents.add(next);
@@ -168,35 +168,35 @@
     private void applyEvent(double now, Event event) {
         if (event instanceof TargetList list) {
             applyTargets(list);
-        } else if (event instanceof Arrived arrived) {
-            int destination = arrived.message().destination();
-            pendingMessages.put(arrived.message().id(), destination);
-            attemptsByMessage.put(arrived.message().id(), arrived.message().attempts());
-            activate(destination).messageArrived(now, arrived.message().again());
-        } else if (event instanceof Withdrawn withdrawn) {
+        } else if (event instanceof MessageAccepted accepted) {
+            int destination = accepted.message().destination();
+            pendingMessages.put(accepted.message().id(), destination);
+            attemptsByMessage.put(accepted.message().id(), accepted.message().attempts());
+            activate(destination).messageArrived(now, accepted.message().resubmitted());
+        } else if (event instanceof MessageWithdrawn withdrawn) {
             messageFinished(withdrawn.message());
-        } else if (event instanceof Ended ended) {
+        } else if (event instanceof AttemptEnded ended) {
             applyCallResult(now, ended);
-        } else if (event instanceof Noted noted) {
-            applyNote(now, noted);
+        } else if (event instanceof NoteReceived received) {
+            applyNote(now, received);
         }
     }
 
     /** Applies the result of a probe; returns whether the module has requested that probe. */
-    private boolean applyProbeResult(double now, Probed probed) {
-        int requestedByModule = moduleProbesInFlight.getOrDefault(probed.target(), 0);
-        moduleProbesInFlight.computeIfPresent(probed.target(), (key, count) -> count > 1 ? count - 1 : null);
-        Target target = targets.get(probed.target());
+    private boolean applyProbeResult(double now, ProbeEnded probeEnd) {
+        int requestedByModule = moduleProbesInFlight.getOrDefault(probeEnd.target(), 0);
+        moduleProbesInFlight.computeIfPresent(probeEnd.target(), (key, count) -> count > 1 ? count - 1 : null);
+        Target target = targets.get(probeEnd.target());
         if (target != null) {
             DestinationStorm storm = activate(target.destination());
             if (requestedByModule == 0) {
                 storm.probeFinished();
             }
-            if (probed.ok()) {
-                storm.callSucceeded(now, now - probed.elapsed(), 0);
+            if (probeEnd.succeeded()) {
+                storm.callSucceeded(now, now - probeEnd.elapsed(), 0);
                 storm.reportRecoveryIfUnknown(requestedByModule == 0);
             } else {
-                storm.callFailed(now, now - probed.elapsed());
+                storm.callFailed(now, now - probeEnd.elapsed());
             }
         }
         return requestedByModule > 0;
@@ -209,7 +209,7 @@
     }
 
     private void applyTargets(TargetList list) {
-        if (list.whole()) {
+        if (list.fullList()) {
             targets.clear();
         }
         for (Target target : list.targets()) {
@@ -221,7 +221,7 @@
         }
     }
 
-    private void applyCallResult(double now, Ended ended) {
+    private void applyCallResult(double now, AttemptEnded ended) {
         Target target = targets.get(ended.target());
         Double sentAt = sendTimes.remove(callKey(ended.message(), ended.attempt()));
         if (target != null) {
@@ -231,8 +231,8 @@
             switch (ended.outcome()) {
                 case DELIVERED -> storm.callSucceeded(now, sentTime, reportedLimit);
                 case FULL -> {
-                    storm.extendRetryAfter(now + ended.told());
-                    if (ended.told() > MIN_OUTAGE_RETRY_AFTER_SECONDS) {
+                    storm.extendRetryAfter(now + ended.retryAfter());
+                    if (ended.retryAfter() > MIN_OUTAGE_RETRY_AFTER_SECONDS) {
                         storm.callFailed(now, sentTime);
                     } else {
                         storm.callRefused(now, sentTime, reportedLimit);
@@ -242,7 +242,7 @@
                 default -> storm.callFailed(now, sentTime);
             }
         }
-        if (ended.over()) {
+        if (ended.finished()) {
             messageFinished(ended.message());
         }
     }
@@ -262,10 +262,11 @@
 
     // ---- advice ----
 
-    private Advised advise(int number, DestinationStorm storm, double now) {
+    private DestinationAdvice advise(int number, DestinationStorm storm, double now) {
         RateCurve acceptedRate = storm.acceptedRate(now);
         if (acceptedRate == null) {
-            return new Advised(number, Double.POSITIVE_INFINITY, Integer.MAX_VALUE, 0, storm.takeRecoveryReport());
+            return new DestinationAdvice(
+                    number, Double.POSITIVE_INFINITY, Integer.MAX_VALUE, 0, storm.takeRecoveryReport());
         }
         double fraction = shares.fractionOf(number, clockOffsetSeconds + now);
         double deadline = moduleSettings.classes().stream()
@@ -276,12 +277,12 @@
         // not use up the relay's capacity for pending messages.
         int maxPending = (int) Math.min(
                 Math.max(
-                        moduleSettings.allowed().held() * settings.pendingShare(),
-                        moduleSettings.allowed().held() * MAX_PENDING_FRACTION
+                        moduleSettings.limits().maxPending() * settings.pendingShare(),
+                        moduleSettings.limits().maxPending() * MAX_PENDING_FRACTION
                                 - (pendingMessages.size() - storm.pending())),
                 acceptedRate.callsBetween(now, now + deadline) * fraction);
         double capacityAt = acceptedRate.timeOfCalls(now, storm.pending() / fraction, MAX_CAPACITY_DELAY_SECONDS);
-        return new Advised(
+        return new DestinationAdvice(
                 number,
                 acceptedRate.rateAt(now) * fraction,
                 Math.max(MIN_PENDING_LIMIT, maxPending),
@@ -290,26 +291,25 @@
     }
 
     /** Whether the advice has changed enough to be passed on, which avoids new advice in every round. */
-    private static boolean differsNotably(Advised previous, Advised next) {
-        if (next.back()) {
+    private static boolean differsNotably(DestinationAdvice previous, DestinationAdvice next) {
+        if (next.recovered()) {
             return true;
         }
         if (previous == null) {
-            return next.rate() < Double.POSITIVE_INFINITY;
+            return next.maxRate() < Double.POSITIVE_INFINITY;
         }
-        boolean same = previous.rate() == next.rate()
-                || Math.abs(previous.rate() - next.rate()) < MIN_RELATIVE_CHANGE * previous.rate()
-                        && next.rate() >= previous.rate();
+        boolean same = previous.maxRate() == next.maxRate()
+                || Math.abs(previous.maxRate() - next.maxRate()) < MIN_RELATIVE_CHANGE * previous.maxRate()
+                        && next.maxRate() >= previous.maxRate();
         return !(same
-                && Math.abs(previous.hold() - next.hold()) <= MIN_RELATIVE_CHANGE * previous.hold()
-                && Math.abs(previous.returnIn() - next.returnIn())
-                        <= MIN_RELATIVE_CHANGE * Math.max(1, previous.returnIn()));
+                && Math.abs(previous.maxPending() - next.maxPending()) <= MIN_RELATIVE_CHANGE * previous.maxPending()
+                && Math.abs(previous.roomIn() - next.roomIn()) <= MIN_RELATIVE_CHANGE * Math.max(1, previous.roomIn()));
     }
 
     // ---- after a round ----
 
     /** Processes the actions of a round and returns the actions to carry out in addition to them. */
-    public List<Action> after(double now, List<Action> actions) {
+    public List<Action> afterDecision(double now, List<Action> actions) {
         for (Action action : actions) {
             if (action instanceof Send send) {
                 int attempt = attemptsByMessage.merge(send.message(), 1, Integer::sum) - 1;
@@ -329,14 +329,14 @@
         }
         List<Action> additionalActions = new ArrayList<>(stateChangeLogs);
         stateChangeLogs.clear();
-        if (moduleSettings.allowed().probes() && out() > 0) {
+        if (moduleSettings.limits().mayProbe() && outageCount() > 0) {
             addProbes(now, additionalActions);
         }
-        if (now >= nextNoteAt && moduleSettings.allowed().notes() && moduleSettings.senders() > 1) {
+        if (now >= nextNoteAt && moduleSettings.limits().mayNotify() && moduleSettings.senders() > 1) {
             StormNote note = createNote(now);
             if (note != null) {
-                additionalActions.add(new Note(-1, note.encode()));
-                nextNoteAt = now + settings.noteEvery();
+                additionalActions.add(new SendNote(-1, note.encode()));
+                nextNoteAt = now + settings.noteIntervalSeconds();
             }
         }
         return additionalActions;
@@ -353,7 +353,7 @@
             if (storm != null) {
                 double maxProbesPerSecond = Math.min(
                         MAX_PROBES_PER_SECOND,
-                        PROBE_FRACTION_OF_COLD_RATE * moduleSettings.rules().coldFrom() * storm.statedRate());
+                        PROBE_FRACTION_OF_COLD_RATE * moduleSettings.rules().coldShare() * storm.statedRate());
                 if (maxProbesPerSecond > 0
                         && storm.startProbeIfDue(
                                 now,
@@ -439,18 +439,19 @@
         return (long) relay << 32 | destination & 0xffffffffL;
     }
 
-    private void applyNote(double now, Noted noted) {
-        StormNote note = StormNote.decode(noted.note());
+    private void applyNote(double now, NoteReceived received) {
+        StormNote note = StormNote.decode(received.note());
         if (note == null
-                || noted.from() == relayNumber
-                || noted.from() < 0
-                || noted.from() >= moduleSettings.senders()
-                || !shares.noteReceived(noted.from(), note.sentAt(), clockOffsetSeconds + now)) {
+                || received.from() == relayNumber
+                || received.from() < 0
+                || received.from() >= moduleSettings.senders()
+                || !shares.noteReceived(received.from(), note.sentAt(), clockOffsetSeconds + now)) {
             return; // another version, damaged, duplicated or out of order
         }
         for (StormNote.Entry entry : note.entries()) {
             peerPending.put(
-                    peerKey(noted.from(), entry.destination()), new PeerPending(noted.from(), entry.pending(), now));
+                    peerKey(received.from(), entry.destination()),
+                    new PeerPending(received.from(), entry.pending(), now));
             DestinationStorm storm = destinations.get(entry.destination());
             if (storm == null) {
                 continue; // unknown destination: never listed at this relay
@@ -463,7 +464,7 @@
             }
             if (entry.borrower() == relayNumber) {
                 shares.borrow(
-                        noted.from(),
+                        received.from(),
                         entry.destination(),
                         entry.lentFraction(),
                         entry.echo(),
@@ -488,7 +489,7 @@
     }
 
     /** Number of destinations in an outage. */
-    public int out() {
+    public int outageCount() {
         return (int) activeStorms().filter(DestinationStorm::inOutage).count();
     }
 
@@ -502,7 +503,7 @@
     }
 
     /** Number of state changes since the start. */
-    public long changes() {
+    public long stateChangeCount() {
         return stateChanges;
     }
 }
--- a/src/main/java/juniperusher/storm/StormSettings.java
+++ b/src/main/java/juniperusher/storm/StormSettings.java
@@ -14,7 +14,7 @@
  * @param pendingShare fraction of the relay's maximum of pending messages that one destination in a storm may use while
  *     the relay is loaded
  * @param rateMargin fraction of the accepted rate of a destination that is sent to it during a storm
- * @param noteEvery seconds between two peer notes during a storm
+ * @param noteIntervalSeconds seconds between two peer notes during a storm
  */
 public record StormSettings(
         double outageAfterSeconds,
@@ -25,9 +25,9 @@
         double quietSeconds,
         double pendingShare,
         double rateMargin,
-        double noteEvery) {
+        double noteIntervalSeconds) {
     /** Default settings. */
-    public static final StormSettings USUAL = new StormSettings(1.5, 0.3, 0.1, 3, 0.5, 2, 0.4, 1, 0.25);
+    public static final StormSettings DEFAULT = new StormSettings(1.5, 0.3, 0.1, 3, 0.5, 2, 0.4, 1, 0.25);
 
     public StormSettings {
         positive("outage_after", outageAfterSeconds);
@@ -38,7 +38,7 @@
         positive("quiet", quietSeconds);
         share("held_share", pendingShare);
         share("margin", rateMargin);
-        positive("note_every", noteEvery);
+        positive("note_every", noteIntervalSeconds);
         if (resubmittedShareCalm >= resubmittedShare || pendingSecondsCalm >= pendingSeconds) {
             throw new IllegalArgumentException("again_calm must be below again_share, and owed_calm below "
                     + "owed_seconds; otherwise a storm would begin and end repeatedly");
--- a/src/test/java/juniperusher/AcknowledgedOrderTest.java
+++ b/src/test/java/juniperusher/AcknowledgedOrderTest.java
@@ -10,8 +10,8 @@
 import juniperusher.Protocol.Action;
 import juniperusher.Protocol.AnswerAcknowledged;
 import juniperusher.Protocol.AnswerPending;
-import juniperusher.Protocol.Arrived;
 import juniperusher.Protocol.Message;
+import juniperusher.Protocol.MessageAccepted;
 import juniperusher.Protocol.Outcome;
 import juniperusher.Protocol.Refuse;
 import org.junit.jupiter.api.Test;
@@ -25,12 +25,12 @@
     private final ControlHarness harness =
             new ControlHarness(ControlHarness.settings(), ControlHarness.target(1, DESTINATION, 0, 0));
 
-    private static Arrived message(int id, double timeLeft, int attempts, long takenAt) {
-        return new Arrived(
+    private static MessageAccepted message(int id, double timeLeft, int attempts, long takenAt) {
+        return new MessageAccepted(
                 new Message(id, ORDERED_CLASS, 0, DESTINATION, KEY, timeLeft, attempts, null, false, takenAt, true));
     }
 
-    private static Arrived message(int id) {
+    private static MessageAccepted message(int id) {
         return message(id, 20, 0, 0);
     }
 
@@ -90,7 +90,7 @@
     @Test
     void messagesBehindAnUnacknowledgedAnswerAreRefusedInTimeAndNotSent() {
         acceptTwoAndRefuseTheFirst();
-        List<Arrived> chain = new ArrayList<>();
+        List<MessageAccepted> chain = new ArrayList<>();
         for (int id = 11; id <= 20; id++) {
             chain.add(message(id, id - 10, 0, 0));
         }
--- a/src/test/java/juniperusher/ControlHarness.java
+++ b/src/test/java/juniperusher/ControlHarness.java
@@ -9,27 +9,27 @@
 import java.util.List;
 import java.util.Map;
 import juniperusher.Protocol.Action;
-import juniperusher.Protocol.Allowed;
-import juniperusher.Protocol.Arrived;
+import juniperusher.Protocol.AttemptEnded;
+import juniperusher.Protocol.DestinationKind;
 import juniperusher.Protocol.Effect;
-import juniperusher.Protocol.Ended;
 import juniperusher.Protocol.Event;
 import juniperusher.Protocol.Fail;
-import juniperusher.Protocol.Kind;
+import juniperusher.Protocol.LoadReport;
 import juniperusher.Protocol.Message;
+import juniperusher.Protocol.MessageAccepted;
 import juniperusher.Protocol.MessageClass;
 import juniperusher.Protocol.Outcome;
 import juniperusher.Protocol.Phase;
 import juniperusher.Protocol.Refuse;
-import juniperusher.Protocol.Report;
 import juniperusher.Protocol.Rules;
 import juniperusher.Protocol.Send;
+import juniperusher.Protocol.SenderLimits;
+import juniperusher.Protocol.SetTimer;
 import juniperusher.Protocol.Settings;
 import juniperusher.Protocol.Target;
 import juniperusher.Protocol.TargetList;
-import juniperusher.Protocol.WakeAt;
+import juniperusher.Protocol.TimerFired;
 import juniperusher.Protocol.Weight;
-import juniperusher.Protocol.Woken;
 
 /**
  * Passes events to a {@link Control}, fires its timer between them, and checks each action against the rules: each
@@ -47,11 +47,11 @@
     static final int KEYED_ZONE_CLASS = 2;
     static final int UNSAFE_CLASS = 3;
     static final int ORDERED_CLASS = 4;
-    static final Kind PLAIN = new Kind(1, false);
-    static final Kind BATCHED = new Kind(5, false);
-    static final Kind SEPARATE_ROUTES = new Kind(1, true);
+    static final DestinationKind PLAIN = new DestinationKind(1, false);
+    static final DestinationKind BATCHED = new DestinationKind(5, false);
+    static final DestinationKind SEPARATE_ROUTES = new DestinationKind(1, true);
     static final Rules RULES = new Rules(0.25, 0.2, 12, 2, 1.5, 0.5, 10);
-    static final Allowed ALLOWED = new Allowed(8, 100, 20, true, false, false, false, true, 2, 1, 10);
+    static final SenderLimits ALLOWED = new SenderLimits(8, 100, 20, true, false, false, false, true, 2, 1, 10);
 
     /** State of a message as seen from outside. */
     private static final class MessageState {
@@ -83,8 +83,8 @@
         play(new TargetList(true, List.of(targets)));
     }
 
-    static Settings settings(Allowed allowed, boolean askForList, Weight weight) {
-        return settings(1, allowed, askForList, weight);
+    static Settings settings(SenderLimits limits, boolean watchesList, Weight weight) {
+        return settings(1, limits, watchesList, weight);
     }
 
     /** Settings of one of many senders, each of which makes few calls. */
@@ -92,8 +92,8 @@
         return settings(senders, ALLOWED, false, Weight.NONE);
     }
 
-    private static Settings settings(int senders, Allowed allowed, boolean askForList, Weight weight) {
-        return settings(senders, allowed, askForList, weight, RULES);
+    private static Settings settings(int senders, SenderLimits limits, boolean watchesList, Weight weight) {
+        return settings(senders, limits, watchesList, weight, RULES);
     }
 
     /** Settings whose recovering destinations collapse after another time of overload than that of {@link #RULES}. */
@@ -105,26 +105,27 @@
                 Weight.NONE,
                 new Rules(
                         RULES.drainGrace(),
-                        RULES.coldFrom(),
-                        RULES.warmWithin(),
-                        RULES.tipMultiple(),
+                        RULES.coldShare(),
+                        RULES.warmUp(),
+                        RULES.overloadFactor(),
                         tipAfter,
                         RULES.keyQuiet(),
-                        RULES.askWithin()));
+                        RULES.listMaxAge()));
     }
 
-    private static Settings settings(int senders, Allowed allowed, boolean askForList, Weight weight, Rules rules) {
+    private static Settings settings(
+            int senders, SenderLimits limits, boolean watchesList, Weight weight, Rules rules) {
         return new Settings(
                 senders,
                 0,
-                askForList,
+                watchesList,
                 weight,
                 1,
                 false,
                 0,
                 List.of(0.0, 0.0),
                 rules,
-                allowed,
+                limits,
                 List.of(SAFE, KEYED, KEYED_ZONE, UNSAFE, ORDERED),
                 List.of(PLAIN, BATCHED, SEPARATE_ROUTES),
                 List.of());
@@ -142,12 +143,12 @@
         return new Target(target.id(), target.destination(), target.kind(), target.zone(), target.weight(), phase);
     }
 
-    static Arrived message(int id, int messageClass, int destination) {
+    static MessageAccepted message(int id, int messageClass, int destination) {
         return message(id, messageClass, destination, 0);
     }
 
-    static Arrived message(int id, int messageClass, int destination, long key) {
-        return new Arrived(new Message(id, messageClass, 0, destination, key, 20));
+    static MessageAccepted message(int id, int messageClass, int destination, long key) {
+        return new MessageAccepted(new Message(id, messageClass, 0, destination, key, 20));
     }
 
     /** Passes events at the current time; returns the actions except timers and log lines. */
@@ -157,10 +158,10 @@
             observe(event);
         }
         for (Action action : control.decide(now, List.of(events))) {
-            if (action instanceof WakeAt wake) {
-                assertTrue(wake.time() > now, "timer set in the past");
-                timerAt = wake.time();
-                timerToken = wake.token();
+            if (action instanceof SetTimer timer) {
+                assertTrue(timer.time() > now, "timer set in the past");
+                timerAt = timer.time();
+                timerToken = timer.token();
             } else if (!(action instanceof Protocol.Log)) {
                 check(action);
                 actions.add(action);
@@ -175,7 +176,7 @@
         while (timerAt <= time) {
             now = Math.max(now, timerAt);
             timerAt = Double.POSITIVE_INFINITY;
-            actions.addAll(play(new Woken(timerToken)));
+            actions.addAll(play(new TimerFired(timerToken)));
         }
         now = time;
         return actions;
@@ -186,15 +187,15 @@
         return endAttempt(message, outcome, 0, null);
     }
 
-    List<Action> endAttempt(int message, Outcome outcome, double retryAfter, Report report) {
+    List<Action> endAttempt(int message, Outcome outcome, double retryAfter, LoadReport report) {
         return play(endOfAttempt(message, outcome, retryAfter, report));
     }
 
     /** The event that ends the last attempt of a message. */
-    Ended endOfAttempt(int message, Outcome outcome, double retryAfter, Report report) {
+    AttemptEnded endOfAttempt(int message, Outcome outcome, double retryAfter, LoadReport report) {
         MessageState state = messages.get(message);
         boolean over = outcome == Outcome.DELIVERED || state.finished;
-        return new Ended(message, state.attempts - 1, state.lastTarget, outcome, 0.1, over, retryAfter, report);
+        return new AttemptEnded(message, state.attempts - 1, state.lastTarget, outcome, 0.1, over, retryAfter, report);
     }
 
     /** The sends among the actions. */
@@ -211,37 +212,37 @@
     }
 
     private void observe(Event event) {
-        if (event instanceof Arrived a) {
+        if (event instanceof MessageAccepted a) {
             MessageState state = new MessageState();
             state.message = a.message();
             state.deadline = now + a.message().timeLeft();
             state.attempts = a.message().attempts();
             messages.put(a.message().id(), state);
         } else if (event instanceof TargetList list) {
-            if (list.whole()) {
+            if (list.fullList()) {
                 listedTargets.clear();
             }
             list.targets().forEach(t -> listedTargets.put(t.id(), t));
-        } else if (event instanceof Protocol.Withdrawn w && messages.containsKey(w.message())) {
+        } else if (event instanceof Protocol.MessageWithdrawn w && messages.containsKey(w.message())) {
             messages.get(w.message()).finished = true;
             messages.get(w.message()).withdrawn = true;
-        } else if (event instanceof Ended e && messages.containsKey(e.message())) {
+        } else if (event instanceof AttemptEnded e && messages.containsKey(e.message())) {
             MessageState state = messages.get(e.message());
             if (e.attempt() != state.attempts - 1 || !state.inFlight) {
                 return;
             }
             state.inFlight = false;
             attemptsInFlight--;
-            if (e.over()) {
+            if (e.finished()) {
                 state.finished = true;
             }
             if (!e.outcome().neverRan() && Double.isNaN(state.mayHaveRunSince)) {
                 state.mayHaveRunSince = now - e.elapsed();
                 state.mayHaveRunZone = listedTargets.get(e.target()).zone();
             }
-            if (e.told() > 0) {
+            if (e.retryAfter() > 0) {
                 Target target = listedTargets.get(e.target());
-                retryAfterUntil.merge(retryAfterScope(target), now + e.told(), Math::max);
+                retryAfterUntil.merge(retryAfterScope(target), now + e.retryAfter(), Math::max);
             }
             if (e.outcome() == Outcome.TIMED_OUT || e.outcome() == Outcome.RESET || e.outcome() == Outcome.CANCELLED) {
                 quietUntil.put(state.message.key(), now + settings.rules().keyQuiet());
@@ -251,7 +252,7 @@
 
     /** The destination or, where routes are separate, the target to which a retry-after delay applies. */
     private int retryAfterScope(Target target) {
-        return settings.kinds().get(target.kind()).apart() ? target.id() : -1 - target.destination();
+        return settings.kinds().get(target.kind()).separateRoutes() ? target.id() : -1 - target.destination();
     }
 
     private void check(Action action) {
@@ -267,11 +268,11 @@
         } else if (action instanceof Fail fail) {
             markAnswered(fail.message());
         } else if (action instanceof Protocol.Probe) {
-            assertTrue(settings.allowed().probes(), "probe sent although not allowed");
-        } else if (action instanceof Protocol.Note) {
-            assertTrue(settings.allowed().notes(), "note sent although not allowed");
-        } else if (action instanceof Protocol.Cancel) {
-            assertTrue(settings.allowed().cancel(), "attempt cancelled although not allowed");
+            assertTrue(settings.limits().mayProbe(), "probe sent although not allowed");
+        } else if (action instanceof Protocol.SendNote) {
+            assertTrue(settings.limits().mayNotify(), "note sent although not allowed");
+        } else if (action instanceof Protocol.CancelAttempt) {
+            assertTrue(settings.limits().mayCancel(), "attempt cancelled although not allowed");
         }
     }
 
@@ -304,7 +305,7 @@
             boolean arrivedBefore = true;
             for (MessageState other : messages.values()) {
                 arrivedBefore &= other != state;
-                int acceptance = Long.compare(other.message.takenAt(), state.message.takenAt());
+                int acceptance = Long.compare(other.message.acceptedAt(), state.message.acceptedAt());
                 boolean before = other != state && (acceptance < 0 || acceptance == 0 && arrivedBefore);
                 assertFalse(
                         before && other.message.key() == state.message.key() && (!other.finished || other.inFlight),
@@ -315,7 +316,7 @@
                     "sent in the quiet time of its key");
         }
         state.attempts++;
-        assertTrue(state.attempts <= settings.allowed().attempts(), "too many attempts");
+        assertTrue(state.attempts <= settings.limits().maxAttempts(), "too many attempts");
         state.inFlight = true;
         state.lastTarget = send.target();
         attemptsInFlight++;
--- a/src/test/java/juniperusher/ControlTest.java
+++ b/src/test/java/juniperusher/ControlTest.java
@@ -22,24 +22,24 @@
 import java.util.TreeSet;
 import java.util.stream.Collectors;
 import juniperusher.Protocol.Action;
-import juniperusher.Protocol.Advised;
-import juniperusher.Protocol.Allowed;
-import juniperusher.Protocol.Cancel;
-import juniperusher.Protocol.Ended;
+import juniperusher.Protocol.AttemptEnded;
+import juniperusher.Protocol.CancelAttempt;
+import juniperusher.Protocol.DestinationAdvice;
 import juniperusher.Protocol.Event;
 import juniperusher.Protocol.Fail;
-import juniperusher.Protocol.ListFailed;
+import juniperusher.Protocol.LoadReport;
+import juniperusher.Protocol.MessageWithdrawn;
 import juniperusher.Protocol.Outcome;
 import juniperusher.Protocol.Phase;
 import juniperusher.Protocol.Refuse;
-import juniperusher.Protocol.Report;
 import juniperusher.Protocol.Send;
+import juniperusher.Protocol.SenderLimits;
+import juniperusher.Protocol.SetListWatch;
 import juniperusher.Protocol.Target;
 import juniperusher.Protocol.TargetList;
-import juniperusher.Protocol.Watch;
+import juniperusher.Protocol.TimerFired;
+import juniperusher.Protocol.WatchFailed;
 import juniperusher.Protocol.Weight;
-import juniperusher.Protocol.Withdrawn;
-import juniperusher.Protocol.Woken;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -54,8 +54,8 @@
         return new ControlHarness(ControlHarness.settings(), target(1, 9, PLAIN, 0));
     }
 
-    private static Allowed allowed(int attempts, int held, int calls) {
-        return new Allowed(attempts, held, calls, false, false, false, false, true, 2, 1, 10);
+    private static SenderLimits limits(int maxAttempts, int maxPending, int maxCalls) {
+        return new SenderLimits(maxAttempts, maxPending, maxCalls, false, false, false, false, true, 2, 1, 10);
     }
 
     // ---- sending and backoff ----
@@ -119,7 +119,7 @@
     @Test
     void messageIsRefusedAfterTheMaximumOfAttempts() {
         ControlHarness harness = new ControlHarness(
-                ControlHarness.settings(allowed(2, 100, 20), false, Weight.NONE), target(1, 9, PLAIN, 0));
+                ControlHarness.settings(limits(2, 100, 20), false, Weight.NONE), target(1, 9, PLAIN, 0));
         harness.play(message(1, KEYED_CLASS, 9));
         harness.endAttempt(1, Outcome.FULL);
         assertEquals(List.of(1), sentIds(harness.advanceTo(1)));
@@ -143,12 +143,12 @@
 
     @Test
     void rateLimitReturnsToTheReportedShareIfOthersUseLittle() {
-        assertEquals(1, sentAfterReport(new Report(400, 0.1)), "the limit is used up by others");
-        assertTrue(sentAfterReport(new Report(400, 0.9)) > 10, "most of the limit is left");
+        assertEquals(1, sentAfterReport(new LoadReport(400, 0.1)), "the limit is used up by others");
+        assertTrue(sentAfterReport(new LoadReport(400, 0.9)) > 10, "most of the limit is left");
     }
 
     /** Number of 40 messages that are sent at once, 2 s after a report that follows a cut of the rate limit. */
-    private static int sentAfterReport(Report report) {
+    private static int sentAfterReport(LoadReport report) {
         ControlHarness harness = harnessWithOneTarget();
         harness.play(message(1, SAFE_CLASS, 9));
         harness.endAttempt(1, Outcome.FULL);
@@ -282,7 +282,7 @@
     void withdrawnMessageBlocksItsKeyUntilItsAttemptEnds() {
         ControlHarness harness = harnessWithOneTarget();
         harness.play(message(1, ORDERED_CLASS, 9, 5), message(2, ORDERED_CLASS, 9, 5));
-        assertEquals(List.of(), harness.play(new Withdrawn(1)));
+        assertEquals(List.of(), harness.play(new MessageWithdrawn(1)));
         assertEquals(List.of(2), sentIds(harness.endAttempt(1, Outcome.DELIVERED)));
     }
 
@@ -311,10 +311,10 @@
     @Test
     void listIsWatchedAndWatchedAgainAfterAFailure() {
         Control control = new Control(ControlHarness.settings(ControlHarness.ALLOWED, true, Weight.NONE), 1);
-        assertTrue(control.decide(0, List.of(new TargetList(true, List.of()))).contains(new Watch(true)));
-        List<Action> actions = control.decide(1, List.of(new ListFailed()));
-        assertFalse(actions.contains(new Watch(true)));
-        assertTrue(control.decide(1.6, List.of(new Woken(1))).contains(new Watch(true)));
+        assertTrue(control.decide(0, List.of(new TargetList(true, List.of()))).contains(new SetListWatch(true)));
+        List<Action> actions = control.decide(1, List.of(new WatchFailed()));
+        assertFalse(actions.contains(new SetListWatch(true)));
+        assertTrue(control.decide(1.6, List.of(new TimerFired(1))).contains(new SetListWatch(true)));
     }
 
     // ---- rate limit ----
@@ -342,7 +342,7 @@
         ControlHarness harness = new ControlHarness(
                 ControlHarness.settings(ControlHarness.ALLOWED, false, Weight.ROUGH), target(1, 9, PLAIN, 0));
         harness.play(message(1, SAFE_CLASS, 9));
-        harness.endAttempt(1, Outcome.DELIVERED, 0, new Report(0, 0));
+        harness.endAttempt(1, Outcome.DELIVERED, 0, new LoadReport(0, 0));
         Event[] many = new Event[8];
         for (int i = 0; i < many.length; i++) {
             many[i] = message(20 + i, SAFE_CLASS, 9);
@@ -358,11 +358,11 @@
     void firstCutUsesTheListedRateIfNoLimitIsReported() {
         Target large = new Target(1, 9, PLAIN, 0, 60, Phase.READY);
         ControlHarness harness =
-                new ControlHarness(ControlHarness.settings(allowed(8, 100, 100), false, Weight.ROUGH), large);
+                new ControlHarness(ControlHarness.settings(limits(8, 100, 100), false, Weight.ROUGH), large);
         harness.play(message(1, SAFE_CLASS, 9));
-        harness.endAttempt(1, Outcome.DELIVERED, 0, new Report(0, 0));
+        harness.endAttempt(1, Outcome.DELIVERED, 0, new LoadReport(0, 0));
         harness.play(message(2, SAFE_CLASS, 9));
-        harness.endAttempt(2, Outcome.FULL, 0, new Report(0, 0));
+        harness.endAttempt(2, Outcome.FULL, 0, new LoadReport(0, 0));
         Event[] many = new Event[60];
         for (int i = 0; i < many.length; i++) {
             many[i] = message(20 + i, SAFE_CLASS, 9);
@@ -428,8 +428,9 @@
         for (int i = 1; i <= 30; i++) {
             harness.play(message(i, SAFE_CLASS, 9));
         }
-        assertEquals(List.of(), sentIds(harness.play(new Advised(9, 2, 100, 0, false))), "the breaker is open");
-        List<Integer> sent = new ArrayList<>(sentIds(harness.play(new Advised(9, 2, 100, 0, true))));
+        assertEquals(
+                List.of(), sentIds(harness.play(new DestinationAdvice(9, 2, 100, 0, false))), "the breaker is open");
+        List<Integer> sent = new ArrayList<>(sentIds(harness.play(new DestinationAdvice(9, 2, 100, 0, true))));
         sent.addAll(sentIds(harness.advanceTo(harness.now + 2)));
         assertTrue(sent.size() >= 2 && sent.size() <= 5, "the rate is two per second; sent: " + sent);
     }
@@ -439,8 +440,8 @@
         ControlHarness harness = harnessWithOneTarget();
         harness.play(message(1, SAFE_CLASS, 9));
         harness.endAttempt(1, Outcome.FULL, 5, null);
-        harness.play(message(2, SAFE_CLASS, 9), new Advised(9, 10, 100, 0, false));
-        assertEquals(List.of(), sentIds(harness.play(new Advised(9, 10, 100, 0, true))));
+        harness.play(message(2, SAFE_CLASS, 9), new DestinationAdvice(9, 10, 100, 0, false));
+        assertEquals(List.of(), sentIds(harness.play(new DestinationAdvice(9, 10, 100, 0, true))));
         assertEquals(List.of(), sentIds(harness.advanceTo(harness.now + 4.9)));
     }
 
@@ -519,9 +520,9 @@
 
     @Test
     void callsToAnUnresponsiveDestinationAreCancelledIfSlotsAreScarce() {
-        Allowed allowed = new Allowed(8, 100, 6, true, false, false, false, true, 2, 1, 10);
+        SenderLimits limits = new SenderLimits(8, 100, 6, true, false, false, false, true, 2, 1, 10);
         ControlHarness harness = new ControlHarness(
-                ControlHarness.settings(allowed, false, Weight.NONE), target(1, 9, PLAIN, 0), target(2, 8, PLAIN, 0));
+                ControlHarness.settings(limits, false, Weight.NONE), target(1, 9, PLAIN, 0), target(2, 8, PLAIN, 0));
         harness.play(
                 message(1, SAFE_CLASS, 9),
                 message(2, SAFE_CLASS, 9),
@@ -529,13 +530,13 @@
                 message(4, SAFE_CLASS, 8));
         harness.advanceTo(1.5);
         List<Action> actions = harness.play(message(5, SAFE_CLASS, 9));
-        assertEquals(List.of(new Protocol.Cancel(1, 0), new Protocol.Cancel(2, 0)), actions);
+        assertEquals(List.of(new Protocol.CancelAttempt(1, 0), new Protocol.CancelAttempt(2, 0)), actions);
     }
 
     @Test
     void trialThatWaitedTooLongGetsTheNextFreeSlot() {
         ControlHarness harness = new ControlHarness(
-                ControlHarness.settings(allowed(8, 100, 2), false, Weight.NONE),
+                ControlHarness.settings(limits(8, 100, 2), false, Weight.NONE),
                 target(1, 9, PLAIN, 0),
                 target(2, 8, PLAIN, 0));
         for (int i = 1; i <= 4; i++) {
@@ -569,7 +570,7 @@
     @Test
     void noDestinationUsesAllSlots() {
         ControlHarness harness = new ControlHarness(
-                ControlHarness.settings(allowed(8, 100, 10), false, Weight.NONE),
+                ControlHarness.settings(limits(8, 100, 10), false, Weight.NONE),
                 target(1, 9, PLAIN, 0),
                 target(2, 8, PLAIN, 0));
         Event[] many = new Event[20];
@@ -582,7 +583,7 @@
 
     @Test
     void messagesAreRefusedBeforeThePendingLimitIsReached() {
-        ControlHarness harness = new ControlHarness(ControlHarness.settings(allowed(8, 20, 10), false, Weight.NONE));
+        ControlHarness harness = new ControlHarness(ControlHarness.settings(limits(8, 20, 10), false, Weight.NONE));
         int refused = 0;
         for (int i = 1; i <= 25; i++) {
             refused += harness.play(message(i, SAFE_CLASS, 9)).size();
@@ -592,7 +593,7 @@
 
     @Test
     void messagesAreRefusedWhereMostArePending() {
-        ControlHarness harness = new ControlHarness(ControlHarness.settings(allowed(8, 20, 10), false, Weight.NONE));
+        ControlHarness harness = new ControlHarness(ControlHarness.settings(limits(8, 20, 10), false, Weight.NONE));
         harness.play(message(100, SAFE_CLASS, 8));
         for (int i = 1; i <= 24; i++) {
             harness.play(message(i, SAFE_CLASS, 9));
@@ -603,7 +604,7 @@
     @Test
     void sendsOfARoundToOneTargetShareACallAndASlot() {
         ControlHarness harness = new ControlHarness(
-                ControlHarness.settings(allowed(8, 100, 2), false, Weight.NONE), target(1, 9, BATCHED, 0));
+                ControlHarness.settings(limits(8, 100, 2), false, Weight.NONE), target(1, 9, BATCHED, 0));
         Event[] many = new Event[12];
         for (int i = 0; i < many.length; i++) {
             many[i] = message(i + 1, SAFE_CLASS, 9);
@@ -624,7 +625,9 @@
                 target(3, 7, SEPARATE_ROUTES, 0));
         harness.play(message(1, SAFE_CLASS, 8));
         assertEquals(
-                List.of(), harness.endAttempt(1, Outcome.DELIVERED, 0, new Report(100, 0.9)), "no table was full yet");
+                List.of(),
+                harness.endAttempt(1, Outcome.DELIVERED, 0, new LoadReport(100, 0.9)),
+                "no table was full yet");
         harness.play(message(2, SAFE_CLASS, 9));
         assertEquals(
                 List.of(new Protocol.CloseIdle(1)), harness.endAttempt(2, Outcome.FULL), "refused by a full table");
@@ -632,7 +635,7 @@
         assertEquals(List.of(), harness.endAttempt(3, Outcome.DELIVERED), "another call is in flight there");
         assertEquals(List.of(new Protocol.CloseIdle(2)), harness.endAttempt(4, Outcome.DELIVERED));
         assertEquals(List.of(), harness.endAttempt(5, Outcome.DELIVERED), "another kind");
-        assertEquals(List.of(new Protocol.CloseIdle(2)), harness.play(new Protocol.Probed(2, true, false, 0.1)));
+        assertEquals(List.of(new Protocol.CloseIdle(2)), harness.play(new Protocol.ProbeEnded(2, true, false, 0.1)));
         harness.advanceTo(31);
         harness.play(message(6, SAFE_CLASS, 8));
         assertEquals(List.of(), harness.endAttempt(6, Outcome.DELIVERED), "more than 30 s after the refusal");
@@ -660,8 +663,8 @@
         for (boolean reports : List.of(true, false)) {
             ControlHarness harness = harnessWithOneTarget();
             harness.play(message(1, SAFE_CLASS, 9), message(2, SAFE_CLASS, 9));
-            harness.endAttempt(1, Outcome.DELIVERED, 0, reports ? new Report(100, 0.9) : null);
-            harness.endAttempt(2, Outcome.FULL, 0, reports ? new Report(100, 0) : null);
+            harness.endAttempt(1, Outcome.DELIVERED, 0, reports ? new LoadReport(100, 0.9) : null);
+            harness.endAttempt(2, Outcome.FULL, 0, reports ? new LoadReport(100, 0) : null);
             harness.advanceTo(2);
             harness.play(message(3, SAFE_CLASS, 9));
             assertEquals(
@@ -672,10 +675,10 @@
     /** A full table cut the rate limit to 1.6 calls per second at a destination that handles 185 from 60 senders. */
     @Test
     void fullConnectionTableCutsNoRateLimitAndIsRetriedSoon() {
-        for (Report report : Arrays.asList(null, new Report(100, 0.9))) {
+        for (LoadReport report : Arrays.asList(null, new LoadReport(100, 0.9))) {
             ControlHarness harness = new ControlHarness(ControlHarness.settings(60), target(1, 9, PLAIN, 0));
             harness.play(message(1, SAFE_CLASS, 9));
-            harness.endAttempt(1, Outcome.DELIVERED, 0, new Report(100, 0.9));
+            harness.endAttempt(1, Outcome.DELIVERED, 0, new LoadReport(100, 0.9));
             harness.play(message(2, SAFE_CLASS, 9));
             harness.endAttempt(2, Outcome.FULL, 0, report);
             int more = sends(harness.play(message(3, SAFE_CLASS, 9), message(4, SAFE_CLASS, 9)))
@@ -696,7 +699,7 @@
     void refusalsWithoutReportsAndSuccessesOpenTheBreaker() {
         ControlHarness harness = new ControlHarness(ControlHarness.settings(60), target(1, 9, PLAIN, 0));
         harness.play(message(1, SAFE_CLASS, 9));
-        harness.endAttempt(1, Outcome.DELIVERED, 0, new Report(100, 0.9));
+        harness.endAttempt(1, Outcome.DELIVERED, 0, new LoadReport(100, 0.9));
         for (int i = 2; i < 14; i++) {
             List<Send> out = new ArrayList<>(sends(harness.advanceTo(3 + i * 0.5)));
             out.addAll(sends(harness.play(message(i, SAFE_CLASS, 9))));
@@ -794,7 +797,7 @@
         ControlHarness harness = new ControlHarness(ControlHarness.settings(senders), target(1, 9, PLAIN, 0));
         harness.play(message(1, UNSAFE_CLASS, 9));
         harness.endAttempt(1, outcome);
-        harness.play(new Withdrawn(1));
+        harness.play(new MessageWithdrawn(1));
         harness.advanceTo(1);
         if (successBetween) {
             harness.play(message(2, SAFE_CLASS, 9));
@@ -803,7 +806,7 @@
         harness.advanceTo(2);
         harness.play(message(3, UNSAFE_CLASS, 9));
         harness.endAttempt(3, outcome);
-        harness.play(new Withdrawn(3));
+        harness.play(new MessageWithdrawn(3));
         return sentIds(harness.play(message(4, SAFE_CLASS, 9))).isEmpty();
     }
 
@@ -824,11 +827,11 @@
         ControlHarness harness = new ControlHarness(ControlHarness.settings(1, tipAfter), target(1, 9, PLAIN, 0));
         harness.play(message(1, UNSAFE_CLASS, 9));
         harness.endAttempt(1, Outcome.NOT_CONNECTED);
-        harness.play(new Withdrawn(1));
+        harness.play(new MessageWithdrawn(1));
         harness.advanceTo(2);
         harness.play(message(2, UNSAFE_CLASS, 9));
         harness.endAttempt(2, Outcome.NOT_CONNECTED);
-        harness.play(new Withdrawn(2));
+        harness.play(new MessageWithdrawn(2));
         harness.play(message(3, SAFE_CLASS, 9));
         harness.endAttempt(3, Outcome.DELIVERED);
         List<Action> actions = new java.util.ArrayList<>(harness.play(
@@ -871,13 +874,13 @@
         harness.play(message(3, SAFE_CLASS, 9));
         harness.endAttempt(3, Outcome.DELIVERED);
         List<Action> actions = new ArrayList<>(harness.advanceTo(2));
-        assertFalse(actions.stream().anyMatch(Cancel.class::isInstance), "slots are free");
+        assertFalse(actions.stream().anyMatch(CancelAttempt.class::isInstance), "slots are free");
         for (int i = 4; i < 60; i++) {
             actions.addAll(harness.play(message(i, SAFE_CLASS, 7 + i % 3)));
         }
         assertEquals(
-                Set.of(new Cancel(1, 0)),
-                actions.stream().filter(Cancel.class::isInstance).collect(Collectors.toSet()),
+                Set.of(new CancelAttempt(1, 0)),
+                actions.stream().filter(CancelAttempt.class::isInstance).collect(Collectors.toSet()),
                 "no later call to the target of the second succeeded");
     }
 
@@ -928,7 +931,7 @@
         for (int i = 1; i <= 50; i++) {
             harness.play(message(i, ORDERED_CLASS, 9, i));
             harness.endAttempt(i, i % 2 == 0 ? Outcome.TIMED_OUT : Outcome.DELIVERED);
-            harness.play(new Withdrawn(i));
+            harness.play(new MessageWithdrawn(i));
             harness.advanceTo(harness.now + 1);
         }
         harness.play();
@@ -943,17 +946,17 @@
     void lateRepeatedAndUnknownEventsAreIgnored() {
         ControlHarness harness = harnessWithOneTarget();
         harness.play(message(1, SAFE_CLASS, 9));
-        Ended once = harness.endOfAttempt(1, Outcome.DELIVERED, 0, null);
+        AttemptEnded once = harness.endOfAttempt(1, Outcome.DELIVERED, 0, null);
         harness.play(once);
         assertEquals(
                 List.of(),
                 harness.play(
                         once,
-                        new Ended(77, 0, 1, Outcome.ERROR, 0, false, 0, null),
-                        new Woken(99),
-                        new Withdrawn(1),
-                        new Withdrawn(78),
-                        new Ended(1, 5, 66, Outcome.FULL, 0, false, 1, null)));
+                        new AttemptEnded(77, 0, 1, Outcome.ERROR, 0, false, 0, null),
+                        new TimerFired(99),
+                        new MessageWithdrawn(1),
+                        new MessageWithdrawn(78),
+                        new AttemptEnded(1, 5, 66, Outcome.FULL, 0, false, 1, null)));
         assertEquals(0, harness.attemptsInFlight());
     }
 
@@ -966,7 +969,7 @@
 
     @Test
     void invalidSettingIsNamedInTheException() {
-        String message = assertThrows(IllegalArgumentException.class, () -> allowed(0, 1, 1))
+        String message = assertThrows(IllegalArgumentException.class, () -> limits(0, 1, 1))
                 .getMessage();
         assertTrue(message.contains("attempts"), message);
     }
--- a/src/test/java/juniperusher/cli/RemoteWriteTest.java
+++ b/src/test/java/juniperusher/cli/RemoteWriteTest.java
@@ -106,7 +106,7 @@
                                 }
 
                                 @Override
-                                public boolean closing() {
+                                public boolean closesConnections() {
                                     return false;
                                 }
                             }));
@@ -121,10 +121,10 @@
             for (int i = 0; i < 4; i++) {
                 HttpMessage next = received.poll(5, TimeUnit.SECONDS);
                 assertTrue(next != null, "only " + i + " requests came");
-                assertEquals(next.start(), "POST /api/v1/write");
-                assertEquals(next.get("Content-Encoding"), "snappy");
-                assertEquals(next.get("Content-Type"), "application/x-protobuf");
-                assertEquals(next.get("X-Prometheus-Remote-Write-Version"), "0.1.0");
+                assertEquals(next.startLine(), "POST /api/v1/write");
+                assertEquals(next.header("Content-Encoding"), "snappy");
+                assertEquals(next.header("Content-Type"), "application/x-protobuf");
+                assertEquals(next.header("X-Prometheus-Remote-Write-Version"), "0.1.0");
                 sent.add(decodeWriteRequest(Snappy.uncompress(next.body())).toString());
             }
             assertEquals(sent.get(1), sent.get(0), "after 503");
--- a/src/test/java/juniperusher/core/CallsTest.java
+++ b/src/test/java/juniperusher/core/CallsTest.java
@@ -20,10 +20,10 @@
 import juniperusher.clock.SteadyClock;
 import juniperusher.http.Config;
 import juniperusher.lab.LabSettings;
+import juniperusher.membership.EndpointUpdate;
 import juniperusher.membership.Membership;
 import juniperusher.membership.Snapshot;
-import juniperusher.membership.Timing;
-import juniperusher.membership.Update;
+import juniperusher.membership.WatchTiming;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -31,7 +31,7 @@
 public class CallsTest {
     private static final Target TARGET = new Target(5, 7, 1, 0, 10, Phase.READY);
 
-    private final List<Subchannels.Results> startedCalls = new ArrayList<>();
+    private final List<Subchannels.ResultListener> startedCalls = new ArrayList<>();
     private final List<CallEnd> abandoned = new ArrayList<>();
     private final ScheduledExecutorService timers = Executors.newSingleThreadScheduledExecutor();
     private final List<CallResult> listenedResults = new CopyOnWriteArrayList<>();
@@ -42,7 +42,7 @@
     /** Subchannels for tests that expect calls only. */
     private abstract static class CallsOnly implements Subchannels {
         @Override
-        public void probe(Target subchannel, Probed probed) {
+        public void probe(Target subchannel, ProbeListener probeListener) {
             throw new UnsupportedOperationException();
         }
 
@@ -56,14 +56,18 @@
     private final Subchannels unendingSubchannels = new CallsOnly() {
         @Override
         public Call call(
-                Target subchannel, List<RpcRequest> rpcs, double timeout, Clearance clearance, Results results) {
-            mayStart = clearance.mayStart();
+                Target subchannel,
+                List<RpcRequest> rpcs,
+                double timeout,
+                StartPermission permission,
+                ResultListener resultListener) {
+            mayStart = permission.mayStart();
             timeoutSeconds = timeout;
-            startedCalls.add(results);
+            startedCalls.add(resultListener);
             return why -> {
                 abandoned.add(why);
                 for (int i = 0; i < rpcs.size(); i++) {
-                    results.ended(i, CallResult.of(why));
+                    resultListener.ended(i, CallResult.of(why));
                 }
             };
         }
@@ -84,7 +88,7 @@
         listenedResults.clear();
         var file = configFile();
         relay = new Relay(
-                Config.read(file).settings().settings(),
+                Config.read(file).parsedSettings().settings(),
                 1,
                 0.005,
                 file.resolveSibling("state"),
@@ -107,7 +111,7 @@
                         "",
                         false,
                         new byte[0]),
-                LabSettings.NOTICE,
+                LabSettings.NOTICE_CLASS,
                 relay);
     }
 
@@ -123,7 +127,11 @@
         Subchannels broken = new CallsOnly() {
             @Override
             public Call call(
-                    Target subchannel, List<RpcRequest> rpcs, double timeout, Clearance clearance, Results results) {
+                    Target subchannel,
+                    List<RpcRequest> rpcs,
+                    double timeout,
+                    StartPermission permission,
+                    ResultListener resultListener) {
                 throw new IllegalStateException("thrown by the test");
             }
         };
@@ -143,8 +151,8 @@
     }
 
     private static Snapshot snapshotOf(Target... targets) {
-        return new Membership(Timing.USUAL, List.of(), 7)
-                .known(new Update(true, 1, List.of(), Set.of()), List.of(targets), 0);
+        return new Membership(WatchTiming.DEFAULT, List.of(), 7)
+                .initialize(new EndpointUpdate(true, 1, List.of(), Set.of()), List.of(targets), 0);
     }
 
     @Test
@@ -166,15 +174,20 @@
                         CallEnd.NOT_CONNECTED,
                         CallEnd.UNROUTABLE));
         for (CallEnd interruption : List.of(CallEnd.BROKEN, CallEnd.TIMED_OUT, CallEnd.CALLED_OFF)) {
-            assertEquals(interruption.given(false), CallEnd.NOT_CONNECTED);
-            assertEquals(interruption.given(true), interruption);
+            assertEquals(interruption.adjustedForLastByte(false), CallEnd.NOT_CONNECTED);
+            assertEquals(interruption.adjustedForLastByte(true), interruption);
         }
-        assertEquals(CallEnd.FAILED.given(false), CallEnd.FAILED, "an answer counts whatever was written");
         assertEquals(
-                CallEnd.SPOILT.afterFirstLine(200, 1), CallEnd.DELIVERED, "the status line confirmed the delivery");
+                CallEnd.FAILED.adjustedForLastByte(false), CallEnd.FAILED, "an answer counts whatever was written");
         assertEquals(
-                CallEnd.SPOILT.afterFirstLine(200, 2), CallEnd.SPOILT, "it is unknown which of the two was delivered");
-        assertEquals(CallEnd.BROKEN.afterFirstLine(500, 1), CallEnd.BROKEN);
+                CallEnd.SPOILT.adjustedForStatusLine(200, 1),
+                CallEnd.DELIVERED,
+                "the status line confirmed the delivery");
+        assertEquals(
+                CallEnd.SPOILT.adjustedForStatusLine(200, 2),
+                CallEnd.SPOILT,
+                "it is unknown which of the two was delivered");
+        assertEquals(CallEnd.BROKEN.adjustedForStatusLine(500, 1), CallEnd.BROKEN);
     }
 
     @Test
@@ -342,7 +355,7 @@
     public void noUnsafeCallStartsAfterItsStopTime() {
         assertTrue(rpc(1, 1, 5_000).mayStart());
         assertFalse(rpc(1, 1, -1).mayStart(), "its deadline has passed");
-        relay.noCallsAfter(SteadyClock.millis() - 1, Long.MAX_VALUE);
+        relay.stopCallsAfter(SteadyClock.millis() - 1, Long.MAX_VALUE);
         assertFalse(rpc(1, 1, 5_000).mayStart(), "an unsafe call could be interrupted by the end of the process");
         assertTrue(rpc(2, 0, 5_000).mayStart(), "its class may be repeated");
     }
--- a/src/test/java/juniperusher/core/DecisionLoopTest.java
+++ b/src/test/java/juniperusher/core/DecisionLoopTest.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import juniperusher.Control;
-import juniperusher.Protocol.Woken;
+import juniperusher.Protocol.TimerFired;
 import juniperusher.http.Config;
 import org.testng.annotations.Test;
 
@@ -13,12 +13,12 @@
 public class DecisionLoopTest {
     @Test
     public void deferredEventIsCreatedWhenTheRoundStarts() throws Exception {
-        var settings = Config.read(CallsTest.configFile()).settings().settings();
+        var settings = Config.read(CallsTest.configFile()).parsedSettings().settings();
         DecisionLoop loop = new DecisionLoop(new Control(settings, 1), null, 0.005, actions -> {});
         CompletableFuture<Long> createdNanos = new CompletableFuture<>();
         loop.postDeferred(() -> {
             createdNanos.complete(System.nanoTime());
-            return new Woken(-5);
+            return new TimerFired(-5);
         });
         Thread.sleep(30); // the decision thread is busy
         long startedNanos = System.nanoTime();
--- a/src/test/java/juniperusher/core/JournalSegmentsTest.java
+++ b/src/test/java/juniperusher/core/JournalSegmentsTest.java
@@ -35,11 +35,11 @@
     public void snapshotCutAtAnyByteNeitherRevivesNorLosesMessages() throws IOException {
         Path folder = Files.createTempDirectory("segments");
         Journal before = new Journal(folder, DISK_BYTES, 10);
-        int finished = before.taken(request("over"), "c");
-        before.taken(request("owed"), "c");
+        int finished = before.writeAccepted(request("over"), "c");
+        before.writeAccepted(request("owed"), "c");
         Path oldSegment = newestSegment(folder);
         byte[] withoutEnd = Files.readAllBytes(oldSegment);
-        before.acknowledged(finished);
+        before.writeAcknowledged(finished);
         byte[] withEnd = Files.readAllBytes(oldSegment);
         before.close();
         // writes a snapshot to a new segment and removes the old one
@@ -65,11 +65,12 @@
     public void attemptWithoutOutcomeMayHaveRunAfterALaterAttempt() throws IOException {
         Path folder = Files.createTempDirectory("segments");
         Journal journal = new Journal(folder, DISK_BYTES, 10);
-        int number = journal.taken(request("a"), "c");
-        Journal.Attempt first = journal.attempt(number, 0);
-        journal.attempt(number, 1); // the outcome of the first attempt was not recorded
-        journal.outcome(number, true);
-        Journal.Owed recovered = new Journal(folder, DISK_BYTES, 10).recovered().get(0);
+        int number = journal.writeAccepted(request("a"), "c");
+        Journal.Attempt first = journal.writeAttempt(number, 0);
+        journal.writeAttempt(number, 1); // the outcome of the first attempt was not recorded
+        journal.writeOutcome(number, true);
+        Journal.UnfinishedMessage recovered =
+                new Journal(folder, DISK_BYTES, 10).recovered().get(0);
         assertTrue(recovered.mayHaveRun());
         assertEquals(recovered.firstPossibleRun(), first);
     }
@@ -82,9 +83,9 @@
     public void successorSnapshotKeepsTheOwnersMessages() throws IOException {
         Path folder = Files.createTempDirectory("segments");
         Journal owner = new Journal(folder, DISK_BYTES, 10);
-        owner.taken(request("owners"), "c");
+        owner.writeAccepted(request("owners"), "c");
         Journal successor = new Journal(folder, DISK_BYTES, 10, true);
-        successor.taken(request("successors"), "c");
+        successor.writeAccepted(request("successors"), "c");
         assertEquals(unfinishedIds(folder), List.of("owners", "successors"));
     }
 }
--- a/src/test/java/juniperusher/core/JournalTest.java
+++ b/src/test/java/juniperusher/core/JournalTest.java
@@ -19,8 +19,8 @@
 public class JournalTest {
     private static final long DISK_BYTES = 3 << 20;
 
-    private static RpcRequest request(String id, boolean once, int bodyBytes) {
-        return new RpcRequest(id, "http", 1, 7, 1_900_000_000_000L, "to", once, new byte[bodyBytes]);
+    private static RpcRequest request(String id, boolean acceptOnce, int bodyBytes) {
+        return new RpcRequest(id, "http", 1, 7, 1_900_000_000_000L, "to", acceptOnce, new byte[bodyBytes]);
     }
 
     private static Path onlySegment(Path folder) throws IOException {
@@ -36,30 +36,30 @@
     /** Records each step of an RPC and returns the state that a restart has to recover after each. */
     private static List<String> recordLifeCycle(Journal journal, boolean write) {
         List<String> states = new ArrayList<>(List.of("nothing"));
-        int number = write ? journal.taken(request("a", true, 100), "c") : 0;
+        int number = write ? journal.writeAccepted(request("a", true, 100), "c") : 0;
         states.add("0 attempts, ran=false, end=null");
         if (write) {
-            journal.attempt(number, 0);
+            journal.writeAttempt(number, 0);
         }
         states.add("1 attempts, ran=true, end=null"); // in flight without an outcome: it may have run
         if (write) {
-            journal.outcome(number, true);
+            journal.writeOutcome(number, true);
         }
         states.add("1 attempts, ran=false, end=null");
         if (write) {
-            journal.attempt(number, 0);
+            journal.writeAttempt(number, 0);
         }
         states.add("2 attempts, ran=true, end=null");
         if (write) {
-            journal.outcome(number, false);
+            journal.writeOutcome(number, false);
         }
         states.add("2 attempts, ran=true, end=null");
         if (write) {
-            journal.ended(number, new RpcEnd("a", "to", RpcEnd.Kind.GIVEN_UP, 0));
+            journal.writeEnd(number, new RpcEnd("a", "to", RpcEnd.Kind.GIVEN_UP, 0));
         }
         states.add("2 attempts, ran=true, end=GIVEN_UP");
         if (write) {
-            journal.acknowledged(number);
+            journal.writeAcknowledged(number);
         }
         states.add("nothing");
         return states;
@@ -69,7 +69,7 @@
         if (journal.recovered().isEmpty()) {
             return "nothing";
         }
-        Journal.Owed entry = journal.recovered().get(0);
+        Journal.UnfinishedMessage entry = journal.recovered().get(0);
         return entry.attempts() + " attempts, ran=" + entry.mayHaveRun() + ", end="
                 + (entry.end() == null ? null : entry.end().kind());
     }
@@ -105,9 +105,9 @@
     public void damagedRecordEndsItsSegment() throws IOException {
         Path folder = Files.createTempDirectory("journal");
         Journal journal = new Journal(folder, DISK_BYTES, 10);
-        journal.taken(request("a", false, 10), "c");
+        journal.writeAccepted(request("a", false, 10), "c");
         int completeBytes = (int) Files.size(onlySegment(folder));
-        journal.taken(request("b", false, 10), "c");
+        journal.writeAccepted(request("b", false, 10), "c");
         byte[] all = Files.readAllBytes(onlySegment(folder));
         for (int at = completeBytes; at < all.length; at++) {
             byte[] damaged = all.clone();
@@ -123,14 +123,14 @@
         Path folder = Files.createTempDirectory("journal");
         Journal journal = new Journal(folder, DISK_BYTES, 100);
         int accepted = 0;
-        while (journal.taken(request("m" + accepted, false, 64 * 1024), "c") > 0) {
+        while (journal.writeAccepted(request("m" + accepted, false, 64 * 1024), "c") > 0) {
             accepted++;
             assertTrue(folderBytes(folder) <= DISK_BYTES, "more bytes than allowed");
         }
         assertTrue(accepted >= 15, "only " + accepted + " accepted");
         for (int number = 1; number <= accepted; number++) {
-            journal.attempt(number, 0);
-            journal.outcome(number, true);
+            journal.writeAttempt(number, 0);
+            journal.writeOutcome(number, true);
             assertTrue(folderBytes(folder) <= DISK_BYTES, "more bytes than allowed");
         }
         assertEquals(new Journal(folder, DISK_BYTES, 100).recovered().size(), accepted);
@@ -142,10 +142,10 @@
         Path folder = Files.createTempDirectory("journal");
         Journal journal = new Journal(folder, DISK_BYTES, 100);
         for (int i = 0; i < 400; i++) {
-            int number = journal.taken(request("m" + i, false, 64 * 1024), "c");
+            int number = journal.writeAccepted(request("m" + i, false, 64 * 1024), "c");
             assertTrue(number > 0, "refused at " + i);
-            journal.ended(number, new RpcEnd("m" + i, "", RpcEnd.Kind.DELIVERED, 0));
-            journal.acknowledged(number);
+            journal.writeEnd(number, new RpcEnd("m" + i, "", RpcEnd.Kind.DELIVERED, 0));
+            journal.writeAcknowledged(number);
             assertTrue(folderBytes(folder) <= DISK_BYTES, "more bytes than allowed");
         }
     }
@@ -162,11 +162,11 @@
         Path folder = Files.createTempDirectory("journal");
         Journal journal = new Journal(folder, DISK_BYTES, 10);
         for (String id : List.of("done", "back")) {
-            int number = journal.taken(request(id, true, 1), "c");
-            journal.ended(
+            int number = journal.writeAccepted(request(id, true, 1), "c");
+            journal.writeEnd(
                     number,
                     new RpcEnd(id, "to", id.equals("done") ? RpcEnd.Kind.DELIVERED : RpcEnd.Kind.HANDED_BACK, 0));
-            journal.acknowledged(number);
+            journal.writeAcknowledged(number);
         }
         for (Journal each :
                 List.of(journal, new Journal(folder, DISK_BYTES, 10), new Journal(folder, DISK_BYTES, 10))) {
@@ -179,13 +179,14 @@
     public void snapshotKeepsTheAttemptInFlight() throws IOException {
         Path folder = Files.createTempDirectory("journal");
         Journal journal = new Journal(folder, DISK_BYTES, 10);
-        int number = journal.taken(request("a", false, 10), "c");
-        journal.attempt(number, 0);
+        int number = journal.writeAccepted(request("a", false, 10), "c");
+        journal.writeAttempt(number, 0);
         for (int i = 0; i < 100; i++) {
-            int other = journal.taken(request("m" + i, false, 64 * 1024), "c");
-            journal.acknowledged(other);
+            int other = journal.writeAccepted(request("m" + i, false, 64 * 1024), "c");
+            journal.writeAcknowledged(other);
         }
-        Journal.Owed entry = new Journal(folder, DISK_BYTES, 10).recovered().get(0);
+        Journal.UnfinishedMessage entry =
+                new Journal(folder, DISK_BYTES, 10).recovered().get(0);
         assertEquals(entry.attempts(), 1);
         assertTrue(entry.mayHaveRun());
         assertNull(entry.end());
--- a/src/test/java/juniperusher/core/OrderTest.java
+++ b/src/test/java/juniperusher/core/OrderTest.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
+import juniperusher.Protocol.DestinationKind;
 import juniperusher.Protocol.Effect;
-import juniperusher.Protocol.Kind;
 import juniperusher.Protocol.MessageClass;
 import juniperusher.Protocol.Phase;
 import juniperusher.Protocol.Rules;
@@ -25,9 +25,9 @@
 import juniperusher.Protocol.Tenant;
 import juniperusher.clock.SteadyClock;
 import juniperusher.http.Config;
+import juniperusher.membership.EndpointUpdate;
 import juniperusher.membership.Membership;
-import juniperusher.membership.Timing;
-import juniperusher.membership.Update;
+import juniperusher.membership.WatchTiming;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -48,7 +48,7 @@
     private static final String ORDER_KEY = "booking-1";
 
     /** A call that stays in flight until the test ends it or the relay abandons it. */
-    private record StartedCall(List<RpcRequest> requests, Subchannels.Results results, AtomicBoolean abandoned) {
+    private record StartedCall(List<RpcRequest> requests, Subchannels.ResultListener results, AtomicBoolean abandoned) {
         List<String> ids() {
             return requests.stream().map(RpcRequest::id).toList();
         }
@@ -93,29 +93,29 @@
     }
 
     private static Settings settings() throws Exception {
-        Settings file = Config.read(CallsTest.configFile()).settings().settings();
+        Settings file = Config.read(CallsTest.configFile()).parsedSettings().settings();
         Rules rules = file.rules();
         Rules shortKeyQuiet = new Rules(
                 rules.drainGrace(),
-                rules.coldFrom(),
-                rules.warmWithin(),
-                rules.tipMultiple(),
-                rules.tipAfter(),
+                rules.coldShare(),
+                rules.warmUp(),
+                rules.overloadFactor(),
+                rules.overloadTime(),
                 KEY_QUIET_SECONDS,
-                rules.askWithin());
+                rules.listMaxAge());
         return new Settings(
                 file.senders(),
                 file.zone(),
-                file.askForList(),
+                file.watchesList(),
                 file.weight(),
-                file.overShareWorth(),
-                file.halving(),
+                file.overQuotaShare(),
+                file.halvesWorth(),
                 file.crossZoneFee(),
                 file.routeFees(),
                 shortKeyQuiet,
-                file.allowed(),
+                file.limits(),
                 List.of(orderedClass("keyed", Effect.KEYED), orderedClass("once", Effect.UNSAFE)),
-                List.of(new Kind(5, false)),
+                List.of(new DestinationKind(5, false)),
                 List.of(new Tenant("named", 10), new Tenant("", 0)));
     }
 
@@ -136,9 +136,9 @@
                             Target target,
                             List<RpcRequest> requests,
                             double timeout,
-                            Clearance clearance,
-                            Results results) {
-                        StartedCall call = new StartedCall(requests, results, new AtomicBoolean());
+                            StartPermission permission,
+                            ResultListener resultListener) {
+                        StartedCall call = new StartedCall(requests, resultListener, new AtomicBoolean());
                         calls.add(call);
                         return why -> {
                             call.abandoned().set(true);
@@ -147,8 +147,8 @@
                     }
 
                     @Override
-                    public void probe(Target target, Probed probed) {
-                        probed.probed(true, false, 0);
+                    public void probe(Target target, ProbeListener probeListener) {
+                        probeListener.probed(true, false, 0);
                     }
 
                     @Override
@@ -158,19 +158,19 @@
                 },
                 (to, note) -> {},
                 null);
-        relay.add(new Front() {
+        relay.addFront(new Front() {
             @Override
             public String name() {
                 return "test";
             }
 
             @Override
-            public boolean tells(RpcEnd end) {
+            public boolean reportsEnd(RpcEnd end) {
                 return end.kind() != RpcEnd.Kind.DELIVERED;
             }
 
             @Override
-            public void report(RpcEnd end, boolean again, Runnable acknowledged) {
+            public void report(RpcEnd end, boolean maybeRepeated, Runnable acknowledged) {
                 reportedEnds.add(new ReportedEnd(end, acknowledged));
             }
         });
@@ -180,15 +180,15 @@
 
     private Relay startedRelay(boolean successor) throws Exception {
         Relay relay = relay(successor);
-        relay.shareWaits();
+        relay.shareRetryDelays();
         start(relay);
         return relay;
     }
 
     private static void start(Relay relay) {
-        relay.start(new Membership(Timing.USUAL, List.of(), 7)
-                .known(
-                        new Update(true, 1, List.of(), Set.of()),
+        relay.start(new Membership(WatchTiming.DEFAULT, List.of(), 7)
+                .initialize(
+                        new EndpointUpdate(true, 1, List.of(), Set.of()),
                         List.of(new Target(5, DESTINATION, 0, 0, 100, Phase.READY)),
                         0));
     }
@@ -214,9 +214,9 @@
     }
 
     private static void submit(Relay relay, RpcRequest request) {
-        relay.offer(request, new Channel() {
+        relay.submit(request, new Channel() {
             @Override
-            public void takenOn() {
+            public void accepted() {
                 // nothing to do
             }
 
@@ -252,14 +252,14 @@
         CountDownLatch firstAnswered = new CountDownLatch(1);
         CountDownLatch finishFirst = new CountDownLatch(1);
         List<String> answers = java.util.Collections.synchronizedList(new ArrayList<>());
-        Thread first = new Thread(() -> relay.offer(request("m1"), channelRunning(() -> {
+        Thread first = new Thread(() -> relay.submit(request("m1"), channelRunning(() -> {
             answers.add("m1");
             firstAnswered.countDown();
             await(finishFirst); // between the client's answer and the arrival at the decision module
         })));
         first.start();
         await(firstAnswered);
-        Thread second = new Thread(() -> relay.offer(request("m2"), channelRunning(() -> answers.add("m2"))));
+        Thread second = new Thread(() -> relay.submit(request("m2"), channelRunning(() -> answers.add("m2"))));
         second.start();
         assertNoCall();
         finishFirst.countDown();
@@ -270,11 +270,11 @@
         nextCall("m2").end(CallEnd.DELIVERED);
     }
 
-    private static Channel channelRunning(Runnable takenOn) {
+    private static Channel channelRunning(Runnable onAccepted) {
         return new Channel() {
             @Override
-            public void takenOn() {
-                takenOn.run();
+            public void accepted() {
+                onAccepted.run();
             }
 
             @Override
@@ -412,12 +412,12 @@
     @Test
     public void journalKeepsOrderKeyTenantAndAcceptanceTime() throws Exception {
         Journal before = new Journal(folder, DISK_BYTES, 10);
-        int number = before.taken(request("m1"), "keyed");
+        int number = before.writeAccepted(request("m1"), "keyed");
         long acceptedAtMicros = before.acceptedAtMicros(number);
         assertTrue(acceptedAtMicros > 0);
         before.close();
         Journal after = new Journal(folder, DISK_BYTES, 10);
-        Journal.Owed recovered = after.recovered().get(0);
+        Journal.UnfinishedMessage recovered = after.recovered().get(0);
         assertEquals(recovered.request().orderKey(), ORDER_KEY);
         assertEquals(recovered.request().tenant(), "named");
         assertEquals(recovered.acceptedAtMicros(), acceptedAtMicros);
@@ -437,7 +437,7 @@
         submit(successor, request("m4"));
         first.end(CallEnd.DELIVERED);
         assertNoCall();
-        assertEquals(owner.held(), 0, "the owner still counts messages that its successor sends");
+        assertEquals(owner.pendingCount(), 0, "the owner still counts messages that its successor sends");
         relays.remove(owner);
         stop(owner);
         for (int i = 2; i <= 4; i++) {
--- a/src/test/java/juniperusher/core/OverdueMessageTest.java
+++ b/src/test/java/juniperusher/core/OverdueMessageTest.java
@@ -15,9 +15,9 @@
 import juniperusher.Protocol.Target;
 import juniperusher.clock.SteadyClock;
 import juniperusher.http.Config;
+import juniperusher.membership.EndpointUpdate;
 import juniperusher.membership.Membership;
-import juniperusher.membership.Timing;
-import juniperusher.membership.Update;
+import juniperusher.membership.WatchTiming;
 import org.testng.annotations.Test;
 
 /** A message ends at its deadline although its call never reports a result. */
@@ -31,12 +31,16 @@
     private static final Subchannels UNRESPONSIVE_SUBCHANNELS = new Subchannels() {
         @Override
         public Call call(
-                Target target, List<RpcRequest> requests, double timeout, Clearance clearance, Results results) {
+                Target target,
+                List<RpcRequest> requests,
+                double timeout,
+                StartPermission permission,
+                ResultListener resultListener) {
             return why -> {};
         }
 
         @Override
-        public void probe(Target target, Probed probed) {
+        public void probe(Target target, ProbeListener probeListener) {
             // never answered
         }
 
@@ -48,7 +52,7 @@
 
     @Test
     public void messageEndsThoughItsCallNeverReportsAResult() throws Exception {
-        Settings settings = Config.read(CallsTest.configFile()).settings().settings();
+        Settings settings = Config.read(CallsTest.configFile()).parsedSettings().settings();
         BlockingQueue<RpcEnd> reportedEnds = new LinkedBlockingQueue<>();
         Counters counters = new Counters();
         Relay relay = new Relay(
@@ -61,19 +65,19 @@
                 UNRESPONSIVE_SUBCHANNELS,
                 (to, note) -> {},
                 null);
-        relay.add(front(reportedEnds));
-        relay.start(new Membership(Timing.USUAL, List.of(), DESTINATION)
-                .known(
-                        new Update(true, 1, List.of(), Set.of()),
+        relay.addFront(front(reportedEnds));
+        relay.start(new Membership(WatchTiming.DEFAULT, List.of(), DESTINATION)
+                .initialize(
+                        new EndpointUpdate(true, 1, List.of(), Set.of()),
                         List.of(new Target(5, DESTINATION, 1, 0, 100, Phase.READY)),
                         0));
         try {
-            relay.offer(request(), channelExpectingAcceptance());
+            relay.submit(request(), channelExpectingAcceptance());
             RpcEnd end = reportedEnds.poll(TIMEOUT_MILLIS + MARGIN_MILLIS, TimeUnit.MILLISECONDS);
             assertNotNull(end, "no end was reported");
             assertEquals(end.kind(), RpcEnd.Kind.GIVEN_UP);
             assertEquals(counters.get("expired_total", "class", "0"), 1);
-            assertEquals(relay.held(), 0);
+            assertEquals(relay.pendingCount(), 0);
             assertNull(reportedEnds.poll(MARGIN_MILLIS, TimeUnit.MILLISECONDS), "a second end was reported");
         } finally {
             relay.close();
@@ -89,7 +93,7 @@
     private static Channel channelExpectingAcceptance() {
         return new Channel() {
             @Override
-            public void takenOn() {
+            public void accepted() {
                 // expected
             }
 
@@ -108,12 +112,12 @@
             }
 
             @Override
-            public boolean tells(RpcEnd end) {
+            public boolean reportsEnd(RpcEnd end) {
                 return end.kind() != RpcEnd.Kind.DELIVERED;
             }
 
             @Override
-            public void report(RpcEnd end, boolean again, Runnable acknowledged) {
+            public void report(RpcEnd end, boolean maybeRepeated, Runnable acknowledged) {
                 reportedEnds.add(end);
                 acknowledged.run();
             }
--- a/src/test/java/juniperusher/core/RecoveryTest.java
+++ b/src/test/java/juniperusher/core/RecoveryTest.java
@@ -18,9 +18,9 @@
 import juniperusher.Protocol.Target;
 import juniperusher.clock.SteadyClock;
 import juniperusher.http.Config;
+import juniperusher.membership.EndpointUpdate;
 import juniperusher.membership.Membership;
-import juniperusher.membership.Timing;
-import juniperusher.membership.Update;
+import juniperusher.membership.WatchTiming;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -31,7 +31,7 @@
     private static final long TIMEOUT_SECONDS = 5; // limit for events that have to happen
     private static final MessageClass UNSAFE_CLASS = messageClass("once", Effect.UNSAFE, false, 5);
 
-    private final BlockingQueue<Subchannels.Clearance> calls = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Subchannels.StartPermission> calls = new LinkedBlockingQueue<>();
     private final BlockingQueue<RpcEnd> ends = new LinkedBlockingQueue<>();
     private Path folder;
     private Relay relay;
@@ -56,28 +56,28 @@
     /** Writes the journal of a process that accepted one message, started an attempt if {@code inFlight}, and ended. */
     private void writeJournal(String className, int classIndex, boolean inFlight, long millisLeft) throws Exception {
         Journal journal = new Journal(folder, 3 << 20, 10);
-        int number = journal.taken(
+        int number = journal.writeAccepted(
                 new RpcRequest("m", "test", classIndex, 7, SteadyClock.millis() + millisLeft, "", false, new byte[0]),
                 className);
         if (inFlight) {
-            journal.attempt(number, ATTEMPT_ZONE);
+            journal.writeAttempt(number, ATTEMPT_ZONE);
         }
         journal.close();
     }
 
     private void restart(int zone, MessageClass... classes) throws Exception {
-        Settings file = Config.read(CallsTest.configFile()).settings().settings();
+        Settings file = Config.read(CallsTest.configFile()).parsedSettings().settings();
         Settings settings = new Settings(
                 file.senders(),
                 file.zone(),
-                file.askForList(),
+                file.watchesList(),
                 file.weight(),
-                file.overShareWorth(),
-                file.halving(),
+                file.overQuotaShare(),
+                file.halvesWorth(),
                 file.crossZoneFee(),
                 file.routeFees(),
                 file.rules(),
-                file.allowed(),
+                file.limits(),
                 List.of(classes),
                 file.kinds(),
                 file.tenants());
@@ -94,14 +94,14 @@
                             Target subchannel,
                             List<RpcRequest> rpcs,
                             double timeout,
-                            Clearance clearance,
-                            Results results) {
-                        calls.add(clearance);
-                        return why -> results.ended(0, CallResult.of(why));
+                            StartPermission permission,
+                            ResultListener resultListener) {
+                        calls.add(permission);
+                        return why -> resultListener.ended(0, CallResult.of(why));
                     }
 
                     @Override
-                    public void probe(Target subchannel, Probed probed) {
+                    public void probe(Target subchannel, ProbeListener probeListener) {
                         throw new UnsupportedOperationException();
                     }
 
@@ -112,26 +112,26 @@
                 },
                 (to, note) -> {},
                 null);
-        relay.add(new Front() {
+        relay.addFront(new Front() {
             @Override
             public String name() {
                 return "test";
             }
 
             @Override
-            public boolean tells(RpcEnd end) {
+            public boolean reportsEnd(RpcEnd end) {
                 return true;
             }
 
             @Override
-            public void report(RpcEnd end, boolean again, Runnable acknowledged) {
+            public void report(RpcEnd end, boolean maybeRepeated, Runnable acknowledged) {
                 acknowledged.run();
                 ends.add(end);
             }
         });
-        relay.start(new Membership(Timing.USUAL, List.of(), 7)
-                .known(
-                        new Update(true, 1, List.of(), Set.of()),
+        relay.start(new Membership(WatchTiming.DEFAULT, List.of(), 7)
+                .initialize(
+                        new EndpointUpdate(true, 1, List.of(), Set.of()),
                         List.of(new Target(5, 7, 0, zone, 10, Phase.READY)),
                         0));
     }
@@ -169,7 +169,7 @@
         writeJournal("keyed", 0, true, 20_000);
         long sent = SteadyClock.millis();
         restart(0, messageClass("keyed", Effect.KEYED, false, 2));
-        Subchannels.Clearance late = calls.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        Subchannels.StartPermission late = calls.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         waitUntil(sent + 2_000);
         assertFalse(late.mayStart());
     }
--- a/src/test/java/juniperusher/core/TakeOverTest.java
+++ b/src/test/java/juniperusher/core/TakeOverTest.java
@@ -17,26 +17,26 @@
 public class TakeOverTest {
     private static final long DISK_BYTES = 3L << 20;
 
-    private static RpcRequest request(String id, boolean once) {
-        return new RpcRequest(id, "http", 1, 7, 1_900_000_000_000L, "to", once, new byte[40]);
+    private static RpcRequest request(String id, boolean acceptOnce) {
+        return new RpcRequest(id, "http", 1, 7, 1_900_000_000_000L, "to", acceptOnce, new byte[40]);
     }
 
     @Test
     public void successorTakesOverOnlyAfterTheOwnersEnd() throws Exception {
         Path folder = Files.createTempDirectory("take-over");
         Journal owner = new Journal(folder, DISK_BYTES, 100);
-        int sent = owner.taken(request("sent", true), "c");
-        owner.attempt(sent, 0); // in flight when the owner ends: it may have run
-        int waiting = owner.taken(request("waiting", false), "c");
-        int delivered = owner.taken(request("delivered", false), "c");
-        owner.ended(delivered, new RpcEnd("delivered", "to", RpcEnd.Kind.DELIVERED, 0));
-        owner.acknowledged(delivered);
+        int sent = owner.writeAccepted(request("sent", true), "c");
+        owner.writeAttempt(sent, 0); // in flight when the owner ends: it may have run
+        int waiting = owner.writeAccepted(request("waiting", false), "c");
+        int delivered = owner.writeAccepted(request("delivered", false), "c");
+        owner.writeEnd(delivered, new RpcEnd("delivered", "to", RpcEnd.Kind.DELIVERED, 0));
+        owner.writeAcknowledged(delivered);
 
         Journal successor = new Journal(folder, DISK_BYTES, 100, true);
         assertTrue(successor.isSuccessor());
         assertEquals(successor.recovered(), List.of(), "the successor resumed messages that the owner still sends");
-        int own = successor.taken(request("own", false), "c");
-        CompletableFuture<List<Journal.Owed>> takeOver = CompletableFuture.supplyAsync(() -> {
+        int own = successor.writeAccepted(request("own", false), "c");
+        CompletableFuture<List<Journal.UnfinishedMessage>> takeOver = CompletableFuture.supplyAsync(() -> {
             try {
                 return successor.takeOverFromPredecessor();
             } catch (Exception e) {
@@ -44,20 +44,20 @@
             }
         });
         // The owner continues to write, also snapshots, while the successor waits.
-        int late = owner.taken(request("late", false), "c");
+        int late = owner.writeAccepted(request("late", false), "c");
         for (int i = 0; i < 2_000; i++) {
-            int brief = owner.taken(request("brief-" + i, false), "c");
-            owner.ended(brief, new RpcEnd("brief-" + i, "to", RpcEnd.Kind.DELIVERED, 0));
-            owner.acknowledged(brief);
+            int brief = owner.writeAccepted(request("brief-" + i, false), "c");
+            owner.writeEnd(brief, new RpcEnd("brief-" + i, "to", RpcEnd.Kind.DELIVERED, 0));
+            owner.writeAcknowledged(brief);
         }
         assertFalse(takeOver.isDone(), "taken over while the owner is running");
         owner.close();
-        List<Journal.Owed> takenOver = takeOver.get(10, TimeUnit.SECONDS);
+        List<Journal.UnfinishedMessage> takenOver = takeOver.get(10, TimeUnit.SECONDS);
         assertFalse(successor.isSuccessor());
         assertEquals(
                 takenOver.stream().map(one -> one.request().id()).sorted().toList(),
                 List.of("late", "sent", "waiting"));
-        Journal.Owed mayHaveRun = takenOver.stream()
+        Journal.UnfinishedMessage mayHaveRun = takenOver.stream()
                 .filter(one -> one.request().id().equals("sent"))
                 .findAny()
                 .orElseThrow();
--- a/src/test/java/juniperusher/distribution/ControlMessageCodecTest.java
+++ b/src/test/java/juniperusher/distribution/ControlMessageCodecTest.java
@@ -65,7 +65,7 @@
         for (int i = 0; i < 8; i++) {
             ControlMessage message = message(random);
             byte[] frame = ControlMessageCodec.encode(message);
-            assertEquals(frame.length, ControlMessageCodec.size(message));
+            assertEquals(frame.length, ControlMessageCodec.encodedSize(message));
             messages.add(message);
             wire.write(frame);
         }
@@ -119,7 +119,7 @@
     void reportsTheFaultOfADamagedFrame() {
         byte[] frame = ControlMessageCodec.encode(new ControlMessage.Busy(1, 2));
         byte[] tooLong = frame.clone();
-        ByteBuffer.wrap(tooLong).putInt(0, ControlMessageCodec.MAX_FRAME);
+        ByteBuffer.wrap(tooLong).putInt(0, ControlMessageCodec.MAX_FRAME_BYTES);
         assertEquals(Fault.LENGTH, fault(tooLong), "refused before all bytes have arrived");
         byte[] negative = frame.clone();
         ByteBuffer.wrap(negative).putInt(0, -1);
@@ -159,7 +159,7 @@
 
     @Test
     void refusesToEncodeOversizedMessages() {
-        byte[] oversized = new byte[ControlMessageCodec.MAX_FRAME];
+        byte[] oversized = new byte[ControlMessageCodec.MAX_FRAME_BYTES];
         ControlMessage message = new ControlMessage.SnapshotPart(1, new Version(1, 1), 0, 1, 0, oversized);
         assertThrows(IllegalArgumentException.class, () -> ControlMessageCodec.encode(message));
         ControlMessage named = new ControlMessage.Subscribe("n".repeat(300), false, 1, Version.NONE);
--- a/src/test/java/juniperusher/distribution/DistributionScaleTest.java
+++ b/src/test/java/juniperusher/distribution/DistributionScaleTest.java
@@ -30,7 +30,7 @@
     private static final double MAX_BYTES_PER_SECOND = 8 * 1_024; // to each relay
 
     private final DistributionWorld world = new DistributionWorld(new DistributionWorld.Setting(
-            CONTROL_PROCESSES, RELAYS, Timing.USUAL, Limits.USUAL, DELAY_SECONDS, STATE_BYTES, CHANGE_BYTES, SEED));
+            CONTROL_PROCESSES, RELAYS, Timing.DEFAULT, Limits.DEFAULT, DELAY_SECONDS, STATE_BYTES, CHANGE_BYTES, SEED));
     private double now;
 
     private void advance(double seconds) {
--- a/src/test/java/juniperusher/distribution/DistributionWorldTest.java
+++ b/src/test/java/juniperusher/distribution/DistributionWorldTest.java
@@ -27,7 +27,7 @@
 
     private static DistributionWorld.Setting setting(int controls, int relays, long seed) {
         return new DistributionWorld.Setting(
-                controls, relays, Timing.USUAL, Limits.USUAL, DELAY_SECONDS, 100, 20, seed);
+                controls, relays, Timing.DEFAULT, Limits.DEFAULT, DELAY_SECONDS, 100, 20, seed);
     }
 
     /** A simulated fleet in which all processes have the first state. */
@@ -85,7 +85,7 @@
             world.run(time);
             for (String relay : world.relays()) {
                 double staleness = world.staleness(relay);
-                assertTrue(staleness < Timing.USUAL.maxSourceAgeSeconds(), relay + " has staleness " + staleness);
+                assertTrue(staleness < Timing.DEFAULT.maxSourceAgeSeconds(), relay + " has staleness " + staleness);
             }
         }
         for (String relay : world.relays()) {
@@ -116,7 +116,7 @@
         world.kill("c2");
         world.run(20);
         world.start("c2");
-        world.run(20 + 2 * Timing.USUAL.preferredSourceRetrySeconds());
+        world.run(20 + 2 * Timing.DEFAULT.preferredSourceRetrySeconds());
         for (String relay : own) {
             assertEquals("c2", world.source(relay));
             assertEquals(1, world.breaks(relay, Reason.PREFERENCE));
@@ -206,19 +206,19 @@
             world.change(1);
             world.run(10 + i * HOUR_SECONDS / 30);
         }
-        assertEquals(HOUR_SECONDS, world.staleness("r1"), 2 * Timing.USUAL.heartbeatIntervalSeconds());
+        assertEquals(HOUR_SECONDS, world.staleness("r1"), 2 * Timing.DEFAULT.heartbeatIntervalSeconds());
         long snapshots = snapshotsStarted(world, 3);
         world.cut(Set.of("r1"), false);
         world.run(10 + HOUR_SECONDS + MAX_ACTIVATION_SECONDS);
         assertConverged(world);
         assertEquals(snapshots, snapshotsStarted(world, 3), "the log has them");
-        assertTrue(world.staleness("r1") < 2 * Timing.USUAL.heartbeatIntervalSeconds() + 1);
+        assertTrue(world.staleness("r1") < 2 * Timing.DEFAULT.heartbeatIntervalSeconds() + 1);
     }
 
     private static long snapshotsStarted(DistributionWorld world, int controls) {
         long sum = 0;
         for (int i = 1; i <= controls; i++) {
-            sum += world.publisher("c" + i).counters().snapshots();
+            sum += world.publisher("c" + i).counters().snapshotsStarted();
         }
         return sum;
     }
@@ -246,7 +246,7 @@
         Limits limits = limits(2, 100, 8_192);
         int stateBytes = 40_000;
         DistributionWorld world = convergedWorld(
-                new DistributionWorld.Setting(6, 700, Timing.USUAL, limits, DELAY_SECONDS, stateBytes, 20, 10), 60);
+                new DistributionWorld.Setting(6, 700, Timing.DEFAULT, limits, DELAY_SECONDS, stateBytes, 20, 10), 60);
         world.cut(Set.copyOf(world.relays()), true);
         world.change(300);
         world.run(120);
@@ -268,26 +268,26 @@
     private static long busyReplies(DistributionWorld world, int controls) {
         long sum = 0;
         for (int i = 1; i <= controls; i++) {
-            sum += world.publisher("c" + i).counters().busy();
+            sum += world.publisher("c" + i).counters().rejections();
         }
         return sum;
     }
 
     private static Limits limits(int snapshotsAtOnce, int logChanges, int windowBytes) {
-        Limits usual = Limits.USUAL;
+        Limits usual = Limits.DEFAULT;
         return new Limits(
-                usual.subscribers(),
+                usual.maxSubscribers(),
                 windowBytes,
-                usual.windowMessages(),
-                usual.partBytes(),
-                usual.deltaBytes(),
-                usual.changeBytes(),
+                usual.maxWindowMessages(),
+                usual.maxPartBytes(),
+                usual.maxDeltaBytes(),
+                usual.maxChangeBytes(),
                 snapshotsAtOnce,
-                usual.snapshotSeconds(),
-                usual.stateBytes(),
+                usual.maxSnapshotSlotSeconds(),
+                usual.maxStateBytes(),
                 logChanges,
-                usual.logBytes(),
-                usual.retryAfter());
+                usual.maxLogBytes(),
+                usual.maxRetryAfterSeconds());
     }
 
     /**
@@ -313,7 +313,7 @@
         world.leaseLost("c1");
         world.run(20 + MAX_ACTIVATION_SECONDS);
         assertConverged(world);
-        assertFalse(world.publisher("c1").leads());
+        assertFalse(world.publisher("c1").isLeading());
         assertTimeline("two-leaders", world);
     }
 
@@ -325,11 +325,11 @@
         world.electBeside("c2");
         world.change(1);
         world.run(11);
-        assertTrue(world.publisher("c1").leads());
+        assertTrue(world.publisher("c1").isLeading());
         world.kill("c2");
         world.run(20);
-        assertFalse(world.publisher("c1").leads());
-        assertEquals(2, world.publisher("c1").term());
+        assertFalse(world.publisher("c1").isLeading());
+        assertEquals(2, world.publisher("c1").highestTerm());
         world.start("c2");
         world.elect("c2");
         world.run(20 + MAX_ACTIVATION_SECONDS);
@@ -351,7 +351,8 @@
             }
         }
         assertNotEquals(world.newest(), world.version("r1"));
-        assertTrue(world.staleness("r1") > Timing.USUAL.maxSourceAgeSeconds(), "the slow relay reports its staleness");
+        assertTrue(
+                world.staleness("r1") > Timing.DEFAULT.maxSourceAgeSeconds(), "the slow relay reports its staleness");
         world.run(200);
         assertConverged(world);
         assertEquals(0, world.breaks("r1", Reason.SILENCE));
@@ -373,7 +374,7 @@
         world.cut(Set.of("c1"), true);
         world.run(40);
         for (String relay : world.relays()) {
-            assertEquals(30, world.staleness(relay), 3 * Timing.USUAL.heartbeatIntervalSeconds());
+            assertEquals(30, world.staleness(relay), 3 * Timing.DEFAULT.heartbeatIntervalSeconds());
         }
         world.cut(Set.of("c1"), false);
         world.change(1);
@@ -413,8 +414,8 @@
 
     private static void runScript(List<Integer> script, boolean leases) {
         Limits small = limits(1, 60, 8_192);
-        DistributionWorld world = new DistributionWorld(
-                new DistributionWorld.Setting(4, 4, Timing.USUAL, small, DELAY_SECONDS, 20_000, 20, script.hashCode()));
+        DistributionWorld world = new DistributionWorld(new DistributionWorld.Setting(
+                4, 4, Timing.DEFAULT, small, DELAY_SECONDS, 20_000, 20, script.hashCode()));
         if (!leases) {
             world.twoLead();
         }
@@ -441,7 +442,7 @@
         for (String relay : world.relays()) {
             double staleness = world.staleness(relay);
             assertTrue(
-                    staleness < Timing.USUAL.maxSourceAgeSeconds(),
+                    staleness < Timing.DEFAULT.maxSourceAgeSeconds(),
                     () -> relay + " " + staleness + "\n" + world.drawn());
         }
     }
--- a/src/test/java/juniperusher/distribution/PublisherTest.java
+++ b/src/test/java/juniperusher/distribution/PublisherTest.java
@@ -18,7 +18,7 @@
     private static final long SEED = 20_261_202;
     private static final int STATE_BYTES = 1_000;
     private static final Limits LIMITS = new Limits(3, 400, 8, 100, 100, 100, 1, 5, 10_000, 10, 10_000, 30);
-    private static final Timing TIMING = Timing.USUAL;
+    private static final Timing TIMING = Timing.DEFAULT;
 
     private final Publisher<Ledger> publisher = new Publisher<>(TIMING, LIMITS, new LedgerCodec(STATE_BYTES), SEED);
     private double now;
@@ -26,7 +26,7 @@
     private void lead() {
         publisher.replaceState(new Version(0, 1), Ledger.EMPTY, now);
         publisher.lead(1, now);
-        assertEquals(new Version(1, 2), publisher.newest());
+        assertEquals(new Version(1, 2), publisher.newestVersion());
     }
 
     private List<ControlMessage> subscribe(long connection, String name, Version has) {
@@ -71,26 +71,26 @@
         ControlMessage.SnapshotPart part =
                 of(ControlMessage.SnapshotPart.class, far).get(0);
         assertEquals(new Version(1, 17), part.version());
-        assertEquals(STATE_BYTES / LIMITS.partBytes(), part.partCount());
+        assertEquals(STATE_BYTES / LIMITS.maxPartBytes(), part.partCount());
     }
 
     @Test
     void windowLimitsUnacknowledgedBytes() {
         lead();
         List<ControlMessage> first = subscribe(1, "r", Version.NONE);
-        int bytes = first.stream().mapToInt(ControlMessageCodec::size).sum();
+        int bytes = first.stream().mapToInt(ControlMessageCodec::encodedSize).sum();
         assertTrue(bytes >= LIMITS.windowBytes() && bytes < LIMITS.windowBytes() + 200, bytes + " B");
         assertEquals(0, acknowledge(1, Version.NONE, 0).size());
         int parts = of(ControlMessage.SnapshotPart.class, first).size();
         long received = first.size();
-        while (parts < STATE_BYTES / LIMITS.partBytes()) {
+        while (parts < STATE_BYTES / LIMITS.maxPartBytes()) {
             List<ControlMessage> more = acknowledge(1, Version.NONE, received);
             assertFalse(more.isEmpty());
-            assertTrue(publisher.memory().mostInFlightBytes() < LIMITS.windowBytes() + 200);
+            assertTrue(publisher.memory().maxInFlightBytes() < LIMITS.windowBytes() + 200);
             received += more.size();
             parts += of(ControlMessage.SnapshotPart.class, more).size();
         }
-        assertEquals(STATE_BYTES / LIMITS.partBytes(), parts);
+        assertEquals(STATE_BYTES / LIMITS.maxPartBytes(), parts);
     }
 
     @Test
@@ -122,9 +122,9 @@
         }
         List<ControlMessage> rest = acknowledge(1, new Version(1, 2), sent);
         assertEquals(
-                publisher.newest(),
+                publisher.newestVersion(),
                 of(ControlMessage.SnapshotPart.class, rest).get(0).version());
-        assertTrue(publisher.memory().logChanges() <= LIMITS.logChanges());
+        assertTrue(publisher.memory().logChanges() <= LIMITS.maxLogChanges());
     }
 
     @Test
@@ -138,12 +138,12 @@
             ControlMessage.Busy busy =
                     of(ControlMessage.Busy.class, sent(steps)).get(0);
             assertInstanceOf(PublisherStep.Close.class, steps.get(steps.size() - 1));
-            assertTrue(busy.retryAfterSeconds() > 0 && busy.retryAfterSeconds() <= 1.5 * LIMITS.retryAfter());
+            assertTrue(busy.retryAfterSeconds() > 0 && busy.retryAfterSeconds() <= 1.5 * LIMITS.maxRetryAfterSeconds());
             before = Math.max(before, busy.retryAfterSeconds());
         }
         assertTrue(before > 5, "retry-after delays do not grow, maximum " + before);
         assertEquals(1, publisher.memory().subscribers());
-        assertEquals(1, publisher.memory().snapshotsUnderWay());
+        assertEquals(1, publisher.memory().snapshotSlotsInUse());
         assertEquals(
                 0,
                 of(ControlMessage.Busy.class, subscribe(99, "near", new Version(1, 2)))
@@ -160,7 +160,7 @@
             now += 1;
             received += acknowledge(1, Version.NONE, 1).size();
         }
-        assertEquals(0, publisher.memory().snapshotsUnderWay());
+        assertEquals(0, publisher.memory().snapshotSlotsInUse());
         assertEquals(
                 0,
                 of(ControlMessage.Busy.class, subscribe(2, "next", Version.NONE))
@@ -174,11 +174,11 @@
         subscribe(1, "dead", new Version(1, 2));
         boolean closed = false;
         while (!closed && now < 20) {
-            now = publisher.due();
+            now = publisher.nextTickAt();
             closed = !of(PublisherStep.Close.class, publisher.tick(now)).isEmpty();
         }
         assertTrue(now > TIMING.acknowledgementTimeoutSeconds() && now < TIMING.acknowledgementTimeoutSeconds() + 3);
-        assertEquals(1, publisher.counters().slow());
+        assertEquals(1, publisher.counters().acknowledgementTimeouts());
         assertEquals(0, publisher.memory().inFlightBytes());
     }
 
@@ -228,8 +228,8 @@
         for (int i = 0; i < 3; i++) {
             assertEquals(0, sent(publish(1)).size());
         }
-        assertEquals(now + TIMING.batchIntervalSeconds(), publisher.due(), 1e-9);
-        now = publisher.due();
+        assertEquals(now + TIMING.batchIntervalSeconds(), publisher.nextTickAt(), 1e-9);
+        now = publisher.nextTickAt();
         List<ControlMessage> sent = of(ControlMessage.class, sent(publisher.tick(now)));
         assertEquals(3, of(ControlMessage.Delta.class, sent).get(0).changes().size());
     }
@@ -243,9 +243,9 @@
         publish(1);
         publisher.resign(now);
         assertThrows(IllegalStateException.class, () -> publish(1));
-        assertEquals(2, publisher.age(now + 2), 1e-9);
+        assertEquals(2, publisher.ageSeconds(now + 2), 1e-9);
         publisher.lead(1, now);
-        assertEquals(new Version(1, 3), publisher.newest(), "a term begins with only one empty change");
+        assertEquals(new Version(1, 3), publisher.newestVersion(), "a term begins with only one empty change");
     }
 
     @Test
@@ -255,7 +255,7 @@
                 publisher.received(1, new ControlMessage.Subscribe("r", false, 5, new Version(5, 9)), now);
         assertEquals(new PublisherStep.Deposed(5), steps.get(0));
         assertEquals(new PublisherStep.NewerTerm(5), steps.get(1));
-        assertFalse(publisher.leads());
+        assertFalse(publisher.isLeading());
         assertEquals(List.of(new PublisherStep.Deposed(5)), publisher.lead(4, now));
     }
 
@@ -305,7 +305,7 @@
         assertThrows(DamagedStateException.class, () -> publisher.publish(deltas, now));
         assertThrows(IllegalArgumentException.class, () -> publisher.publish(List.of(new byte[101]), now));
         assertThrows(IllegalArgumentException.class, () -> publisher.publish(List.of(new byte[0]), now));
-        assertEquals(new Version(1, 2), publisher.newest());
+        assertEquals(new Version(1, 2), publisher.newestVersion());
         assertEquals(Ledger.EMPTY, publisher.state());
     }
 
--- a/src/test/java/juniperusher/distribution/SubscriberTest.java
+++ b/src/test/java/juniperusher/distribution/SubscriberTest.java
@@ -16,7 +16,7 @@
 
 /** A single subscriber, driven by one message at a time. */
 class SubscriberTest {
-    private static final Timing TIMING = Timing.USUAL;
+    private static final Timing TIMING = Timing.DEFAULT;
     private static final int MAX_STATE_BYTES = 1_000;
     private static final long SEED = 20_261_202;
     private static final LedgerCodec CODEC = new LedgerCodec(100);
@@ -32,7 +32,7 @@
 
     /** Advances the time to the next attempt to connect, and opens the connection. */
     private ControlMessage.Subscribe connect() {
-        now = Math.max(now, subscriber.due());
+        now = Math.max(now, subscriber.nextTickAt());
         SubscriberStep.Connect<Ledger> connect = assertInstanceOf(
                 SubscriberStep.Connect.class, subscriber.tick(now).get(0));
         connection = connect.connection();
@@ -109,7 +109,7 @@
         assertEquals(Reason.DAMAGED, disconnectReason(steps));
         assertSame(before, subscriber.state());
         assertEquals(new Version(1, 1), subscriber.version());
-        assertEquals(1, subscriber.refused());
+        assertEquals(1, subscriber.refusedCount());
     }
 
     @Test
@@ -164,10 +164,10 @@
         Ledger once = subscriber.state();
         List<SubscriberStep<Ledger>> steps = receive(delta(new Version(1, 1), second, third));
         SubscriberStep.Advanced<?> advanced = first(SubscriberStep.Advanced.class, steps);
-        assertEquals(new Version(1, 2), advanced.from());
+        assertEquals(new Version(1, 2), advanced.fromVersion());
         assertEquals(once.changes() + 1, subscriber.state().changes());
         assertTrue(receive(delta(new Version(1, 1), second)).size() == 1, "only an acknowledgement");
-        assertEquals(1, subscriber.doubled());
+        assertEquals(1, subscriber.duplicateCount());
     }
 
     /** The same revision of another term names another state. */
@@ -192,7 +192,7 @@
         subscribeWithFirstState();
         assertEquals("a", subscriber.source());
         double heard = now;
-        assertEquals(heard + TIMING.silenceTimeoutSeconds(), subscriber.due(), 1e-9);
+        assertEquals(heard + TIMING.silenceTimeoutSeconds(), subscriber.nextTickAt(), 1e-9);
         assertTrue(
                 subscriber.tick(heard + TIMING.silenceTimeoutSeconds() - 0.01).isEmpty());
         now = heard + TIMING.silenceTimeoutSeconds();
@@ -207,12 +207,12 @@
         subscriber.start(List.of("a", "b"), now);
         double longest = 0;
         for (int i = 0; i < 20; i++) {
-            now = subscriber.due();
+            now = subscriber.nextTickAt();
             SubscriberStep.Connect<Ledger> connect = assertInstanceOf(
                     SubscriberStep.Connect.class, subscriber.tick(now).get(0));
             subscriber.disconnected(connect.connection(), now);
-            longest = Math.max(longest, subscriber.due() - now);
-            assertTrue(subscriber.due() - now >= TIMING.initialBackoffSeconds() / 2);
+            longest = Math.max(longest, subscriber.nextTickAt() - now);
+            assertTrue(subscriber.nextTickAt() - now >= TIMING.initialBackoffSeconds() / 2);
         }
         assertTrue(longest > TIMING.maxBackoffSeconds() / 2 && longest <= TIMING.maxBackoffSeconds());
     }
@@ -221,30 +221,34 @@
     void respectsTheRetryAfterDelay() {
         subscribeWithFirstState();
         assertEquals(Reason.BUSY, disconnectReason(receive(new ControlMessage.Busy(1, 20))));
-        assertTrue(subscriber.due() >= now + 20);
-        assertTrue(subscriber.due() <= now + 20 + TIMING.initialBackoffSeconds());
+        assertTrue(subscriber.nextTickAt() >= now + 20);
+        assertTrue(subscriber.nextTickAt() <= now + 20 + TIMING.initialBackoffSeconds());
     }
 
     /** Staleness counts from the sending of the acknowledgement to which the heartbeat refers. */
     @Test
     void neverUnderestimatesStaleness() {
         subscribeWithFirstState();
-        assertEquals(Double.POSITIVE_INFINITY, subscriber.staleness(now));
+        assertEquals(Double.POSITIVE_INFINITY, subscriber.stalenessSeconds(now));
         Version version = subscriber.version();
         double acknowledged = now; // when the snapshot was acknowledged
         now += 2;
         receive(heartbeat(version, version, 0.5, 1));
-        assertEquals(now - acknowledged + 0.5, subscriber.staleness(now), 1e-9);
+        assertEquals(now - acknowledged + 0.5, subscriber.stalenessSeconds(now), 1e-9);
         double second = now;
         now += 2;
         receive(new ControlMessage.Heartbeat(1, version, version, 0.5, 2, 1.5));
-        assertEquals(now - (second + 1.5) + 0.5, subscriber.staleness(now), 1e-9);
-        double previousStaleness = subscriber.staleness(now);
+        assertEquals(now - (second + 1.5) + 0.5, subscriber.stalenessSeconds(now), 1e-9);
+        double previousStaleness = subscriber.stalenessSeconds(now);
         now += 2;
         receive(heartbeat(version, version, Double.POSITIVE_INFINITY, 3));
-        assertEquals(previousStaleness + 2.01, subscriber.staleness(now), 1e-9, "the source does not know its own age");
+        assertEquals(
+                previousStaleness + 2.01,
+                subscriber.stalenessSeconds(now),
+                1e-9,
+                "the source does not know its own age");
         receive(heartbeat(new Version(1, 2), version, 0, 4));
-        assertTrue(subscriber.staleness(now) > previousStaleness + 2, "the source has a newer version");
+        assertTrue(subscriber.stalenessSeconds(now) > previousStaleness + 2, "the source has a newer version");
     }
 
     @Test
@@ -253,8 +257,8 @@
         Version version = subscriber.version();
         receive(heartbeat(version, version, TIMING.maxSourceAgeSeconds() + 1, 1));
         double from = now;
-        assertTrue(subscriber.due() <= from + TIMING.silenceTimeoutSeconds());
-        now = subscriber.due();
+        assertTrue(subscriber.nextTickAt() <= from + TIMING.silenceTimeoutSeconds());
+        now = subscriber.nextTickAt();
         assertEquals(Reason.STALE_SOURCE, disconnectReason(subscriber.tick(now)));
         connect();
         assertEquals("b", subscriber.source());
@@ -290,7 +294,7 @@
         connect();
         assertEquals("c", subscriber.source());
         assertEquals(Reason.STOPPED, disconnectReason(subscriber.stop(now)));
-        assertEquals(Double.POSITIVE_INFINITY, subscriber.due());
+        assertEquals(Double.POSITIVE_INFINITY, subscriber.nextTickAt());
         assertEquals(new Version(1, 1), subscriber.version());
     }
 
@@ -318,7 +322,7 @@
         subscriber.resume(new Version(3, 9), new Ledger(9, 9), -500);
         subscriber.start(List.of("a"), now);
         assertEquals(new Version(3, 9), subscriber.version());
-        assertEquals(500, subscriber.staleness(now), 1e-9);
+        assertEquals(500, subscriber.stalenessSeconds(now), 1e-9);
         ControlMessage.Subscribe subscribe = connect();
         assertEquals(new Version(3, 9), subscribe.version());
         assertEquals(3, subscribe.term());
--- a/src/test/java/juniperusher/example/Forwarder.java
+++ b/src/test/java/juniperusher/example/Forwarder.java
@@ -3,17 +3,17 @@
 import java.util.List;
 import juniperusher.Control;
 import juniperusher.Protocol.Action;
-import juniperusher.Protocol.Arrived;
-import juniperusher.Protocol.Ended;
+import juniperusher.Protocol.AttemptEnded;
 import juniperusher.Protocol.Event;
 import juniperusher.Protocol.Fail;
 import juniperusher.Protocol.Message;
+import juniperusher.Protocol.MessageAccepted;
 import juniperusher.Protocol.Outcome;
 import juniperusher.Protocol.Refuse;
 import juniperusher.Protocol.Send;
+import juniperusher.Protocol.SetTimer;
 import juniperusher.Protocol.Settings;
 import juniperusher.Protocol.TargetList;
-import juniperusher.Protocol.WakeAt;
 
 /** The embedding example of the README, kept here so that it is compiled. */
 public final class Forwarder {
@@ -30,18 +30,18 @@
             if (action instanceof Send send) {
                 System.out.println("call target " + send.target() + " with message " + send.message());
             } else if (action instanceof Refuse refuse) {
-                System.out.println("message " + refuse.message() + ": come again after " + refuse.after() + " s");
+                System.out.println("message " + refuse.message() + ": come again after " + refuse.retryAfter() + " s");
             } else if (action instanceof Fail fail) {
                 System.out.println("message " + fail.message() + " failed");
-            } else if (action instanceof WakeAt wake) {
-                System.out.println("wake at " + wake.time() + " with token " + wake.token());
+            } else if (action instanceof SetTimer timer) {
+                System.out.println("wake at " + timer.time() + " with token " + timer.token());
             }
         }
     }
 
     /** Accepts a message that is sent and delivered. */
     public void example(TargetList list) {
-        round(0.0, List.of(list, new Arrived(new Message(1, 0, 0, 7, 0L, 20.0))));
-        round(0.2, List.of(new Ended(1, 0, 70, Outcome.DELIVERED, 0.2, true, 0, null)));
+        round(0.0, List.of(list, new MessageAccepted(new Message(1, 0, 0, 7, 0L, 20.0))));
+        round(0.2, List.of(new AttemptEnded(1, 0, 70, Outcome.DELIVERED, 0.2, true, 0, null)));
     }
 }
--- a/src/test/java/juniperusher/files/ReplacedFileTest.java
+++ b/src/test/java/juniperusher/files/AtomicFileTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class ReplacedFileTest {
+class AtomicFileTest {
     @TempDir
     private Path folder;
 
@@ -24,8 +24,8 @@
     @Test
     void replacesTheContentAndLeavesNoTemporaryFile() throws Exception {
         Path target = folder.resolve("state");
-        ReplacedFile.write(target, "a long first content");
-        ReplacedFile.write(target, "é");
+        AtomicFile.write(target, "a long first content");
+        AtomicFile.write(target, "é");
         assertEquals("é", Files.readString(target));
         assertEquals(List.of("state"), fileNames());
     }
@@ -34,6 +34,6 @@
     void missingFolderIsAnError() {
         assertThrows(
                 NoSuchFileException.class,
-                () -> ReplacedFile.write(folder.resolve("gone").resolve("state"), "text"));
+                () -> AtomicFile.write(folder.resolve("gone").resolve("state"), "text"));
     }
 }
--- a/src/test/java/juniperusher/fleet/ControlServiceTest.java
+++ b/src/test/java/juniperusher/fleet/ControlServiceTest.java
@@ -75,7 +75,7 @@
     }
 
     private static String address(ControlService service) {
-        return "127.0.0.1:" + service.listening().getPort();
+        return "127.0.0.1:" + service.subscriberAddress().getPort();
     }
 
     private FleetMembership startRelay(String name, List<String> control, Counters counters) throws IOException {
@@ -99,7 +99,7 @@
     }
 
     private static String sendCommand(ControlService service, String command) throws IOException {
-        try (Socket socket = new Socket("127.0.0.1", service.operator().getPort())) {
+        try (Socket socket = new Socket("127.0.0.1", service.operatorAddress().getPort())) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
             socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.UTF_8));
             return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))
@@ -141,7 +141,7 @@
     @Test
     void restartedLeaderContinuesUnderNewTerm() throws Exception {
         ControlService first = startLeader();
-        int port = first.listening().getPort();
+        int port = first.subscriberAddress().getPort();
         FleetMembership relay = startRelay("relay-1", List.of("127.0.0.1:" + port), new Counters());
         assertEquals("ok epoch 2", sendCommand(first, "move 0 relay-2"));
         await("the change", () -> hasEpoch(relay, 2));
@@ -157,7 +157,7 @@
         ControlService leader = startLeader();
         FleetMembership relay = startRelay("relay-1", List.of(address(leader)), new Counters());
         await("the first map", () -> hasEpoch(relay, 1));
-        try (Socket socket = new Socket("127.0.0.1", leader.listening().getPort())) {
+        try (Socket socket = new Socket("127.0.0.1", leader.subscriberAddress().getPort())) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
             socket.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             assertEquals(-1, socket.getInputStream().read(), "connection closed without an answer");
@@ -176,7 +176,7 @@
             lines.append(i % 2 == 0 ? "move 0 relay-2\n" : "move 0 relay-1\n");
         }
         String last = "";
-        try (Socket socket = new Socket("127.0.0.1", leader.operator().getPort())) {
+        try (Socket socket = new Socket("127.0.0.1", leader.operatorAddress().getPort())) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
             socket.getOutputStream().write(lines.toString().getBytes(StandardCharsets.UTF_8));
             BufferedReader answers =
--- a/src/test/java/juniperusher/http/EndpointReplacementTest.java
+++ b/src/test/java/juniperusher/http/EndpointReplacementTest.java
@@ -71,7 +71,7 @@
                 Network network = new Network(1)) {
             int listen = FakeServer.unusedPort();
             Counters counters = new Counters();
-            Platform platform = new Platform(
+            RelayServer relayServer = new RelayServer(
                     FakeServer.config(folder, listen, agent.port()), folder.resolve("state"), counters, network, null);
             try {
                 FakeServer.await(
@@ -95,7 +95,7 @@
                                 + after.callTimesMillis().size(),
                         "calls");
             } finally {
-                platform.close();
+                relayServer.close();
             }
         }
     }
--- a/src/test/java/juniperusher/http/IdleClientsWhileDiscoveryIsDownTest.java
+++ b/src/test/java/juniperusher/http/IdleClientsWhileDiscoveryIsDownTest.java
@@ -14,8 +14,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import juniperusher.core.Counters;
+import juniperusher.net.ExchangePlayer;
 import juniperusher.net.Network;
-import juniperusher.net.Player;
 import org.testng.annotations.Test;
 
 /**
@@ -33,7 +33,7 @@
     public void theListIsReceivedAndAClientWithARequestIsServed() throws Exception {
         Path folder = Files.createTempDirectory("crowd");
         List<Socket> idle = new ArrayList<>();
-        try (Player player = new Player();
+        try (ExchangePlayer player = new ExchangePlayer();
                 Network network = new Network(1, DESCRIPTORS)) {
             int listen;
             try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
@@ -47,7 +47,7 @@
             json.get("known").asObject().set("servers", new JsonArray());
             Config config = Config.read(Files.writeString(folder.resolve("relay.json"), json.toString()));
             Counters counters = new Counters();
-            Platform platform = new Platform(config, folder.resolve("state"), counters, network, null);
+            RelayServer relayServer = new RelayServer(config, folder.resolve("state"), counters, network, null);
             try {
                 for (int i = 0; i < 4 * DESCRIPTORS; i++) {
                     idle.add(new Socket("127.0.0.1", listen));
@@ -62,8 +62,8 @@
                                 + list + "\nplatform2< GET /discovery/hosts?stream=1&index=1 HTTP/1.1\\r\\n"
                                 + "Host: discovery\\r\\n\\r\\n\n"));
                 assertTrue(
-                        network.inbound().size() <= MAX_INBOUND,
-                        network.inbound().size() + " clients are connected");
+                        network.inboundConnections().size() <= MAX_INBOUND,
+                        network.inboundConnections().size() + " clients are connected");
                 player.play(Files.writeString(
                         folder.resolve("exchange.txt"),
                         "client1> POST /aviso-push HTTP/1.1\\r\\nHost: a\\r\\nX-Call-Id: m1\\r\\n"
@@ -78,7 +78,7 @@
                         () -> counters.get("answered_total", "front", "http", "class", "0", "end", "delivered") == 1);
                 assertEquals(counters.get("membership_failures_total"), 0L);
             } finally {
-                platform.close();
+                relayServer.close();
                 for (Socket one : idle) {
                     one.close();
                 }
--- a/src/test/java/juniperusher/http/PartialRequestTest.java
+++ b/src/test/java/juniperusher/http/PartialRequestTest.java
@@ -37,14 +37,15 @@
                 Network network = new Network(1)) {
             int listen = FakeServer.unusedPort();
             Counters counters = new Counters();
-            Platform platform = new Platform(
+            RelayServer relayServer = new RelayServer(
                     FakeServer.config(folder, listen, agent.port()), folder.resolve("state"), counters, network, null);
             try {
                 FakeServer.await("the list", () -> counters.text().contains("juniperusher_endpoints_ready 1.0"));
                 client.act(listen, counters);
-                FakeServer.await("no open connection", () -> network.inbound().size() == 0);
+                FakeServer.await(
+                        "no open connection", () -> network.inboundConnections().size() == 0);
             } finally {
-                platform.close();
+                relayServer.close();
             }
         }
     }
--- a/src/test/java/juniperusher/http/ReloadTest.java
+++ b/src/test/java/juniperusher/http/ReloadTest.java
@@ -60,20 +60,20 @@
         Config read = Config.read(
                 Files.writeString(folder.resolve("b.json"), newerFile(old).toString()));
         Config after = first.reloadedFrom(read);
-        assertEquals(after.classes(), List.of("aviso-push", "ordem-build", "aviso-push-ii"));
-        assertEquals(after.settings().settings().classes().size(), 3);
+        assertEquals(after.classNames(), List.of("aviso-push", "ordem-build", "aviso-push-ii"));
+        assertEquals(after.parsedSettings().settings().classes().size(), 3);
         assertEquals(
-                after.settings().settings().classes().get(0),
-                first.settings().settings().classes().get(0),
+                after.parsedSettings().settings().classes().get(0),
+                first.parsedSettings().settings().classes().get(0),
                 "a class that the newer file lacks changed");
         assertEquals(
-                after.settings().settings().classes().get(1),
-                read.settings().settings().classes().get(0));
-        assertEquals(after.settings().settings().classes().get(2).effect(), Effect.UNSAFE);
-        assertEquals(after.settings().settings().allowed().attempts(), 3);
+                after.parsedSettings().settings().classes().get(1),
+                read.parsedSettings().settings().classes().get(0));
+        assertEquals(after.parsedSettings().settings().classes().get(2).effect(), Effect.UNSAFE);
+        assertEquals(after.parsedSettings().settings().limits().maxAttempts(), 3);
         assertEquals(
-                after.settings().settings().tenants(),
-                first.settings().settings().tenants());
+                after.parsedSettings().settings().tenants(),
+                first.parsedSettings().settings().tenants());
     }
 
     @Test
@@ -133,14 +133,15 @@
         Path file = Files.writeString(folder.resolve("config.json"), old.toString());
         Counters counters = new Counters();
         Network network = new Network(1.0);
-        try (Platform platform = new Platform(Config.read(file), folder.resolve("state"), counters, network, null)) {
+        try (RelayServer relayServer =
+                new RelayServer(Config.read(file), folder.resolve("state"), counters, network, null)) {
             assertEquals(submit(listen, "aviso-push-ii"), 400);
             Files.writeString(file, newerFile(old).toString());
-            platform.reload(file);
+            relayServer.reload(file);
             assertEquals(submit(listen, "aviso-push-ii"), 202);
             assertEquals(submit(listen, "aviso-push"), 202, "a class the newer file lacks was refused");
             Files.writeString(file, "");
-            platform.reload(file);
+            relayServer.reload(file);
             assertEquals(submit(listen, "aviso-push-ii"), 202);
             assertTrue(counters.text().contains("juniperusher_reloads_total{result=\"refused\"} 1"), counters.text());
         }
--- a/src/test/java/juniperusher/http/ResolverTest.java
+++ b/src/test/java/juniperusher/http/ResolverTest.java
@@ -17,7 +17,7 @@
 import juniperusher.Protocol.Phase;
 import juniperusher.core.Counters;
 import juniperusher.http.FakeAgent.Behavior;
-import juniperusher.membership.Timing;
+import juniperusher.membership.WatchTiming;
 import juniperusher.net.HttpPool;
 import juniperusher.net.Network;
 import org.junit.jupiter.api.AfterEach;
@@ -26,7 +26,7 @@
 
 /** The resolver over sockets, with two agents that the tests make fail. */
 class ResolverTest {
-    private static final Timing TIMING = new Timing(1.5, 0.4, 0.2, 0.4, 0.4, 30);
+    private static final WatchTiming TIMING = new WatchTiming(1.5, 0.4, 0.2, 0.4, 0.4, 30);
 
     private final Counters counters = new Counters();
     private FakeAgent firstAgent;
--- a/src/test/java/juniperusher/http/RestartTest.java
+++ b/src/test/java/juniperusher/http/RestartTest.java
@@ -48,7 +48,7 @@
             Config withOldEndpoint = Config.read(Files.writeString(folder.resolve("known.json"), json.toString()));
             assertEquals(withoutEndpoints.listen(), withOldEndpoint.listen());
             Counters counters = new Counters();
-            Platform platform = new Platform(withOldEndpoint, state, counters, network, null);
+            RelayServer relayServer = new RelayServer(withOldEndpoint, state, counters, network, null);
             try (Socket client = new Socket("127.0.0.1", listen)) {
                 client.getOutputStream()
                         .write(("POST /aviso-push HTTP/1.1\r\nHost: a\r\nX-Call-Id: m\r\n"
@@ -60,7 +60,7 @@
                         () -> counters.get("answered_total", "front", "http", "class", "0", "end", "delivered") == 1);
                 return new int[] {oldEndpoint.callTimesMillis.size(), newEndpoint.callTimesMillis.size()};
             } finally {
-                platform.close();
+                relayServer.close();
             }
         }
     }
--- a/src/test/java/juniperusher/http/StormPackageTest.java
+++ b/src/test/java/juniperusher/http/StormPackageTest.java
@@ -38,13 +38,13 @@
                     FakeAgent.server("a", endpoint.port(), "up")
                             .replace("\"weight\":5.0", "\"weight\":" + LISTED_CALLS_PER_SECOND));
             Counters counters = new Counters();
-            Platform platform = new Platform(
+            RelayServer relayServer = new RelayServer(
                     FakeServer.config(folder, listen, agent.port()),
                     folder.resolve("state"),
                     counters,
                     network,
                     null,
-                    StormSettings.USUAL);
+                    StormSettings.DEFAULT);
             try (Socket client = new Socket("127.0.0.1", listen)) {
                 FakeServer.await(
                         "a ready endpoint", () -> counters.text().contains("juniperusher_endpoints_ready 1.0"));
@@ -74,7 +74,7 @@
                 assertTrue(calls <= capacity + BURST_CALLS, calls + " calls, capacity " + capacity);
                 assertTrue(calls >= capacity / 3, "only " + calls + " calls, capacity " + capacity);
             } finally {
-                platform.close();
+                relayServer.close();
             }
         }
     }
@@ -110,7 +110,7 @@
                 .toList();
         assertEquals(0, selftest.waitFor());
         assertTrue(
-                loaded.stream().anyMatch(line -> line.contains("juniperusher.http.Platform ")),
+                loaded.stream().anyMatch(line -> line.contains("juniperusher.http.RelayServer ")),
                 "no class loading was logged");
         assertEquals(
                 List.of(),
--- a/src/test/java/juniperusher/http/UnfamiliarNamesTest.java
+++ b/src/test/java/juniperusher/http/UnfamiliarNamesTest.java
@@ -22,9 +22,9 @@
 import juniperusher.core.Counters;
 import juniperusher.core.Journal;
 import juniperusher.core.RpcRequest;
+import juniperusher.net.ExchangePlayer;
 import juniperusher.net.HttpPool;
 import juniperusher.net.Network;
-import juniperusher.net.Player;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -34,14 +34,14 @@
     private static final List<String> CLASSES = List.of("leitura", "recibo", "levantamento");
     private static final List<String> EFFECTS = List.of("idempotent", "deduplicated", "at_most_once");
 
-    private Player player;
+    private ExchangePlayer player;
     private Path folder;
     private Config config;
     private Network network;
 
     @BeforeMethod
     public void configure() throws Exception {
-        player = new Player();
+        player = new ExchangePlayer();
         folder = Files.createTempDirectory("names");
         network = new Network(1);
         int listen;
@@ -99,12 +99,12 @@
     @Test
     public void unfamiliarClassesKindsAndKeysPassUnchanged() throws Exception {
         assertEquals(
-                config.settings().settings().classes().stream()
+                config.parsedSettings().settings().classes().stream()
                         .map(one -> one.effect())
                         .toList(),
                 List.of(Effect.SAFE, Effect.KEYED, Effect.UNSAFE));
         Counters counters = new Counters();
-        Platform platform = new Platform(config, folder.resolve("state"), counters, network, null);
+        RelayServer relayServer = new RelayServer(config, folder.resolve("state"), counters, network, null);
         try {
             for (int i = 0; i < CLASSES.size(); i++) {
                 // The connection is busy until the previous answer is read; an earlier call would open a second one.
@@ -126,7 +126,7 @@
                     + "client1< HTTP/1.1 400 Bad Request\\r\\nContent-Length: 24\\r\\n\\r\\n"
                     + "X-Call-Class is unknown\\n\n");
         } finally {
-            platform.close();
+            relayServer.close();
         }
     }
 
@@ -145,7 +145,7 @@
     @Test
     public void messagesOfOneSubjectAreCalledInTurnAndAnUnreadableSubjectIsRefused() throws Exception {
         String accepted = "202 Accepted\\r\\nContent-Length: 0\\r\\n\\r\\n";
-        Platform platform = new Platform(config, folder.resolve("state"), new Counters(), network, null);
+        RelayServer relayServer = new RelayServer(config, folder.resolve("state"), new Counters(), network, null);
         try {
             // If the second message did not wait for the first, its call would arrive on another connection.
             play(submission("client1", "m1", "?subject=a%2Fb%20c", accepted)
@@ -161,7 +161,7 @@
                             "400 Bad Request\\r\\nContent-Length: 32\\r\\n\\r\\n"
                                     + "the path's query cannot be read\\n"));
         } finally {
-            platform.close();
+            relayServer.close();
         }
     }
 
@@ -201,7 +201,7 @@
     @Test
     public void anIdempotencyKeySurvivesARestart() throws Exception {
         Journal before = new Journal(folder.resolve("state"), 3 << 20, 10);
-        before.taken(keyed("m1", "85281f"), "recibo");
+        before.writeAccepted(keyed("m1", "85281f"), "recibo");
         before.close();
         Journal after = new Journal(folder.resolve("state"), 3 << 20, 10);
         assertEquals(after.recovered().get(0).request().idempotencyKey(), "85281f");
--- a/src/test/java/juniperusher/lab/ExperimentTest.java
+++ b/src/test/java/juniperusher/lab/ExperimentTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.stream.Stream;
 import juniperusher.http.Config;
-import juniperusher.settings.CheckedToml;
+import juniperusher.settings.TomlReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -32,13 +32,13 @@
     }
 
     private static Experiment read(Path file) throws IOException {
-        CheckedToml checked = CheckedToml.by(Experiment.class, "experiment.schema.json");
-        JsonObject written = checked.read(file, List.of());
+        TomlReader reader = TomlReader.withSchema(Experiment.class, "experiment.schema.json");
+        JsonObject written = reader.read(file, List.of());
         Map<String, JsonObject> variants = new LinkedHashMap<>();
         for (Map.Entry<String, List<String>> one : Experiment.variants(written).entrySet()) {
-            variants.put(one.getKey(), checked.read(file, one.getValue()));
+            variants.put(one.getKey(), reader.read(file, one.getValue()));
         }
-        return Experiment.of(written, variants);
+        return Experiment.fromJson(written, variants);
     }
 
     /** Experiment files except those of `lab hollow` and `lab scale`, which have their own schemas and tests. */
@@ -81,8 +81,8 @@
         assertEquals(1, message.lines().count());
     }
 
-    private static Run run(String variant, double worth) {
-        return new Run(variant, 1, Map.of("worth", worth), Map.of(), Map.of(), List.of(), 0);
+    private static RunResult run(String variant, double worth) {
+        return new RunResult(variant, 1, Map.of("worth", worth), Map.of(), Map.of(), List.of(), 0);
     }
 
     @Test
@@ -91,18 +91,18 @@
                 + "[[expect]]\nfigure = 'worth'\nagainst = 'off'\nat_least = 0.0\n"
                 + "[[expect]]\nfigure = 'worth'\nover = 'max'\nat_most = 0.9\n"
                 + "[[expect]]\nfigure = 'worth'\nagainst = 'off'\nat_most_times = 1.1\n");
-        List<Run> good = List.of(run("off", 0.8), run("on", 0.7), run("on", 0.9));
+        List<RunResult> good = List.of(run("off", 0.8), run("on", 0.7), run("on", 0.9));
         assertEquals(
                 List.of(true, true, true, true),
-                experiment.judge(good).stream().map(Experiment.Verdict::met).toList());
-        List<Run> bad = List.of(run("off", 0.6), run("on", 0.2), run("on", 0.95));
+                experiment.evaluate(good).stream().map(Experiment.Verdict::met).toList());
+        List<RunResult> bad = List.of(run("off", 0.6), run("on", 0.2), run("on", 0.95));
         assertEquals(
                 List.of(false, true, false, true),
-                experiment.judge(bad).stream().map(Experiment.Verdict::met).toList());
+                experiment.evaluate(bad).stream().map(Experiment.Verdict::met).toList());
         assertEquals(
                 false,
                 experiment
-                        .judge(List.of(run("off", 0.5), run("on", 0.6)))
+                        .evaluate(List.of(run("off", 0.5), run("on", 0.6)))
                         .get(3)
                         .met());
     }
@@ -126,9 +126,9 @@
                 .set("discovery", "127.0.0.1:2")
                 .set("settings", LabSettings.json(plan, 2, 10));
         Config config = Config.read(Files.writeString(folder.resolve("relay.json"), json.toString()));
-        assertEquals(LabSettings.of(plan), config.settings().settings());
-        assertEquals(classes, config.classes().size());
-        assertEquals(LabSettings.CLASS_NAMES, config.classes().subList(0, 2));
-        assertEquals(2, config.number());
+        assertEquals(LabSettings.of(plan), config.parsedSettings().settings());
+        assertEquals(classes, config.classNames().size());
+        assertEquals(LabSettings.CLASS_NAMES, config.classNames().subList(0, 2));
+        assertEquals(2, config.relayIndex());
     }
 }
--- a/src/test/java/juniperusher/lab/FleetBudgetTest.java
+++ b/src/test/java/juniperusher/lab/FleetBudgetTest.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
-import juniperusher.settings.CheckedToml;
+import juniperusher.settings.TomlReader;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -20,8 +20,8 @@
     private static final int SEEDS = 6;
     private static final double MIN_RATE_PER_SECOND = 3; // the module assumes at least this rate
 
-    private static Run play(int relays, String kind, double rate, double load, int seed) throws IOException {
-        JsonObject file = CheckedToml.by(Experiment.class, "experiment.schema.json")
+    private static RunResult play(int relays, String kind, double rate, double load, int seed) throws IOException {
+        JsonObject file = TomlReader.withSchema(Experiment.class, "experiment.schema.json")
                 .read(
                         Path.of("experiments/storm-recovery.toml"),
                         List.of(
@@ -31,7 +31,7 @@
                                 "destinations.0.rate=" + rate,
                                 "destinations.0.troubles.0.kind=" + kind,
                                 "crashes=[{relay = 2, at = 39}, {relay = 5, at = 44}]"));
-        return VirtualEngine.play("", Plan.of(file, seed));
+        return VirtualEngine.run("", Plan.fromJson(file, seed));
     }
 
     @ParameterizedTest
@@ -49,7 +49,7 @@
         for (double rate : new double[] {MIN_RATE_PER_SECOND, 6, 20}) {
             for (double load : new double[] {0.7, 1.3}) {
                 for (int seed = 1; seed <= SEEDS; seed++) {
-                    Run run = play(relays, kind, rate, load, seed);
+                    RunResult run = play(relays, kind, rate, load, seed);
                     String what = "rate " + rate + " load " + load + " seed " + seed;
                     assertEquals(List.of(), run.violations(), what);
                     // At the smallest rate, 4 of 640 runs exceeded the budget, each by less than one call.
--- a/src/test/java/juniperusher/lab/KeyOrderPropertyTest.java
+++ b/src/test/java/juniperusher/lab/KeyOrderPropertyTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
-import juniperusher.settings.CheckedToml;
+import juniperusher.settings.TomlReader;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
@@ -50,7 +50,8 @@
                     rate = 15
                     latency = 0.1
                     """);
-            return CheckedToml.by(Experiment.class, "experiment.schema.json").read(file, sets);
+            return TomlReader.withSchema(Experiment.class, "experiment.schema.json")
+                    .read(file, sets);
         } finally {
             Files.delete(file);
         }
@@ -104,7 +105,7 @@
                 "destinations.0.told_wait=" + toldWait * 0.4,
                 "crashes=" + tables(crashes),
                 "destinations.0.troubles=" + tables(outages)));
-        Run run = VirtualEngine.play("", Plan.of(file, seed));
+        RunResult run = VirtualEngine.run("", Plan.fromJson(file, seed));
         assertEquals(List.of(), run.violations(), Json.array().add(file).toString());
         delivered +=
                 (int) java.util.Arrays.stream(run.series().get("delivered")).sum();
--- a/src/test/java/juniperusher/lab/OrderAndTenantsTest.java
+++ b/src/test/java/juniperusher/lab/OrderAndTenantsTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.DoubleStream;
-import juniperusher.settings.CheckedToml;
+import juniperusher.settings.TomlReader;
 import org.junit.jupiter.api.Test;
 
 /** Shortened experiments with sequenced classes and with tenants; `juniperusher lab run` runs them in full. */
@@ -18,30 +18,30 @@
     private static final int SEEDS = 2;
 
     /** Runs each variant of an experiment with seeds 1 to {@link #SEEDS}. */
-    private static Map<String, List<Run>> play(String name, String... sets) throws IOException {
-        CheckedToml checked = CheckedToml.by(Experiment.class, "experiment.schema.json");
+    private static Map<String, List<RunResult>> play(String name, String... sets) throws IOException {
+        TomlReader reader = TomlReader.withSchema(Experiment.class, "experiment.schema.json");
         Path file = Path.of("experiments/" + name + ".toml");
-        Map<String, List<Run>> out = new LinkedHashMap<>();
+        Map<String, List<RunResult>> out = new LinkedHashMap<>();
         for (Map.Entry<String, List<String>> one :
-                Experiment.variants(checked.read(file, List.of())).entrySet()) {
+                Experiment.variants(reader.read(file, List.of())).entrySet()) {
             List<String> all = new ArrayList<>(List.of("seconds=30"));
             all.addAll(List.of(sets));
             all.addAll(one.getValue());
-            List<Run> runs = new ArrayList<>();
+            List<RunResult> runs = new ArrayList<>();
             for (int seed = 1; seed <= SEEDS; seed++) {
-                runs.add(VirtualEngine.play(one.getKey(), Plan.of(checked.read(file, all), seed)));
+                runs.add(VirtualEngine.run(one.getKey(), Plan.fromJson(reader.read(file, all), seed)));
             }
             out.put(one.getKey(), runs);
         }
         return out;
     }
 
-    private static void assertNoViolations(Map<String, List<Run>> runs) {
+    private static void assertNoViolations(Map<String, List<RunResult>> runs) {
         runs.forEach((variant, all) ->
                 all.forEach(run -> assertEquals(List.of(), run.violations(), variant + ", seed " + run.seed())));
     }
 
-    private static double mean(List<Run> runs, String figure) {
+    private static double mean(List<RunResult> runs, String figure) {
         return runs.stream()
                 .mapToDouble(run -> run.figures().get(figure))
                 .average()
@@ -50,10 +50,10 @@
 
     @Test
     void keyOrderIsKeptAndCostsLittleWithoutFaults() throws IOException {
-        Map<String, List<Run>> runs = play("order-cost");
+        Map<String, List<RunResult>> runs = play("order-cost");
         assertNoViolations(runs);
-        List<Run> with = runs.get("in order");
-        List<Run> without = runs.get("without keys");
+        List<RunResult> with = runs.get("in order");
+        List<RunResult> without = runs.get("without keys");
         for (String figure : List.of("p50_sequenced", "p99_sequenced")) {
             double times = mean(with, figure) / mean(without, figure);
             assertTrue(times > 1, figure + ": keeping the order costs nothing, so it was not kept: " + times);
@@ -64,7 +64,7 @@
 
     @Test
     void relaysWithoutKeysBreakTheOrder() throws IOException {
-        for (Run run : play("order-cost", "relays.keys=false").get("in order")) {
+        for (RunResult run : play("order-cost", "relays.keys=false").get("in order")) {
             assertTrue(
                     run.figures().get("broken") > 10,
                     "a run without keys keeps the order, so the test of the order proves nothing: " + run.figures());
@@ -76,7 +76,7 @@
 
     @Test
     void tenantBeyondItsShareHardlyAffectsTheOthers() throws IOException {
-        Map<String, List<Run>> runs = play("tenant-share");
+        Map<String, List<RunResult>> runs = play("tenant-share");
         assertNoViolations(runs);
         double told = mean(runs.get("told"), "worth_within_share");
         double notTold = mean(runs.get("not told"), "worth_within_share");
@@ -90,7 +90,7 @@
     void demandIsTheSameInAllVariants() throws IOException {
         for (List<String> names : List.of(
                 List.of("order-cost", "in order", "without keys"), List.of("tenant-share", "told", "not told"))) {
-            Map<String, List<Run>> runs = play(names.get(0));
+            Map<String, List<RunResult>> runs = play(names.get(0));
             assertEquals(
                     requestedWorth(runs.get(names.get(1)).get(0)),
                     requestedWorth(runs.get(names.get(2)).get(0)),
@@ -98,14 +98,14 @@
         }
     }
 
-    private static List<Double> requestedWorth(Run run) {
+    private static List<Double> requestedWorth(RunResult run) {
         return DoubleStream.of(run.series().get("worth asked, sound")).boxed().toList();
     }
 
     @Test
     void keysHaveMeanGapOneRelayAndLimitedLifetime() throws IOException {
-        Plan plan = Plan.of(
-                CheckedToml.by(Experiment.class, "experiment.schema.json")
+        Plan plan = Plan.fromJson(
+                TomlReader.withSchema(Experiment.class, "experiment.schema.json")
                         .read(Path.of("experiments/order-cost.toml"), List.of()),
                 7);
         KeyModel model = plan.keyModel();
--- a/src/test/java/juniperusher/lab/SocketEngineTest.java
+++ b/src/test/java/juniperusher/lab/SocketEngineTest.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import juniperusher.lab.sockets.SocketEngine;
-import juniperusher.settings.CheckedToml;
+import juniperusher.settings.TomlReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -45,9 +45,9 @@
                 at = 5.5
                 down = 0.5
                 """);
-        JsonObject json =
-                CheckedToml.by(Experiment.class, "experiment.schema.json").read(file, List.of());
-        Run run = SocketEngine.play("short", Plan.of(json, 1), "juniperusher.cli.Main", at -> {});
+        JsonObject json = TomlReader.withSchema(Experiment.class, "experiment.schema.json")
+                .read(file, List.of());
+        RunResult run = SocketEngine.run("short", Plan.fromJson(json, 1), "juniperusher.cli.Main", at -> {});
         assertEquals(List.of(), run.violations());
         assertTrue(run.figures().get("worth_sound") > 0.8, run.figures().toString());
         assertTrue(run.figures().get("worth_struck") > 0.4, run.figures().toString());
@@ -78,9 +78,9 @@
                 load = 0.5
                 latency = 0.02
                 """);
-        JsonObject json =
-                CheckedToml.by(Experiment.class, "experiment.schema.json").read(file, List.of());
-        Run run = SocketEngine.play("told", Plan.of(json, 2), "juniperusher.cli.Main", at -> {});
+        JsonObject json = TomlReader.withSchema(Experiment.class, "experiment.schema.json")
+                .read(file, List.of());
+        RunResult run = SocketEngine.run("told", Plan.fromJson(json, 2), "juniperusher.cli.Main", at -> {});
         assertEquals(List.of(), run.violations());
         assertTrue(run.figures().get("refused_calls") > 0, "no call was refused: " + run.figures());
         assertTrue(run.figures().get("worth") > 0.3, run.figures().toString());
@@ -126,16 +126,16 @@
                 at = 3
                 down = 0.6
                 """);
-        CheckedToml checked = CheckedToml.by(Experiment.class, "experiment.schema.json");
-        Run run =
-                SocketEngine.play("keys", Plan.of(checked.read(file, List.of()), 3), "juniperusher.cli.Main", at -> {});
+        TomlReader reader = TomlReader.withSchema(Experiment.class, "experiment.schema.json");
+        RunResult run = SocketEngine.run(
+                "keys", Plan.fromJson(reader.read(file, List.of()), 3), "juniperusher.cli.Main", at -> {});
         assertEquals(List.of(), run.violations());
         assertTrue(run.figures().get("p50_sequenced") > 0, "no sequenced message was delivered: " + run.figures());
         assertTrue(run.figures().get("worth") > 0.3, run.figures().toString());
-        Run careless = SocketEngine.play(
+        RunResult careless = SocketEngine.run(
                 "not told",
-                Plan.of(
-                        checked.read(
+                Plan.fromJson(
+                        reader.read(
                                 file,
                                 List.of("relays.keys=false", "crashes=[]", "destinations.0.troubles=[]", "seconds=2")),
                         3),
@@ -146,7 +146,7 @@
                 "a run without keys keeps the order, so the run above proves nothing");
     }
 
-    private static double sum(Run run, String series) {
+    private static double sum(RunResult run, String series) {
         double sum = 0;
         for (double value : run.series().getOrDefault(series, new double[0])) {
             sum += value;
--- a/src/test/java/juniperusher/lab/VirtualEngineTest.java
+++ b/src/test/java/juniperusher/lab/VirtualEngineTest.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import juniperusher.settings.CheckedToml;
+import juniperusher.settings.TomlReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -19,14 +19,14 @@
     private static final String TROUBLE = "destinations.0.troubles.0.";
 
     private static JsonObject file(String... sets) throws IOException {
-        return CheckedToml.by(Experiment.class, "experiment.schema.json")
+        return TomlReader.withSchema(Experiment.class, "experiment.schema.json")
                 .read(Path.of("experiments/storm-recovery.toml"), List.of(sets));
     }
 
-    private static List<Run> play(String... sets) throws IOException {
-        List<Run> runs = new ArrayList<>();
+    private static List<RunResult> play(String... sets) throws IOException {
+        List<RunResult> runs = new ArrayList<>();
         for (int seed = 1; seed <= 2; seed++) {
-            Run run = VirtualEngine.play("", Plan.of(file(sets), seed));
+            RunResult run = VirtualEngine.run("", Plan.fromJson(file(sets), seed));
             assertEquals(List.of(), run.violations(), "seed " + seed);
             assertTrue(run.figures().get("worth") > 0.5, "hardly anything is delivered: " + run.figures());
             runs.add(run);
@@ -34,8 +34,8 @@
         return runs;
     }
 
-    private static void assertCapacityNotExceeded(List<Run> runs) {
-        for (Run run : runs) {
+    private static void assertCapacityNotExceeded(List<RunResult> runs) {
+        for (RunResult run : runs) {
             assertEquals(0, run.figures().get("above"), "seed " + run.seed());
             assertEquals(0, run.figures().get("fell"), "seed " + run.seed());
         }
@@ -67,7 +67,7 @@
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void refusalsDuringOutageDoNotLimitTheRateAfterIt(boolean storm) throws IOException {
-        for (Run run : play(TROUBLE + "kind=shut", "relays.storm=" + storm)) {
+        for (RunResult run : play(TROUBLE + "kind=shut", "relays.storm=" + storm)) {
             // 0.86 if the rate limit from the refusals stays in effect during the recovery
             assertTrue(run.figures().get("worth_struck") > 0.885, run.figures().toString());
         }
@@ -116,8 +116,8 @@
     @Test
     void historyDependsOnlyOnPlanAndSeed() throws IOException {
         JsonObject file = file("notes.lost=0.3", "crashes=[{relay = 1, at = 44}]");
-        long hash = VirtualEngine.play("", Plan.of(file, 5)).hash();
-        assertEquals(hash, VirtualEngine.play("", Plan.of(file, 5)).hash());
-        assertNotEquals(hash, VirtualEngine.play("", Plan.of(file, 6)).hash());
+        long hash = VirtualEngine.run("", Plan.fromJson(file, 5)).hash();
+        assertEquals(hash, VirtualEngine.run("", Plan.fromJson(file, 5)).hash());
+        assertNotEquals(hash, VirtualEngine.run("", Plan.fromJson(file, 6)).hash());
     }
 }
--- a/src/test/java/juniperusher/lab/fleet/DistributionCheckerTest.java
+++ b/src/test/java/juniperusher/lab/fleet/DistributionCheckerTest.java
@@ -15,7 +15,7 @@
     private static final Version SECOND = new Version(1, 2);
     private static final Ledger NEXT = Ledger.EMPTY.after(7);
 
-    private final DistributionChecker checker = new DistributionChecker(Limits.USUAL);
+    private final DistributionChecker checker = new DistributionChecker(Limits.DEFAULT);
 
     @BeforeEach
     void publish() {
--- a/src/test/java/juniperusher/lab/hollow/HollowFleetTest.java
+++ b/src/test/java/juniperusher/lab/hollow/HollowFleetTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import juniperusher.settings.CheckedToml;
+import juniperusher.settings.TomlReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -26,12 +26,12 @@
     Path folder;
 
     private static HollowExperiment read(Path file, String... sets) throws Exception {
-        return HollowExperiment.of(
-                CheckedToml.by(HollowExperiment.class, HollowExperiment.SCHEMA).read(file, List.of(sets)));
+        return HollowExperiment.fromJson(TomlReader.withSchema(HollowExperiment.class, HollowExperiment.SCHEMA)
+                .read(file, List.of(sets)));
     }
 
     private HollowResults play(HollowExperiment experiment) throws Exception {
-        return HollowFleet.play(experiment, "juniperusher.cli.Main", folder, MEMORY_MB, what -> {});
+        return HollowFleet.run(experiment, "juniperusher.cli.Main", folder, MEMORY_MB, what -> {});
     }
 
     private static Set<Long> children() {
--- a/src/test/java/juniperusher/lab/report/ResultsTest.java
+++ b/src/test/java/juniperusher/lab/report/ResultsTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import juniperusher.lab.Experiment.Verdict;
-import juniperusher.lab.Run;
+import juniperusher.lab.RunResult;
 import juniperusher.lab.Tally;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -22,12 +22,12 @@
     @TempDir
     Path folder;
 
-    private static Run run(String variant, long seed, double worth, String... broken) {
+    private static RunResult run(String variant, long seed, double worth, String... broken) {
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put("worth", worth);
         figures.put("p99_sound", 2.0);
         double[] percentiles = new double[Tally.PERCENTILES.size()];
-        return new Run(
+        return new RunResult(
                 variant,
                 seed,
                 figures,
@@ -38,7 +38,7 @@
     }
 
     private static Results results(double add) {
-        List<Run> runs = new ArrayList<>();
+        List<RunResult> runs = new ArrayList<>();
         for (int seed = 1; seed <= 4; seed++) {
             runs.add(run("a <b>", seed, 0.8 + seed * 0.01 + add));
         }
--- a/src/test/java/juniperusher/lab/scale/ScaleExperimentTest.java
+++ b/src/test/java/juniperusher/lab/scale/ScaleExperimentTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.Stream;
-import juniperusher.settings.CheckedToml;
+import juniperusher.settings.TomlReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -30,7 +30,8 @@
     Path folder;
 
     private static JsonObject json(Path file) throws IOException {
-        return CheckedToml.by(ScaleExperiment.class, ScaleExperiment.SCHEMA).read(file, List.of());
+        return TomlReader.withSchema(ScaleExperiment.class, ScaleExperiment.SCHEMA)
+                .read(file, List.of());
     }
 
     private ScaleExperiment read(String text) throws IOException {
--- a/src/test/java/juniperusher/maintenance/MaintenanceTest.java
+++ b/src/test/java/juniperusher/maintenance/MaintenanceTest.java
@@ -33,13 +33,13 @@
     @Test
     public void endpointUnderMaintenanceIsDraining() {
         Maintenance maintenance = Maintenance.NONE.enter("s-b");
-        Snapshot applied = maintenance.over(discovered(Phase.READY));
+        Snapshot applied = maintenance.applyTo(discovered(Phase.READY));
         assertEquals(applied.target(0).phase(), Phase.READY);
         assertEquals(applied.target(1).phase(), Phase.DRAINING);
-        assertEquals(maintenance.over(discovered(Phase.GONE)).target(1).phase(), Phase.GONE);
+        assertEquals(maintenance.applyTo(discovered(Phase.GONE)).target(1).phase(), Phase.GONE);
         Snapshot unchanged = discovered(Phase.READY);
         assertSame(
-                Maintenance.NONE.over(unchanged),
+                Maintenance.NONE.applyTo(unchanged),
                 unchanged,
                 "a new snapshot was made although no endpoint is under maintenance");
     }
--- a/src/test/java/juniperusher/membership/MembershipPropertyTest.java
+++ b/src/test/java/juniperusher/membership/MembershipPropertyTest.java
@@ -24,14 +24,14 @@
  */
 class MembershipPropertyTest {
     private static final String SEED = "20261201";
-    private static final Timing TIMING = Timing.USUAL;
+    private static final WatchTiming TIMING = WatchTiming.DEFAULT;
     private static final double SLACK = 1e-6;
 
     /** Model of a discovery agent: its current list and the changes by version. */
     private static final class Agent {
         private final InetSocketAddress address;
-        private final TreeMap<Long, Entry> changes = new TreeMap<>();
-        private final Map<String, Entry> endpoints = new HashMap<>();
+        private final TreeMap<Long, EndpointEntry> changes = new TreeMap<>();
+        private final Map<String, EndpointEntry> endpoints = new HashMap<>();
         private long version;
 
         Agent(int port, long first) {
@@ -39,18 +39,18 @@
             version = first;
         }
 
-        void change(Entry entry) {
+        void change(EndpointEntry entry) {
             changes.put(++version, entry);
             endpoints.put(entry.id(), entry);
             endpoints.values().removeIf(one -> one.phase() == Phase.GONE);
         }
 
-        Update fullList() {
-            return new Update(true, version, List.copyOf(endpoints.values()), Set.of());
+        EndpointUpdate fullList() {
+            return new EndpointUpdate(true, version, List.copyOf(endpoints.values()), Set.of());
         }
 
-        Update changesAfter(long index) {
-            return new Update(
+        EndpointUpdate changesAfter(long index) {
+            return new EndpointUpdate(
                     false, version, List.copyOf(changes.tailMap(index, false).values()), Set.of());
         }
     }
@@ -71,21 +71,21 @@
         private int currentAgent;
 
         World() {
-            membership.known(new Update(true, 7, List.of(), Set.of()), List.of(), 0);
-            carryOut(membership.moved(agents[0].address, now));
+            membership.initialize(new EndpointUpdate(true, 7, List.of(), Set.of()), List.of(), 0);
+            carryOut(membership.discoveryMoved(agents[0].address, now));
         }
 
         void carryOut(List<Step> steps) {
             for (Step step : steps) {
                 if (step instanceof Step.Open watch) {
                     assertTrue(open.size() <= 2, "another watch is opened in addition to " + open);
-                    open.put(watch.watch(), watch);
-                    lastVersions.put(watch.watch(), watch.index());
+                    open.put(watch.watchNumber(), watch);
+                    lastVersions.put(watch.watchNumber(), watch.afterVersion());
                     opened++;
                 } else if (step instanceof Step.Abandon watch) {
-                    assertTrue(open.remove(watch.watch()) != null, "abandoned a watch that is not open");
+                    assertTrue(open.remove(watch.watchNumber()) != null, "abandoned a watch that is not open");
                 } else if (step instanceof Step.Publish change) {
-                    change.told().targets().forEach(target -> moduleTargets.put(target.id(), target));
+                    change.changedTargets().targets().forEach(target -> moduleTargets.put(target.id(), target));
                     change.snapshot()
                             .endpoints()
                             .forEach((number, endpoint) -> assertEquals(
@@ -106,26 +106,30 @@
         void deliver(int watch) {
             Step.Open request = open.get(watch);
             if (request == null) { // late data on a closed watch, with all endpoints ready
-                carryOut(membership.told(
-                        watch, new Update(true, 99, List.of(entry(0, Phase.READY, 9)), Set.of()), now));
+                carryOut(membership.updateReceived(
+                        watch, new EndpointUpdate(true, 99, List.of(entry(0, Phase.READY, 9)), Set.of()), now));
                 return;
             }
-            Update update = request.whole() ? agent().fullList() : agent().changesAfter(lastVersions.get(watch));
+            EndpointUpdate update =
+                    request.fullList() ? agent().fullList() : agent().changesAfter(lastVersions.get(watch));
             lastVersions.put(watch, update.version());
-            if (update.whole()) {
+            if (update.fullList()) {
                 open.remove(watch); // the answer is complete
                 lastPhases.clear();
             }
             update.entries().forEach(entry -> lastPhases.put(entry.id(), entry.phase()));
-            carryOut(membership.told(watch, update, now));
+            carryOut(membership.updateReceived(watch, update, now));
         }
 
         void check() {
             assertTrue(membership.currentWatch() == 0 || open.containsKey(membership.currentWatch()));
-            assertTrue(membership.due() <= now + TIMING.silenceTimeoutSeconds() + SLACK, "due at " + membership.due());
+            assertTrue(
+                    membership.nextTickAt() <= now + TIMING.silenceTimeoutSeconds() + SLACK,
+                    "due at " + membership.nextTickAt());
             if (membership.currentWatch() == 0) {
                 assertTrue(
-                        membership.due() <= now + TIMING.maxBackoffSeconds() + SLACK, "no watch is open or scheduled");
+                        membership.nextTickAt() <= now + TIMING.maxBackoffSeconds() + SLACK,
+                        "no watch is open or scheduled");
             }
             Snapshot snapshot = membership.snapshot();
             moduleTargets.forEach((number, target) -> assertTrue(
@@ -153,8 +157,9 @@
         }
     }
 
-    private static Entry entry(int id, Phase phase, int port) {
-        return new Entry("s-" + id, new InetSocketAddress("127.0.0.1", 100 + port), id % 3, 0, 0, 1 + id, phase);
+    private static EndpointEntry entry(int id, Phase phase, int port) {
+        return new EndpointEntry(
+                "s-" + id, new InetSocketAddress("127.0.0.1", 100 + port), id % 3, 0, 0, 1 + id, phase);
     }
 
     private static void apply(World world, int code) {
@@ -169,18 +174,18 @@
             case 6 -> {
                 if (rest % 2 == 0) {
                     world.open.remove(watch);
-                    world.carryOut(world.membership.ended(watch, world.now));
+                    world.carryOut(world.membership.watchEnded(watch, world.now));
                 } else if (rest % 4 == 1) {
-                    world.carryOut(world.membership.damaged(watch, world.now));
+                    world.carryOut(world.membership.unreadableDataReceived(watch, world.now));
                 } else {
-                    world.carryOut(world.membership.turnedAway(watch, 0, world.now));
+                    world.carryOut(world.membership.watchRefused(watch, 0, world.now));
                 }
             }
             case 7 -> {
                 world.currentAgent = rest % 2;
-                world.carryOut(world.membership.moved(world.agent().address, world.now));
+                world.carryOut(world.membership.discoveryMoved(world.agent().address, world.now));
             }
-            case 8 -> world.carryOut(world.membership.heard(1 + rest % Math.max(1, world.opened), world.now));
+            case 8 -> world.carryOut(world.membership.dataReceived(1 + rest % Math.max(1, world.opened), world.now));
             default -> {
                 world.now += rest % 200 / 100.0;
                 world.carryOut(world.membership.tick(world.now));
@@ -209,7 +214,7 @@
                 "opened " + (world.opened - openedBefore) + " times");
         // The current agent answers: the snapshot has to agree with its list.
         while (world.membership.currentWatch() == 0
-                || world.open.get(world.membership.currentWatch()).whole()) {
+                || world.open.get(world.membership.currentWatch()).fullList()) {
             world.now += 0.1;
             world.carryOut(world.membership.tick(world.now));
             world.deliver(world.membership.currentWatch());
@@ -242,15 +247,16 @@
         int watch = world.membership.currentWatch();
         double retryAfterSeconds = new double[] {0, 0.3, 3, 1e9}[code / 8 % 4];
         switch (code % 8) {
-            case 0, 1 -> world.carryOut(world.membership.turnedAway(watch, retryAfterSeconds, world.now));
+            case 0, 1 -> world.carryOut(world.membership.watchRefused(watch, retryAfterSeconds, world.now));
             case 2 -> {
                 world.open.remove(watch);
-                world.carryOut(world.membership.ended(watch, world.now));
+                world.carryOut(world.membership.watchEnded(watch, world.now));
             }
-            case 3 -> world.carryOut(world.membership.damaged(watch, world.now));
-            case 4 -> world.carryOut(world.membership.heard(watch, world.now)); // a response header and nothing more
+            case 3 -> world.carryOut(world.membership.unreadableDataReceived(watch, world.now));
+            case 4 ->
+                world.carryOut(world.membership.dataReceived(watch, world.now)); // a response header and nothing more
             case 5 -> world.now += code / 32 % 100 / 50.0;
-            default -> world.now = Math.max(world.now, world.membership.due() + 0.01); // silence or backoff
+            default -> world.now = Math.max(world.now, world.membership.nextTickAt() + 0.01); // silence or backoff
         }
         world.carryOut(world.membership.tick(world.now));
     }
@@ -275,7 +281,7 @@
             failWatch(world, before.get(i));
             if (moves > 0 && before.get(i) % 13 == 0) {
                 world.currentAgent = 1 - world.currentAgent;
-                world.carryOut(world.membership.moved(world.agent().address, world.now));
+                world.carryOut(world.membership.discoveryMoved(world.agent().address, world.now));
             }
         }
         double reachableFrom = world.now;
@@ -286,15 +292,15 @@
             int watch = world.membership.currentWatch();
             if (watch != 0 && !unresponsive.contains(watch) && refused) {
                 refused = false;
-                world.carryOut(world.membership.turnedAway(watch, after / 2 % 5, world.now));
+                world.carryOut(world.membership.watchRefused(watch, after / 2 % 5, world.now));
             } else if (watch != 0 && !unresponsive.contains(watch)) {
                 world.deliver(watch);
             } else {
-                world.now = Math.max(world.now, world.membership.due()) + 0.01;
+                world.now = Math.max(world.now, world.membership.nextTickAt()) + 0.01;
                 world.carryOut(world.membership.tick(world.now));
             }
             assertTrue(
-                    world.now - reachableFrom < Timing.NOTIFICATION_LIMIT_SECONDS - 0.3,
+                    world.now - reachableFrom < WatchTiming.NOTIFICATION_LIMIT_SECONDS - 0.3,
                     "change not received after " + (world.now - reachableFrom) + " s");
         }
     }
@@ -312,7 +318,7 @@
             int id = code / 3 % 4;
             Phase phase = Phase.values()[code / 12 % 3];
             boolean whole = code / 36 % 4 == 0;
-            List<Entry> entries = List.of(entry(id, phase, 0));
+            List<EndpointEntry> entries = List.of(entry(id, phase, 0));
             if (whole) {
                 phases.forEach(
                         (name, phaseBySource) -> phaseBySource.computeIfPresent(source, (key, last) -> Phase.GONE));
@@ -321,7 +327,7 @@
             phases.values()
                     .removeIf(phaseBySource ->
                             phaseBySource.values().stream().allMatch(phaseOfSource -> phaseOfSource == Phase.GONE));
-            roster.apply(source, new Update(whole, code, entries, Set.of()), source, true, now);
+            roster.apply(source, new EndpointUpdate(whole, code, entries, Set.of()), source, true, now);
             Snapshot snapshot = roster.snapshot();
             Map<String, Phase> actual = new HashMap<>();
             snapshot.endpoints().values().stream()
--- a/src/test/java/juniperusher/mgmt/ManagementTest.java
+++ b/src/test/java/juniperusher/mgmt/OperatorListenerTest.java
@@ -25,9 +25,9 @@
 import org.testng.annotations.Test;
 
 /** Operators' calls over a socket: responses, errors, and callers that hold connections without a complete call. */
-public class ManagementTest {
+public class OperatorListenerTest {
     private Network network;
-    private Management management;
+    private OperatorListener operatorListener;
     private int port;
     private final Set<String> underMaintenance = ConcurrentHashMap.newKeySet();
     private volatile boolean serving;
@@ -40,30 +40,35 @@
             port = free.getLocalPort();
         }
         network = new Network(1.0);
-        management = Management.listen(network, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+        operatorListener =
+                OperatorListener.listen(network, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
     @AfterMethod
     public void close() throws IOException {
-        management.close();
+        operatorListener.close();
         network.close();
     }
 
     private void attachRelay() {
-        management.operate(new Operated() {
+        operatorListener.setRelay(new ManagedRelay() {
             @Override
-            public boolean serving() {
+            public boolean isServing() {
                 return serving;
             }
 
             @Override
-            public Answer enter(String id) {
-                return id.startsWith("s-") && (underMaintenance.add(id) || true) ? Answer.DONE : Answer.UNKNOWN;
+            public MaintenanceResult enterMaintenance(String id) {
+                return id.startsWith("s-") && (underMaintenance.add(id) || true)
+                        ? MaintenanceResult.DONE
+                        : MaintenanceResult.UNKNOWN;
             }
 
             @Override
-            public Answer exit(String id) {
-                return id.startsWith("s-") && (underMaintenance.remove(id) || true) ? Answer.DONE : Answer.UNKNOWN;
+            public MaintenanceResult exitMaintenance(String id) {
+                return id.startsWith("s-") && (underMaintenance.remove(id) || true)
+                        ? MaintenanceResult.DONE
+                        : MaintenanceResult.UNKNOWN;
             }
         });
     }
@@ -173,7 +178,7 @@
                     }
 
                     @Override
-                    public boolean closing() {
+                    public boolean closesConnections() {
                         return true;
                     }
                 }))) {
--- a/src/test/java/juniperusher/net/EarlyAnswerTest.java
+++ b/src/test/java/juniperusher/net/EarlyAnswerTest.java
@@ -36,7 +36,7 @@
         }
 
         @Override
-        public void connect(InetSocketAddress address, Dial dial) {
+        public void connect(InetSocketAddress address, ConnectListener listener) {
             ByteArrayEndPoint endPoint = new ByteArrayEndPoint(scheduler(), 0) {
                 @Override
                 public boolean flush(ByteBuffer... buffers) throws IOException {
@@ -63,7 +63,7 @@
             };
             endPoint.setGrowOutput(true);
             opened.add(endPoint);
-            Connection connection = dial.connected(endPoint);
+            Connection connection = listener.connected(endPoint);
             endPoint.setConnection(connection);
             endPoint.onOpen();
             connection.onOpen();
@@ -111,8 +111,8 @@
                     }
 
                     @Override
-                    public void ended(CallEnd why, int firstLine) {
-                        told(why.name());
+                    public void ended(CallEnd end, int statusLineCode) {
+                        told(end.name());
                     }
 
                     private void told(String end) {
--- a/src/test/java/juniperusher/net/Player.java
+++ b/src/test/java/juniperusher/net/ExchangePlayer.java
@@ -31,7 +31,7 @@
  * Bytes are text with \r, \n and \xHH, or hexadecimal after {@code hex:}, where text in single quotes is a comment.
  * {*} matches any text without a line break. Blank lines and lines that begin with # are skipped.
  */
-public final class Player implements AutoCloseable {
+public final class ExchangePlayer implements AutoCloseable {
     private final Map<String, ServerSocket> servers = new HashMap<>();
     private final Map<String, Integer> ports = new HashMap<>();
     private final Map<String, Socket> sockets = new HashMap<>();
--- a/src/test/java/juniperusher/net/ExchangesTest.java
+++ b/src/test/java/juniperusher/net/ExchangesTest.java
@@ -13,7 +13,7 @@
 import juniperusher.amqp.AmqpExtension;
 import juniperusher.core.Counters;
 import juniperusher.http.Config;
-import juniperusher.http.Platform;
+import juniperusher.http.RelayServer;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -41,7 +41,7 @@
     @Test(dataProvider = "recorded")
     public void relayReproducesRecordedExchange(Path file) throws Exception {
         Path folder = Files.createTempDirectory("exchange");
-        try (Player player = new Player()) {
+        try (ExchangePlayer player = new ExchangePlayer()) {
             JsonObject json = Json.parse(Files.readString(Path.of("src/main/resources/selftest.json")))
                     .asObject();
             int listen = freePort();
@@ -69,15 +69,15 @@
             Files.writeString(folder.resolve("relay.json"), json.toString());
             Config config = Config.read(folder.resolve("relay.json"));
             Network network = new Network(1);
-            try (Platform platform = new Platform(
+            try (RelayServer relayServer = new RelayServer(
                     config,
                     folder.resolve("state"),
                     new Counters(),
                     network,
                     new AmqpExtension(
-                            AmqpConfig.of(front),
-                            config.classes(),
-                            config.settings().settings(),
+                            AmqpConfig.fromTable(front),
+                            config.classNames(),
+                            config.parsedSettings().settings(),
                             network))) {
                 player.play(file);
             }
--- a/src/test/java/juniperusher/net/HttpServerConnectionTest.java
+++ b/src/test/java/juniperusher/net/HttpServerConnectionTest.java
@@ -58,7 +58,7 @@
                     }
 
                     @Override
-                    public boolean closing() {
+                    public boolean closesConnections() {
                         return false;
                     }
                 }));
@@ -135,7 +135,7 @@
         try (Socket idle = connectIdle();
                 Socket blocking = blockSelector()) {
             send(idle, getRequest("/crossing"));
-            network.inbound().endAll(true);
+            network.inboundConnections().closeAll(true);
             String answer = readHead(idle);
             assertTrue(answer.startsWith("HTTP/1.1 200") && answer.contains("Connection: close"), answer);
             assertEquals(idle.getInputStream().read(), -1);
@@ -157,11 +157,13 @@
     @Test
     public void requestAfterOutputShutdownIsDiscardedWithoutReset() throws Exception {
         try (Socket idle = connectIdle()) {
-            network.inbound().endAll(true);
+            network.inboundConnections().closeAll(true);
             assertEquals(idle.getInputStream().read(), -1);
             send(idle, getRequest("/late"));
             idle.shutdownOutput();
-            awaitCondition(() -> network.inbound().size() == 0, "the connection stays open after its client closed");
+            awaitCondition(
+                    () -> network.inboundConnections().size() == 0,
+                    "the connection stays open after its client closed");
             assertEquals(idle.getInputStream().read(), -1); // no reset
             assertEquals(handledPaths, List.of("/first"));
         }
@@ -170,8 +172,8 @@
     @Test
     public void connectionClosesThoughClientNeverCloses() throws Exception {
         try (Socket idle = connectIdle()) {
-            network.inbound().endAll(true);
-            awaitCondition(() -> network.inbound().size() == 0, "the connection stays open");
+            network.inboundConnections().closeAll(true);
+            awaitCondition(() -> network.inboundConnections().size() == 0, "the connection stays open");
         }
     }
 
@@ -179,8 +181,8 @@
     public void incompleteRequestGets503WhenConnectionIsShed() throws Exception {
         try (Socket incomplete = connect()) {
             send(incomplete, getRequest("/never").substring(0, 12));
-            awaitCondition(() -> network.inbound().size() == 1, "the connection was not accepted");
-            network.inbound().endAll(false);
+            awaitCondition(() -> network.inboundConnections().size() == 1, "the connection was not accepted");
+            network.inboundConnections().closeAll(false);
             assertTrue(readHead(incomplete).startsWith("HTTP/1.1 503"));
             assertEquals(handledPaths, List.of());
         }
@@ -189,7 +191,7 @@
     @Test
     public void requestInHandlerIsAnsweredBeforeConnectionEnds() throws Exception {
         try (Socket blocking = blockSelector()) {
-            network.inbound().endAll(false);
+            network.inboundConnections().closeAll(false);
             assertFalse(blocking.getInputStream().available() > 0);
             releaseHandler.countDown();
             String answer = readHead(blocking);
--- a/src/test/java/juniperusher/net/IdleConnectionCloseTest.java
+++ b/src/test/java/juniperusher/net/IdleConnectionCloseTest.java
@@ -55,7 +55,7 @@
                     }
 
                     @Override
-                    public void ended(CallEnd why, int firstLine) {
+                    public void ended(CallEnd why, int statusLineCode) {
                         end.complete(why.name());
                     }
                 });
--- a/src/test/java/juniperusher/net/InheritedSocketTest.java
+++ b/src/test/java/juniperusher/net/InheritedSocketTest.java
@@ -45,7 +45,7 @@
     public void descriptorOtherThanZeroIsRefusedWithOneLine() {
         String message = null;
         try {
-            Network.inherited("3");
+            Network.inheritedSocket("3");
         } catch (IllegalArgumentException | java.io.IOException e) {
             message = e.getMessage();
         }
@@ -55,6 +55,6 @@
     @Test
     public void standardInputThatIsNoListeningSocketIsRefused() {
         // The standard input of a test run is a pipe or a terminal, never a listening socket.
-        assertThrows(IllegalArgumentException.class, () -> Network.inherited("0"));
+        assertThrows(IllegalArgumentException.class, () -> Network.inheritedSocket("0"));
     }
 }
--- a/src/test/java/juniperusher/net/LateConnectTest.java
+++ b/src/test/java/juniperusher/net/LateConnectTest.java
@@ -28,21 +28,21 @@
 
     /** A network whose connections are established only by {@link #completeConnect}. */
     private static final class ManualConnectNetwork extends Network {
-        private final BlockingQueue<Dial> dials = new LinkedBlockingQueue<>();
+        private final BlockingQueue<ConnectListener> listeners = new LinkedBlockingQueue<>();
 
         ManualConnectNetwork() throws Exception {
             super(1);
         }
 
         @Override
-        public void connect(InetSocketAddress address, Dial dial) {
-            dials.add(dial);
+        public void connect(InetSocketAddress address, ConnectListener listener) {
+            listeners.add(listener);
         }
 
         ByteArrayEndPoint completeConnect() throws InterruptedException {
             ByteArrayEndPoint endPoint = new ByteArrayEndPoint(scheduler(), 0);
             endPoint.setGrowOutput(true);
-            Connection connection = dials.take().connected(endPoint);
+            Connection connection = listeners.take().connected(endPoint);
             endPoint.setConnection(connection);
             endPoint.onOpen();
             connection.onOpen();
@@ -62,8 +62,8 @@
                     }
 
                     @Override
-                    public void ended(CallEnd why, int firstLine) {
-                        ends.add(why);
+                    public void ended(CallEnd end, int statusLineCode) {
+                        ends.add(end);
                     }
                 });
     }
--- a/src/test/java/juniperusher/net/PollTest.java
+++ b/src/test/java/juniperusher/net/PollTest.java
@@ -32,8 +32,8 @@
             }
 
             @Override
-            public void ended(CallEnd why, int firstLine) {
-                status.completeExceptionally(new IllegalStateException(why.toString()));
+            public void ended(CallEnd end, int statusLineCode) {
+                status.completeExceptionally(new IllegalStateException(end.toString()));
             }
         };
     }
--- a/src/test/java/juniperusher/net/RestartTest.java
+++ b/src/test/java/juniperusher/net/RestartTest.java
@@ -24,14 +24,14 @@
     private static final String WATCH_REQUESTS = watchRequests("platform", ENDPOINT_LIST, 1);
 
     private Path folder;
-    private Player player;
+    private ExchangePlayer player;
     private Process program;
     private int port;
 
     @BeforeMethod
     public void configure() throws Exception {
         folder = Files.createTempDirectory("restart");
-        player = new Player();
+        player = new ExchangePlayer();
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             port = free.getLocalPort();
         }
--- a/src/test/java/juniperusher/ownership/LeaseTest.java
+++ b/src/test/java/juniperusher/ownership/LeaseTest.java
@@ -24,12 +24,12 @@
 /** Exclusive ownership: a single {@link Lease}, then several processes with faults in virtual time. */
 class LeaseTest {
     private static final String SEED = "20261202";
-    private static final Terms TERMS = new Terms(5, 1, 1, 0.5, 0.5);
+    private static final LeaseTiming TERMS = new LeaseTiming(5, 1, 1, 0.5, 0.5);
 
-    private static Step.Ask requestIn(List<Step> steps) {
+    private static Step.SendRequest requestIn(List<Step> steps) {
         return steps.stream()
-                .filter(Step.Ask.class::isInstance)
-                .map(Step.Ask.class::cast)
+                .filter(Step.SendRequest.class::isInstance)
+                .map(Step.SendRequest.class::cast)
                 .findFirst()
                 .orElseThrow(() -> new AssertionError("no request in " + steps));
     }
@@ -37,44 +37,44 @@
     /** A lease that was requested at 0 s and gave the ownership at 0.4 s. */
     private static Lease heldLease() {
         Lease lease = new Lease(TERMS, "thing", "me/1", 7);
-        Step.Ask grant = requestIn(lease.want(0));
-        Step.Ask claim = requestIn(lease.answered(grant.number(), new Reply.Leased(4, 5), 0.2));
-        assertTrue(lease.answered(claim.number(), new Reply.Done(true, 9, List.of()), 0.4)
-                .contains(new Step.Held(new Holding("thing", 9))));
+        Step.SendRequest grant = requestIn(lease.acquire(0));
+        Step.SendRequest claim = requestIn(lease.answerReceived(grant.number(), new Reply.Leased(4, 5), 0.2));
+        assertTrue(lease.answerReceived(claim.number(), new Reply.Done(true, 9, List.of()), 0.4)
+                .contains(new Step.Acquired(new Holding("thing", 9))));
         return lease;
     }
 
     @Test
     void leaseEndsByItsRequestTimeLessTheMargin() {
         Lease lease = heldLease();
-        assertTrue(lease.holds(3.9));
-        assertFalse(lease.holds(4.0), "ttl of 5 s from the request at 0 s, less the margin of 1 s");
+        assertTrue(lease.isOwner(3.9));
+        assertFalse(lease.isOwner(4.0), "ttl of 5 s from the request at 0 s, less the margin of 1 s");
         assertEquals(Lease.State.HOLDING, lease.state(), "the state is only updated by a tick");
-        assertTrue(lease.tick(4.0).contains(new Step.Doubted(new Holding("thing", 9))));
+        assertTrue(lease.tick(4.0).contains(new Step.Uncertain(new Holding("thing", 9))));
     }
 
     @Test
     void lateAnswerRenewsFromItsOwnRequestTime() {
         Lease lease = heldLease();
-        Step.Ask first = requestIn(lease.tick(1.2));
-        Step.Ask second = requestIn(lease.tick(1.8)); // the first has timed out
-        lease.answered(first.number(), new Reply.Leased(4, 5), 2.5);
-        assertTrue(lease.holds(5.1));
-        assertFalse(lease.holds(5.3), "1.2 s and the ttl of 5 s, less the margin of 1 s");
-        lease.answered(second.number(), new Reply.Leased(4, 5), 2.6);
-        assertTrue(lease.holds(5.7));
+        Step.SendRequest first = requestIn(lease.tick(1.2));
+        Step.SendRequest second = requestIn(lease.tick(1.8)); // the first has timed out
+        lease.answerReceived(first.number(), new Reply.Leased(4, 5), 2.5);
+        assertTrue(lease.isOwner(5.1));
+        assertFalse(lease.isOwner(5.3), "1.2 s and the ttl of 5 s, less the margin of 1 s");
+        lease.answerReceived(second.number(), new Reply.Leased(4, 5), 2.6);
+        assertTrue(lease.isOwner(5.7));
     }
 
     @Test
     void uncertainHoldingIsRestoredOrEndedByTheStore() {
         for (boolean confirmed : new boolean[] {true, false}) {
             Lease lease = heldLease();
-            Step.Ask renewal = requestIn(lease.tick(4.5)); // suspended past the end of its lease
+            Step.SendRequest renewal = requestIn(lease.tick(4.5)); // suspended past the end of its lease
             assertEquals(Lease.State.UNCERTAIN, lease.state());
-            List<Step> steps =
-                    lease.answered(renewal.number(), confirmed ? new Reply.Leased(4, 5) : new Reply.NoLease(4), 4.6);
-            assertEquals(confirmed, lease.holds(4.6));
-            assertEquals(confirmed, steps.contains(new Step.Held(new Holding("thing", 9))));
+            List<Step> steps = lease.answerReceived(
+                    renewal.number(), confirmed ? new Reply.Leased(4, 5) : new Reply.NoLease(4), 4.6);
+            assertEquals(confirmed, lease.isOwner(4.6));
+            assertEquals(confirmed, steps.contains(new Step.Acquired(new Holding("thing", 9))));
             assertEquals(!confirmed, steps.contains(new Step.Lost(new Holding("thing", 9))));
         }
     }
@@ -82,9 +82,9 @@
     @Test
     void repeatedClaimFindsTheOneWhoseAnswerWasLost() {
         Lease lease = new Lease(TERMS, "thing", "me/1", 7);
-        lease.answered(requestIn(lease.want(0)).number(), new Reply.Leased(4, 5), 0.1);
-        Step.Ask again = requestIn(lease.tick(0.7));
-        lease.answered(
+        lease.answerReceived(requestIn(lease.acquire(0)).number(), new Reply.Leased(4, 5), 0.1);
+        Step.SendRequest again = requestIn(lease.tick(0.7));
+        lease.answerReceived(
                 again.number(),
                 new Reply.Done(false, 12, List.of(List.of(new juniperusher.store.Entry("thing", "me/1", 9, 9, 4)))),
                 0.8);
@@ -94,13 +94,14 @@
     @Test
     void keyOfAnEarlierRunIsNotOwned() {
         Lease lease = new Lease(TERMS, "thing", "me/2", 7);
-        Step.Ask claim = requestIn(lease.answered(requestIn(lease.want(0)).number(), new Reply.Leased(5, 5), 0.1));
-        lease.answered(
+        Step.SendRequest claim =
+                requestIn(lease.answerReceived(requestIn(lease.acquire(0)).number(), new Reply.Leased(5, 5), 0.1));
+        lease.answerReceived(
                 claim.number(),
                 new Reply.Done(false, 12, List.of(List.of(new juniperusher.store.Entry("thing", "me/1", 9, 9, 4)))),
                 0.2);
         assertNull(lease.holding());
-        assertTrue(lease.due() <= 0.7 && lease.due() >= 0.45, "next claim at " + lease.due());
+        assertTrue(lease.nextTickAt() <= 0.7 && lease.nextTickAt() >= 0.45, "next claim at " + lease.nextTickAt());
     }
 
     @Test
@@ -108,17 +109,18 @@
         Lease lease = heldLease();
         lease.keyChanged(true, 9, 1);
         lease.keyChanged(false, 8, 1);
-        assertTrue(lease.holds(1), "reports of its own key and of the deletion of an earlier one");
+        assertTrue(lease.isOwner(1), "reports of its own key and of the deletion of an earlier one");
         List<Step> steps = lease.keyChanged(true, 20, 1.1);
         assertTrue(steps.contains(new Step.Lost(new Holding("thing", 9))));
-        assertFalse(lease.holds(1.1));
-        Step.Ask claim = requestIn(lease.answered(requestIn(steps).number(), new Reply.Leased(4, 5), 1.2));
-        lease.answered(
+        assertFalse(lease.isOwner(1.1));
+        Step.SendRequest claim =
+                requestIn(lease.answerReceived(requestIn(steps).number(), new Reply.Leased(4, 5), 1.2));
+        lease.answerReceived(
                 claim.number(),
                 new Reply.Done(
                         false, 21, List.of(List.of(new juniperusher.store.Entry("thing", "other/1", 20, 20, 8)))),
                 1.3);
-        assertTrue(lease.due() > 1.5);
+        assertTrue(lease.nextTickAt() > 1.5);
         assertTrue(requestIn(lease.keyChanged(false, 20, 1.35)).request() instanceof Request.Txn, "claims immediately");
     }
 
@@ -128,7 +130,7 @@
         List<Step> steps = lease.release(1);
         assertTrue(steps.contains(new Step.Lost(new Holding("thing", 9))));
         assertEquals(new Request.Revoke(4), requestIn(steps).request());
-        assertFalse(lease.holds(1));
+        assertFalse(lease.isOwner(1));
         assertEquals(List.of(), lease.tick(50));
     }
 
@@ -147,8 +149,8 @@
 
     @Test
     void inconsistentTimesAreRejected() {
-        assertThrows(IllegalArgumentException.class, () -> new Terms(5, 1, 3, 1, 1));
-        assertThrows(IllegalArgumentException.class, () -> new Terms(5, 0, 1, 1, 1));
+        assertThrows(IllegalArgumentException.class, () -> new LeaseTiming(5, 1, 3, 1, 1));
+        assertThrows(IllegalArgumentException.class, () -> new LeaseTiming(5, 0, 1, 1, 1));
     }
 
     // ---- several processes ----
@@ -191,7 +193,7 @@
             world.slow(node, 0.01);
         }
         world.storeDown(false);
-        world.run(now + 3 * TERMS.ttl());
+        world.run(now + 3 * TERMS.ttlSeconds());
         assertNull(
                 world.broken(), () -> world.broken() + "\n" + world.timeline().draw());
         assertNotEquals(
