--- a/src/test/java/juniperusher/settings/OperatorSettingsTest.java
+++ b/src/test/java/juniperusher/settings/OperatorSettingsTest.java
@@ -26,11 +26,11 @@
     @Test
     void describedKeysCanBeReadAndHoldTheDefaults() throws Exception {
         assertEquals(
-                StormSettings.USUAL,
+                StormSettings.DEFAULT,
                 OperatorSettings.read(writeSettings(OperatorSettings.describeKeys()))
                         .storm());
         assertEquals(
-                StormSettings.USUAL,
+                StormSettings.DEFAULT,
                 OperatorSettings.read(writeSettings("[storm]\n")).storm());
     }
 
@@ -44,7 +44,7 @@
     @Test
     void deploymentFileCanBeRead() throws Exception {
         assertEquals(
-                StormSettings.USUAL,
+                StormSettings.DEFAULT,
                 OperatorSettings.read(Path.of("deploy/relay.toml")).storm());
     }
 
@@ -55,7 +55,7 @@
                         + "destination = 7\naddress = 'b:5672'\nrouting_key = 'builds'\n"))
                 .amqp();
         assertEquals("own", amqp.getString("class", ""));
-        assertEquals("own", juniperusher.amqp.AmqpConfig.of(amqp).messageClass());
+        assertEquals("own", juniperusher.amqp.AmqpConfig.fromTable(amqp).defaultMessageClass());
         assertEquals(10, amqp.get("brokers").asArray().get(0).asObject().getDouble("weight", 0));
         assertNull(OperatorSettings.read(writeSettings("[amqp]\non = false\n")).amqp());
     }
@@ -114,8 +114,8 @@
             [control];listen='h:1';state='s';destinations=0 | :4: | 'control.destinations' = 0
             """)
     void invalidFileIsRefusedWithOneLineThatNamesThePlace(String text, String line, String expected) {
-        CheckedToml.InvalidTomlException exception = assertThrows(
-                CheckedToml.InvalidTomlException.class,
+        TomlReader.InvalidTomlException exception = assertThrows(
+                TomlReader.InvalidTomlException.class,
                 () -> OperatorSettings.read(writeSettings(text.replace(';', '\n') + '\n')));
         assertTrue(exception.getMessage().contains("relay.toml" + line), exception.getMessage());
         assertTrue(exception.getMessage().contains(expected), exception.getMessage());
@@ -126,7 +126,7 @@
     @Test
     void amqpJsonFileWithoutAClassIsRefusedInOneLine() throws Exception {
         Path file = Files.writeString(folder.resolve("amqp.json"), "{\"listen\":\"127.0.0.1:5672\"}");
-        String message = assertThrows(IllegalArgumentException.class, () -> juniperusher.amqp.AmqpConfig.read(file))
+        String message = assertThrows(IllegalArgumentException.class, () -> juniperusher.amqp.AmqpConfig.readFile(file))
                 .getMessage();
         assertTrue(message.startsWith("amqp.json cannot be read: class is missing"), message);
         assertEquals(1, message.lines().count());
@@ -134,7 +134,7 @@
 
     @Test
     void commandLineOverrideReplacesTheFilesValueAndIsValidated() throws Exception {
-        CheckedToml reader = CheckedToml.by(OperatorSettings.class, "operator.schema.json");
+        TomlReader reader = TomlReader.withSchema(OperatorSettings.class, "operator.schema.json");
         Path file = writeSettings("[storm]\nquiet = 3\n[amqp]\nclass = 'own'\n[[amqp.brokers]]\n"
                 + "destination = 7\naddress = 'b:1'\n"
                 + "routing_key = ''\n");
@@ -152,7 +152,7 @@
         for (String invalid :
                 List.of("storm.quiet=-1", "storm.quiet", "amqp.brokers.3.destination=1", "storm.quiet.x=1")) {
             assertTrue(
-                    assertThrows(CheckedToml.InvalidTomlException.class, () -> reader.read(file, List.of(invalid)))
+                    assertThrows(TomlReader.InvalidTomlException.class, () -> reader.read(file, List.of(invalid)))
                             .getMessage()
                             .startsWith("--set " + invalid),
                     invalid);
--- a/src/test/java/juniperusher/shard/ShardMapCodecTest.java
+++ b/src/test/java/juniperusher/shard/ShardMapCodecTest.java
@@ -19,7 +19,7 @@
 
     private final ShardMapCodec codec = new ShardMapCodec();
     private final ShardMap base = ShardMapTest.map();
-    private final ShardMap next = base.next(
+    private final ShardMap next = base.withSteps(
             new ShardMapStep.PutRelay(new RelayInfo("d", "west", "w1", 3)),
             new ShardMapStep.Split(10, 20),
             new ShardMapStep.Move(20, "a"),
@@ -66,9 +66,9 @@
 
     @Test
     void deltaMaySpanSeveralEpochs() {
-        ShardMap third = next.next(
+        ShardMap third = next.withSteps(
                         new ShardMapStep.Move(20, "b"), new ShardMapStep.Merge(10), new ShardMapStep.Split(0, 5))
-                .next(new ShardMapStep.Move(5, "b"));
+                .withSteps(new ShardMapStep.Move(5, "b"));
         assertEquals(third, codec.apply(base, codec.encodeDelta(base, third)));
         assertEquals(third, codec.apply(next, codec.encodeDelta(next, third)));
     }
@@ -145,7 +145,7 @@
 
     @Test
     void deltaIsRefusedWhenAppliedTwiceOutOfOrderOrToAnotherEpoch() {
-        ShardMap third = next.next(new ShardMapStep.Move(0, "b"));
+        ShardMap third = next.withSteps(new ShardMapStep.Move(0, "b"));
         byte[] first = codec.encodeDelta(base, next);
         byte[] second = codec.encodeDelta(next, third);
         WrongBaseException early = assertThrows(WrongBaseException.class, () -> codec.apply(base, second));
@@ -159,8 +159,8 @@
 
     @Test
     void deltaForAnotherMapOfTheSameEpochIsRefused() {
-        ShardMap other = base.next(new ShardMapStep.Move(0, "b"));
-        byte[] delta = codec.encodeDelta(next, next.next(new ShardMapStep.Release(0)));
+        ShardMap other = base.withSteps(new ShardMapStep.Move(0, "b"));
+        byte[] delta = codec.encodeDelta(next, next.withSteps(new ShardMapStep.Release(0)));
         WrongBaseException refusal = assertThrows(WrongBaseException.class, () -> codec.apply(other, delta));
         assertEquals("the delta was made from another map of epoch 8", refusal.getMessage());
     }
@@ -171,8 +171,8 @@
      */
     @Test
     void deltaMayLeadToAMapNotDerivedFromItsBase() {
-        ShardMap one = base.next(new ShardMapStep.Move(30, "a"));
-        ShardMap other = base.next(new ShardMapStep.Move(30, "b")).next(new ShardMapStep.Split(0, 5));
+        ShardMap one = base.withSteps(new ShardMapStep.Move(30, "a"));
+        ShardMap other = base.withSteps(new ShardMapStep.Move(30, "b")).withSteps(new ShardMapStep.Split(0, 5));
         assertEquals(other, codec.apply(one, codec.encodeDelta(one, other)));
     }
 
@@ -184,7 +184,7 @@
                 Integer.MAX_VALUE,
                 List.of(),
                 List.of(ShardRange.unowned(Integer.MIN_VALUE, Integer.MAX_VALUE, "north", 0)));
-        ShardMap cut = wide.next(
+        ShardMap cut = wide.withSteps(
                 new ShardMapStep.Split(Integer.MIN_VALUE, -5), new ShardMapStep.Split(-5, Integer.MAX_VALUE - 1));
         assertEquals(cut, codec.decode(codec.encode(cut)));
         assertEquals(cut, codec.apply(wide, codec.encodeDelta(wide, cut)));
@@ -195,7 +195,7 @@
     void deltaOverManyEpochsContainsOnlyTheFinalChanges() {
         ShardMap last = base;
         for (int epoch = 0; epoch < 30; epoch++) {
-            last = last.next(new ShardMapStep.Move(30, epoch % 2 == 0 ? "a" : "b"));
+            last = last.withSteps(new ShardMapStep.Move(30, epoch % 2 == 0 ? "a" : "b"));
         }
         byte[] delta = codec.encodeDelta(base, last);
         assertEquals(last, codec.apply(base, delta));
--- a/src/test/java/juniperusher/shard/ShardMapPropertyTest.java
+++ b/src/test/java/juniperusher/shard/ShardMapPropertyTest.java
@@ -124,7 +124,7 @@
             ShardMap copy = ShardMap.of(before.epoch(), FROM, TO, before.relays(), before.ranges());
             Model next = model.copy();
             try {
-                ShardMap after = before.next(step);
+                ShardMap after = before.withSteps(step);
                 applyToModel(next, before, step, after.epoch());
                 assertEquals(before.epoch() + 1, after.epoch(), "each batch of steps increases the epoch by one");
                 maps.add(after);
@@ -179,14 +179,14 @@
         for (int code : script) {
             ShardMapStep step = stepForCode(oneByOne, code);
             try {
-                oneByOne = oneByOne.next(step);
+                oneByOne = oneByOne.withSteps(step);
                 steps.add(step);
             } catch (InvalidStepException refused) {
                 assertTrue(oneByOne.epoch() == steps.size());
             }
         }
         if (!steps.isEmpty()) {
-            ShardMap batch = firstMap().next(steps);
+            ShardMap batch = firstMap().withSteps(steps);
             assertEquals(1, batch.epoch());
             assertEquals(oneByOne.relays(), batch.relays());
             assertEquals(oneByOne.rangeCount(), batch.rangeCount());
--- a/src/test/java/juniperusher/shard/ShardMapTest.java
+++ b/src/test/java/juniperusher/shard/ShardMapTest.java
@@ -36,7 +36,7 @@
 
     private static void assertStepsRefused(String message, ShardMapStep... steps) {
         ShardMap map = map();
-        InvalidStepException refusal = assertThrows(InvalidStepException.class, () -> map.next(steps));
+        InvalidStepException refusal = assertThrows(InvalidStepException.class, () -> map.withSteps(steps));
         assertTrue(refusal.getMessage().contains(message), refusal.getMessage());
         assertFalse(refusal.getMessage().contains("\n"));
         assertEquals(map(), map, "the map must not change");
@@ -77,7 +77,7 @@
 
     @Test
     void moveSetsOwnerAndEpochOfTheRange() {
-        ShardMap next = map().next(new ShardMapStep.Move(30, "a"));
+        ShardMap next = map().withSteps(new ShardMapStep.Move(30, "a"));
         assertEquals(8, next.epoch());
         assertEquals(new ShardRange(30, 40, "north", "a", "n1", 8), next.rangeOf(35));
         assertEquals(7, next.movedAt(10), "the other ranges have not moved");
@@ -85,17 +85,17 @@
 
     @Test
     void splitKeepsMovedAtAndMergeTakesTheLaterMovedAt() {
-        ShardMap split = map().next(new ShardMapStep.Split(10, 20));
+        ShardMap split = map().withSteps(new ShardMapStep.Split(10, 20));
         assertEquals(new ShardRange(20, 30, "north", "b", "n2", 7), split.rangeOf(20));
-        ShardMap moved = split.next(new ShardMapStep.Move(20, "a"), new ShardMapStep.Move(10, "a"));
-        ShardMap merged = moved.next(new ShardMapStep.Merge(10), new ShardMapStep.Merge(0));
+        ShardMap moved = split.withSteps(new ShardMapStep.Move(20, "a"), new ShardMapStep.Move(10, "a"));
+        ShardMap merged = moved.withSteps(new ShardMapStep.Merge(10), new ShardMapStep.Merge(0));
         assertEquals(new ShardRange(0, 30, "north", "a", "n1", 9), merged.rangeOf(0));
         assertEquals(3, merged.rangeCount());
     }
 
     @Test
     void stepsOfOneEpochApplyInOrder() {
-        ShardMap next = map().next(
+        ShardMap next = map().withSteps(
                         new ShardMapStep.PutRelay(new RelayInfo("d", "north", "n1", 1)),
                         new ShardMapStep.Split(10, 20),
                         new ShardMapStep.Split(20, 25),
@@ -107,14 +107,14 @@
         assertEquals("b", next.ownerOf(25));
         assertNull(next.ownerOf(0));
         assertNull(next.relay("a"));
-        ShardMap mergedAndSplit =
-                map().next(new ShardMapStep.Split(10, 20), new ShardMapStep.Merge(10), new ShardMapStep.Split(10, 15));
+        ShardMap mergedAndSplit = map().withSteps(
+                        new ShardMapStep.Split(10, 20), new ShardMapStep.Merge(10), new ShardMapStep.Split(10, 15));
         assertEquals(15, mergedAndSplit.rangeOf(20).from());
     }
 
     @Test
     void relayMayChangeZoneAndWeightWhileItOwnsRanges() {
-        ShardMap next = map().next(new ShardMapStep.PutRelay(new RelayInfo("b", "north", "n3", 9)));
+        ShardMap next = map().withSteps(new ShardMapStep.PutRelay(new RelayInfo("b", "north", "n3", 9)));
         assertEquals(new ShardRange(10, 30, "north", "b", "n3", 7), next.rangeOf(10));
     }
 
@@ -173,10 +173,11 @@
 
     @Test
     void digestsOfDifferentMapsOfOneEpochDiffer() {
-        ShardMap one = map().next(new ShardMapStep.Move(30, "a"));
-        ShardMap other = map().next(new ShardMapStep.Move(30, "b"));
+        ShardMap one = map().withSteps(new ShardMapStep.Move(30, "a"));
+        ShardMap other = map().withSteps(new ShardMapStep.Move(30, "b"));
         assertEquals(one.epoch(), other.epoch());
         assertFalse(one.digest() == other.digest());
-        assertEquals(one.digest(), map().next(new ShardMapStep.Move(30, "a")).digest());
+        assertEquals(
+                one.digest(), map().withSteps(new ShardMapStep.Move(30, "a")).digest());
     }
 }
--- a/src/test/java/juniperusher/shard/assign/AssignmentPropertyTest.java
+++ b/src/test/java/juniperusher/shard/assign/AssignmentPlannerPropertyTest.java
@@ -22,13 +22,13 @@
  * Plans assignments after random losses and returns of relays, zones and regions, and after changes of weight. jqwik
  * prints the seed.
  */
-class AssignmentPropertyTest {
+class AssignmentPlannerPropertyTest {
     private static final String SEED = "20261202";
     private static final int REGIONS = 3;
     private static final int ZONES = 3;
     private static final int RELAYS = 45;
     private static final int MAX_WEIGHT = 4;
-    private static final Assignment ASSIGNMENT = new Assignment(LoadBounds.USUAL);
+    private static final AssignmentPlanner PLANNER = new AssignmentPlanner(LoadBounds.DEFAULT);
 
     /** The load that a plan may move beyond the minimum, as a share of the mean load of a relay. */
     private static final double MAX_EXTRA_SHARE = 0.25;
@@ -75,7 +75,7 @@
                         .forEach(one -> available.add(one.name()));
             default -> {
                 int weight = 1 + code / 1_000 % MAX_WEIGHT;
-                return map.next(
+                return map.withSteps(
                         new ShardMapStep.PutRelay(new RelayInfo(relay.name(), relay.region(), relay.zone(), weight)));
             }
         }
@@ -92,9 +92,9 @@
 
     private static void checkPlan(ShardMap before, AssignmentPlan plan, Set<String> available) {
         ShardMap after = plan.applyTo(before);
-        AssignmentTest.assertWithinBounds(after, available, LoadBounds.USUAL);
-        assertEquals(countMoved(before, after), plan.moved());
-        assertTrue(plan.moved() >= plan.minimum());
+        AssignmentPlannerTest.assertWithinBounds(after, available, LoadBounds.DEFAULT);
+        assertEquals(countMoved(before, after), plan.movedDestinations());
+        assertTrue(plan.movedDestinations() >= plan.minMovedDestinations());
         for (ShardRange range : after.ranges()) {
             if (plan.unavailableRegions().contains(range.region())) {
                 assertEquals(
@@ -106,9 +106,9 @@
         long extra =
                 Math.max(MIN_EXTRA_DESTINATIONS, (long) (MAX_EXTRA_SHARE * (before.to() - before.from()) / RELAYS));
         assertTrue(
-                plan.moved() <= plan.minimum() + extra,
-                () -> plan.moved() + " moved, the minimum is " + plan.minimum());
-        assertEquals(List.of(), ASSIGNMENT.plan(after, available).steps(), "a second plan must not change anything");
+                plan.movedDestinations() <= plan.minMovedDestinations() + extra,
+                () -> plan.movedDestinations() + " moved, the minimum is " + plan.minMovedDestinations());
+        assertEquals(List.of(), PLANNER.plan(after, available).steps(), "a second plan must not change anything");
     }
 
     @Property(tries = 300, seed = SEED)
@@ -118,12 +118,12 @@
             @ForAll @IntRange(min = 1, max = 16) int rangesPerRelay,
             @ForAll boolean weighted) {
         List<RelayInfo> relays = relays(weighted);
-        Set<String> available = new TreeSet<>(AssignmentTest.names(relays));
-        ShardMap map = ASSIGNMENT.firstMap(0, regionSizes(destinations), relays, rangesPerRelay);
-        AssignmentTest.assertWithinBounds(map, available, LoadBounds.USUAL);
+        Set<String> available = new TreeSet<>(AssignmentPlannerTest.names(relays));
+        ShardMap map = PLANNER.createFirstMap(0, regionSizes(destinations), relays, rangesPerRelay);
+        AssignmentPlannerTest.assertWithinBounds(map, available, LoadBounds.DEFAULT);
         for (int code : script) {
             map = applyCode(map, available, code);
-            AssignmentPlan plan = ASSIGNMENT.plan(map, available);
+            AssignmentPlan plan = PLANNER.plan(map, available);
             checkPlan(map, plan, available);
             map = plan.applyTo(map);
         }
--- a/src/test/java/juniperusher/shard/assign/AssignmentTest.java
+++ b/src/test/java/juniperusher/shard/assign/AssignmentPlannerTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests that loads stay within bounds and few ranges move when relays, zones and regions fail and recover. */
-class AssignmentTest {
+class AssignmentPlannerTest {
     private static final int ZONES = 3;
-    private static final Assignment ASSIGNMENT = new Assignment(LoadBounds.USUAL);
+    private static final AssignmentPlanner PLANNER = new AssignmentPlanner(LoadBounds.DEFAULT);
 
     /** Creates the relays of regions r0, r1, ..., the same number for each, spread over the zones of the region. */
     static List<RelayInfo> relays(int regions, int relaysPerRegion) {
@@ -41,7 +41,7 @@
         for (int region = 0; region < regions; region++) {
             sizes.put("r" + region, destinationsPerRegion);
         }
-        return ASSIGNMENT.firstMap(0, sizes, relays, rangesPerRelay);
+        return PLANNER.createFirstMap(0, sizes, relays, rangesPerRelay);
     }
 
     static Set<String> names(List<RelayInfo> relays) {
@@ -92,14 +92,16 @@
      * reports the right number of moved destinations, and that this is at most the given multiple of the minimum.
      */
     private static ShardMap applyCheckedPlan(ShardMap map, Set<String> available, double maxMovedToMinimumRatio) {
-        AssignmentPlan plan = ASSIGNMENT.plan(map, available);
+        AssignmentPlan plan = PLANNER.plan(map, available);
         ShardMap next = plan.applyTo(map);
-        assertWithinBounds(next, available, LoadBounds.USUAL);
-        assertEquals(countMoved(map, next), plan.moved());
-        assertTrue(plan.moved() >= plan.minimum(), plan.moved() + " of at least " + plan.minimum());
+        assertWithinBounds(next, available, LoadBounds.DEFAULT);
+        assertEquals(countMoved(map, next), plan.movedDestinations());
         assertTrue(
-                plan.moved() <= maxMovedToMinimumRatio * plan.minimum(),
-                plan.moved() + " moved, minimum " + plan.minimum());
+                plan.movedDestinations() >= plan.minMovedDestinations(),
+                plan.movedDestinations() + " of at least " + plan.minMovedDestinations());
+        assertTrue(
+                plan.movedDestinations() <= maxMovedToMinimumRatio * plan.minMovedDestinations(),
+                plan.movedDestinations() + " moved, minimum " + plan.minMovedDestinations());
         return next;
     }
 
@@ -108,9 +110,9 @@
         List<RelayInfo> relays = relays(2, 30);
         ShardMap map = map(relays, 2, 9_000, 8);
         assertEquals(1, map.epoch());
-        assertWithinBounds(map, names(relays), LoadBounds.USUAL);
+        assertWithinBounds(map, names(relays), LoadBounds.DEFAULT);
         assertEquals(8, map.rangesOwnedBy("relay-1-0007").size());
-        assertEquals(List.of(), ASSIGNMENT.plan(map, names(relays)).steps(), "a second plan must not change anything");
+        assertEquals(List.of(), PLANNER.plan(map, names(relays)).steps(), "a second plan must not change anything");
     }
 
     @Test
@@ -152,7 +154,7 @@
         Set<String> available = names(relays);
         ShardMap map = map(relays, 2, 9_000, 4);
         available.removeIf(name -> map.relay(name).region().equals("r0"));
-        AssignmentPlan plan = ASSIGNMENT.plan(map, available);
+        AssignmentPlan plan = PLANNER.plan(map, available);
         assertEquals(List.of("r0"), plan.unavailableRegions());
         assertEquals(map, plan.applyTo(map));
     }
@@ -162,7 +164,7 @@
         List<RelayInfo> relays = relays(1, 12);
         Set<String> available = names(relays);
         ShardMap map = map(relays, 1, 12_000, 8);
-        ShardMap heavier = map.next(new ShardMapStep.PutRelay(new RelayInfo("relay-0-0000", "r0", "r0z0", 5)));
+        ShardMap heavier = map.withSteps(new ShardMapStep.PutRelay(new RelayInfo("relay-0-0000", "r0", "r0z0", 5)));
         ShardMap next = applyCheckedPlan(heavier, available, 1.05);
         assertTrue(next.rangesOwnedBy("relay-0-0000").stream()
                         .mapToLong(ShardRange::size)
@@ -174,13 +176,13 @@
     void unownedRangesAndRangesOfARemovedRelayAreAssigned() {
         List<RelayInfo> relays = relays(1, 10);
         ShardMap map = map(relays, 1, 1_000, 4);
-        ShardMap released = map.next(map.rangesOwnedBy("relay-0-0001").stream()
+        ShardMap released = map.withSteps(map.rangesOwnedBy("relay-0-0001").stream()
                 .map(range -> (ShardMapStep) new ShardMapStep.Release(range.from()))
                 .toList());
-        ShardMap removed = released.next(new ShardMapStep.RemoveRelay("relay-0-0001"));
+        ShardMap removed = released.withSteps(new ShardMapStep.RemoveRelay("relay-0-0001"));
         Set<String> available = names(removed.relays());
         applyCheckedPlan(removed, available, 1);
-        assertThrows(IllegalArgumentException.class, () -> ASSIGNMENT.plan(removed, Set.of("relay-0-0001")));
+        assertThrows(IllegalArgumentException.class, () -> PLANNER.plan(removed, Set.of("relay-0-0001")));
     }
 
     @Test
@@ -199,7 +201,7 @@
         ShardMap map = map(relays, 2, 9_000, 4);
         Set<String> available = names(relays);
         available.removeIf(name -> map.relay(name).zone().equals("r1z2"));
-        assertEquals(ASSIGNMENT.plan(map, available), ASSIGNMENT.plan(map, Set.copyOf(available)));
+        assertEquals(PLANNER.plan(map, available), PLANNER.plan(map, Set.copyOf(available)));
     }
 
     @Test
--- a/src/test/java/juniperusher/sim/WireTest.java
+++ b/src/test/java/juniperusher/sim/WireTest.java
@@ -11,18 +11,18 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HexFormat;
 import java.util.List;
-import juniperusher.Protocol.Cancel;
+import juniperusher.Protocol.CancelAttempt;
 import juniperusher.Protocol.CloseIdle;
 import juniperusher.Protocol.Fail;
 import juniperusher.Protocol.Log;
-import juniperusher.Protocol.Note;
 import juniperusher.Protocol.Probe;
 import juniperusher.Protocol.Refuse;
-import juniperusher.Protocol.Reload;
+import juniperusher.Protocol.ReloadList;
 import juniperusher.Protocol.Send;
+import juniperusher.Protocol.SendNote;
+import juniperusher.Protocol.SetListWatch;
+import juniperusher.Protocol.SetTimer;
 import juniperusher.Protocol.Settings;
-import juniperusher.Protocol.WakeAt;
-import juniperusher.Protocol.Watch;
 import org.junit.jupiter.api.Test;
 
 /** Compares the adapter's encoding with bytes written by hand from the description of the simulator's protocol. */
@@ -97,7 +97,7 @@
     }
 
     private static String errorOf(String... frames) {
-        return assertThrows(WireException.class, () -> serve(frames)).getMessage();
+        return assertThrows(MalformedInputException.class, () -> serve(frames)).getMessage();
     }
 
     @Test
@@ -133,15 +133,15 @@
                 3,
                 List.of(
                         new Send(0x5d3a91c4, 0x03124a07, Double.longBitsToDouble(0x3fb47ae147ae147bL)),
-                        new WakeAt(Double.longBitsToDouble(0x4021d3126e978d50L), 0x4d),
+                        new SetTimer(Double.longBitsToDouble(0x4021d3126e978d50L), 0x4d),
                         new Refuse(0x0e6f2b19, 0.25),
-                        new Cancel(0x5d3a91c4, 0),
-                        new Watch(true),
+                        new CancelAttempt(0x5d3a91c4, 0),
+                        new SetListWatch(true),
                         new CloseIdle(0x2c9011f2),
-                        new Reload(),
+                        new ReloadList(),
                         new Probe(0x2c9011f2),
                         new Fail(0x0e6f2b19),
-                        new Note(-1, new byte[] {0x68, 0x69, 0x20, 0x37})));
+                        new SendNote(-1, new byte[] {0x68, 0x69, 0x20, 0x37})));
         reply.addActions(5, List.of(new Log("two servers known")));
         reply.addActions(6, List.of());
         reply.addFault(3, "index out of range");
@@ -201,11 +201,11 @@
 
     @Test
     void settingsAreParsed() {
-        SettingsParser.Parsed parsed = SettingsParser.parse(SETTINGS);
-        assertEquals(271, parsed.settings().allowed().held());
-        assertEquals(10, parsed.settings().kinds().get(0).batch());
-        assertEquals(1, parsed.settings().kinds().get(1).batch());
-        assertEquals(0, parsed.leftField());
+        SettingsParser.ParsedSettings parsed = SettingsParser.parse(SETTINGS);
+        assertEquals(271, parsed.settings().limits().maxPending());
+        assertEquals(10, parsed.settings().kinds().get(0).maxBatch());
+        assertEquals(1, parsed.settings().kinds().get(1).maxBatch());
+        assertEquals(0, parsed.remainingField());
         assertEquals(1, parsed.limitField());
         assertEquals(0.0, parsed.settings().rules().keyQuiet());
     }
@@ -215,7 +215,7 @@
         Settings settings = SettingsParser.parse(SETTINGS + "familyInfo.feeByZone=0.01,0.04\n")
                 .settings();
         assertEquals(List.of(0.01, 0.04), settings.routeFees());
-        assertEquals(10.0, settings.allowed().keepAlive());
+        assertEquals(10.0, settings.limits().keepAlive());
         assertTrue(errorOf(batch(2, selectInstance(3) + startInstance(SETTINGS + "familyInfo.feeByZone=dear\n")))
                 .contains("familyInfo.feeByZone is unreadable"));
     }
--- a/src/test/java/juniperusher/status/ReportQueueTest.java
+++ b/src/test/java/juniperusher/status/ReportQueueTest.java
@@ -20,7 +20,7 @@
 /** Times and contents of posts: single cases, then random losses in virtual time. */
 class ReportQueueTest {
     private static final String SEED = "20261202";
-    private static final ReportTiming TIMING = ReportTiming.USUAL;
+    private static final ReportTiming TIMING = ReportTiming.DEFAULT;
 
     private final ReportQueue<String> queue = new ReportQueue<>(new ReportTiming(100, 8, 50, 200, 400, 50));
 
@@ -41,9 +41,9 @@
         assertEquals(List.of(post(1, false, "a")), queue.add("a", 0));
         assertEquals(List.of(), queue.add("b", 1));
         assertEquals(List.of(), queue.add("c", 2));
-        assertEquals(List.of(acknowledged("a"), post(2, false, "b", "c")), queue.answered(1, 3));
-        assertEquals(List.of(acknowledged("b"), acknowledged("c")), queue.answered(2, 4));
-        assertEquals(0, queue.waiting());
+        assertEquals(List.of(acknowledged("a"), post(2, false, "b", "c")), queue.postAcknowledged(1, 3));
+        assertEquals(List.of(acknowledged("b"), acknowledged("c")), queue.postAcknowledged(2, 4));
+        assertEquals(0, queue.unacknowledgedCount());
         assertEquals(ReportQueue.NEVER, queue.nextPostAt());
     }
 
@@ -53,9 +53,9 @@
         assertEquals(50, queue.nextPostAt());
         assertEquals(List.of(), queue.tick(49));
         assertEquals(List.of(post(2, true, "a")), queue.tick(50));
-        assertTrue(queue.isOut(1));
-        assertEquals(List.of(acknowledged("a"), abandon(1)), queue.answered(2, 51));
-        assertEquals(List.of(), queue.answered(1, 60), "acknowledged once");
+        assertTrue(queue.isInFlight(1));
+        assertEquals(List.of(acknowledged("a"), abandon(1)), queue.postAcknowledged(2, 51));
+        assertEquals(List.of(), queue.postAcknowledged(1, 60), "acknowledged once");
         assertEquals(List.of(post(3, false, "b")), queue.add("b", 61));
     }
 
@@ -63,8 +63,8 @@
     void answerToTheFirstPostIsAcceptedAfterASecond() {
         queue.add("a", 0);
         queue.tick(50);
-        assertEquals(List.of(acknowledged("a"), abandon(2)), queue.answered(1, 70));
-        assertEquals(0, queue.waiting());
+        assertEquals(List.of(acknowledged("a"), abandon(2)), queue.postAcknowledged(1, 70));
+        assertEquals(0, queue.unacknowledgedCount());
     }
 
     @Test
@@ -92,7 +92,7 @@
 
     @Test
     void defaultTimingSendsAThirdPostWithinTwoHundredMillis() {
-        ReportQueue<String> usual = new ReportQueue<>(ReportTiming.USUAL);
+        ReportQueue<String> usual = new ReportQueue<>(ReportTiming.DEFAULT);
         usual.add("a", 0);
         usual.tick(usual.nextPostAt());
         assertTrue(usual.nextPostAt() <= 200, "the third post goes at " + usual.nextPostAt());
@@ -116,8 +116,8 @@
     @Test
     void firstFailureHasNoBackoffAndTheSecondHasOne() {
         queue.add("a", 0);
-        assertEquals(List.of(post(2, true, "a")), queue.failed(1, 1));
-        assertEquals(List.of(), queue.failed(2, 2));
+        assertEquals(List.of(post(2, true, "a")), queue.postFailed(1, 1));
+        assertEquals(List.of(), queue.postFailed(2, 2));
         assertEquals(52, queue.nextPostAt());
         assertEquals(List.of(), queue.add("b", 3), "backoff after a second failure");
         assertEquals(List.of(post(3, true, "b", "a")), queue.tick(52));
@@ -131,8 +131,8 @@
         }
         int number = 1;
         List<Integer> sizes = new ArrayList<>();
-        while (queue.waiting() > 0) {
-            for (Step<String> step : queue.answered(number, 2)) {
+        while (queue.unacknowledgedCount() > 0) {
+            for (Step<String> step : queue.postAcknowledged(number, 2)) {
                 if (step instanceof Step.Post<String> post) {
                     number = post.number();
                     sizes.add(post.reports().size());
@@ -145,7 +145,7 @@
     @Test
     void hedgingDelayStartsWhenThePostIsWritten() {
         queue.add("a", 0);
-        queue.posted(1, 120);
+        queue.postWritten(1, 120);
         assertEquals(170, queue.nextPostAt());
     }
 
@@ -153,8 +153,8 @@
     void equalReportsAreAcknowledgedSeparately() {
         queue.add("a", 0);
         queue.add("a", 1);
-        queue.answered(1, 2);
-        assertEquals(List.of(acknowledged("a")), queue.answered(2, 3));
+        queue.postAcknowledged(1, 2);
+        assertEquals(List.of(acknowledged("a")), queue.postAcknowledged(2, 3));
     }
 
     /** Platform in virtual time with random answers, failures and silence; checks each step. */
@@ -200,7 +200,8 @@
 
         private void handle(Event event) {
             List<Integer> carried = inFlight.remove(event.post);
-            List<Step<Integer>> steps = event.answer ? queue.answered(event.post, now) : queue.failed(event.post, now);
+            List<Step<Integer>> steps =
+                    event.answer ? queue.postAcknowledged(event.post, now) : queue.postFailed(event.post, now);
             for (Step<Integer> step : steps) {
                 if (step instanceof Step.Acknowledged<Integer> done) {
                     assertTrue(
@@ -222,7 +223,7 @@
                 }
             }
             assertTrue(inFlight.size() <= TIMING.maxPostsInFlight(), "more posts in flight than the limit");
-            assertEquals(added - acknowledged.size(), queue.waiting());
+            assertEquals(added - acknowledged.size(), queue.unacknowledgedCount());
         }
 
         private void send(Step.Post<Integer> post) {
@@ -261,6 +262,6 @@
         // Posts in flight may stay unanswered; the oldest can be abandoned after its timeout.
         world.run(world.now + TIMING.postTimeoutMillis() + TIMING.maxRepeatIntervalMillis());
         assertEquals(world.added, world.acknowledged.size(), "not all acknowledged");
-        assertEquals(0, world.queue.waiting());
+        assertEquals(0, world.queue.unacknowledgedCount());
     }
 }
--- a/src/test/java/juniperusher/store/StoreStateTest.java
+++ b/src/test/java/juniperusher/store/StoreStateTest.java
@@ -94,7 +94,7 @@
         put("two", "x", two);
         store.answer(new Request.Revoke(one), 1);
         assertEquals(List.of(), read("one", false));
-        store.restarted(20);
+        store.restart(20);
         store.tick(24.9);
         assertEquals(1, read("two", false).size());
         store.tick(25);
--- a/src/test/java/juniperusher/storm/DestinationStormTest.java
+++ b/src/test/java/juniperusher/storm/DestinationStormTest.java
@@ -12,7 +12,7 @@
     private static final Rules RULES = new Rules(0.5, 0.14, 13, 2.5, 1.5, 0.5, 10);
     private static final double RELAY_SHARE = 1.0 / 3;
 
-    private final DestinationStorm storm = new DestinationStorm(StormSettings.USUAL, RULES);
+    private final DestinationStorm storm = new DestinationStorm(StormSettings.DEFAULT, RULES);
 
     DestinationStormTest() {
         storm.setListedRate(60);
@@ -218,7 +218,7 @@
 
     @Test
     void noRateLimitWithoutAKnownRate() {
-        DestinationStorm unknown = new DestinationStorm(StormSettings.USUAL, RULES);
+        DestinationStorm unknown = new DestinationStorm(StormSettings.DEFAULT, RULES);
         for (double now = 1; now <= 4; now += 0.25) {
             unknown.callFailed(now, now);
         }
