--- a/src/main/java/juniperusher/Protocol.java
+++ b/src/main/java/juniperusher/Protocol.java
@@ -7,7 +7,7 @@
  *
  * <p>The forwarder, called the sender in this interface, owns calls, connections and timers; {@code Control} decides
  * what happens to each message. Each {@link MessageAccepted} message that is not withdrawn ends exactly once, no later
- * than its deadline: by an {@link AttemptEnded} with {@code over}, a {@link Refuse} or a {@link Fail}.
+ * than its deadline: by an {@link AttemptEnded} with {@code finished}, a {@link Refuse} or a {@link Fail}.
  *
  * <p>All times are in seconds of one clock that never goes back; rates are per second. The forwarder assigns ids and
  * never reuses them.
@@ -93,7 +93,7 @@
     /**
      * A kind of destination.
      *
-     * @param maxBatch maximum number of messages in a call
+     * @param maxBatch       maximum number of messages in a call
      * @param separateRoutes whether each target is a separate route, with limits and failures of its own
      */
     public record DestinationKind(int maxBatch, boolean separateRoutes) {
--- a/src/main/java/juniperusher/cli/Main.java
+++ b/src/main/java/juniperusher/cli/Main.java
@@ -115,7 +115,7 @@
     private static final class Serve implements Command {
         @Parameter(
                 names = "--amqp",
-                description = "JSON file of the AMQP 0-9-1 front; deprecated, use [amqp] in the file of --settings")
+                description = "JSON file of the AMQP 0-9-1 front, the older form of [amqp] in the --settings file")
         private String amqpFile;
 
         @Parameter(
@@ -217,7 +217,7 @@
         LoggerFactory.getLogger(Main.class)
                 .atWarn()
                 .addKeyValue("file", jsonFile)
-                .log("--amqp is deprecated: move its content to [amqp] in the file of --settings, see "
+                .log("--amqp is the older form: move its content to [amqp] in the file of --settings, see "
                         + "deploy/relay.toml");
         return AmqpConfig.readFile(Path.of(jsonFile));
     }
--- a/src/main/java/juniperusher/core/RoundInterceptor.java
+++ b/src/main/java/juniperusher/core/RoundInterceptor.java
@@ -11,7 +11,7 @@
 public interface RoundInterceptor {
     /**
      * Returns the events that the decision module receives instead of {@code events}. Events that answer an action of
-     * this companion, such as the result of its own probe, may be left out.
+     * this interceptor, such as the result of its own probe, may be left out.
      *
      * @param nowSeconds time of the round, on the clock of the decision loop
      */
--- a/src/main/java/juniperusher/core/Subchannels.java
+++ b/src/main/java/juniperusher/core/Subchannels.java
@@ -6,8 +6,8 @@
 /** Transport for calls to endpoints. An implementation never repeats a call on its own. Safe for threads. */
 public interface Subchannels {
     /**
-     * Starts one call that carries all the RPCs. {@code clearance} is asked once, immediately before the first byte; if
-     * it denies the call, nothing is sent. {@code results} receives the result of each RPC exactly once.
+     * Starts one call that carries all the RPCs. {@code permission} is asked once, immediately before the first byte;
+     * if it denies the call, nothing is sent. {@code resultListener} receives the result of each RPC exactly once.
      *
      * @param timeoutSeconds how long the caller waits, for the endpoint's information; the caller ends the call itself
      */
--- a/src/main/java/juniperusher/http/EndpointListParser.java
+++ b/src/main/java/juniperusher/http/EndpointListParser.java
@@ -13,7 +13,7 @@
 import juniperusher.membership.EndpointEntry;
 import juniperusher.membership.EndpointUpdate;
 
-/** Parses the JSON format in which discovery's agent lists endpoints, a whole list or a change. Thread-safe. */
+/** Parses the JSON format in which discovery's agent lists endpoints, a full list or a change. Thread-safe. */
 public final class EndpointListParser {
     private final List<String> kinds;
     private final List<String> zones;
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Parses a list. An entry that cannot be parsed does not affect the others: its id is returned among the unread
-     * ones, and an entry without an id is dropped.
+     * Parses a list. An entry that cannot be parsed does not affect the others: its id is returned among the
+     * unreadable ones, and an entry without an id is dropped.
      *
      * @throws IllegalArgumentException if the text is truncated, is not JSON, or has no array of entries
      */
--- a/src/main/java/juniperusher/http/Resolver.java
+++ b/src/main/java/juniperusher/http/Resolver.java
@@ -28,7 +28,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Connects {@link Membership} to discovery's agent over HTTP: requests the whole list of endpoints, then watches
+ * Connects {@link Membership} to discovery's agent over HTTP: requests the full list of endpoints, then watches
  * it for changes. The state machine decides when to open or abandon a request and when a snapshot is published.
  *
  * <p>One thread owns the state machine. Network threads only add events to its queue. The thread polls the state
@@ -37,11 +37,11 @@
  */
 final class Resolver implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(Resolver.class);
-    // Bounds a whole list and a single change; enough for about 20,000 endpoints.
+    // Bounds a full list and a single change; enough for about 20,000 endpoints.
     private static final int MAX_LIST_BYTES = 4 << 20;
     // The state machine is polled this often even if it asked for a later time.
     private static final long MAX_POLL_MILLIS = 500;
-    // A change without a further byte for this long is treated as truncated, and the whole list is requested. A drain
+    // A change without a further byte for this long is treated as truncated, and the full list is requested. A drain
     // counts as announced even if its change was truncated, and the relay must obey it within 500 ms. A change that
     // was only slow is still applied once it is complete.
     private static final long PARTIAL_CHANGE_MILLIS = 150;
@@ -259,7 +259,7 @@
     }
 
     /**
-     * Reads the response to one request: the whole list, or the changes on a watch. Called by network threads, which
+     * Reads the response to one request: the full list, or the changes on a watch. Called by network threads, which
      * hand the results to the owning thread as events.
      */
     private final class ResponseReader implements HttpPool.Listener {
@@ -301,7 +301,7 @@
             return partialSinceNanos != 0;
         }
 
-        /** Treats a change that stayed incomplete for too long as truncated, which requests the whole list. */
+        /** Treats a change that stayed incomplete for too long as truncated, which requests the full list. */
         List<Step> checkPartialChange(double now) {
             long since = partialSinceNanos;
             if (since == 0 || System.nanoTime() - since < PARTIAL_CHANGE_MILLIS * 1_000_000) {
--- a/src/main/java/juniperusher/lab/scale/StormSlopes.java
+++ b/src/main/java/juniperusher/lab/scale/StormSlopes.java
@@ -36,7 +36,7 @@
                 new NoteHeap());
     }
 
-    /** One relay's storms, driven round by round. */
+    /** One relay's storm advisor, driven round by round. */
     private static final class Fixture {
         private static final double ROUND = 0.005; // s
         private static final double FAILING = 2; // s, longer than an outage needs to be seen
--- a/src/main/java/juniperusher/ownership/LeaseTiming.java
+++ b/src/main/java/juniperusher/ownership/LeaseTiming.java
@@ -17,7 +17,9 @@
         double renewIntervalSeconds,
         double requestTimeoutSeconds,
         double retryBackoffSeconds) {
-    /** Defaults: the ttl of ten seconds bounds the takeover from a crashed owner and has room for three renewals. */
+    /**
+     * Defaults: the lease time of ten seconds bounds the takeover from a crashed owner and has room for three renewals.
+     */
     public static final LeaseTiming DEFAULT = new LeaseTiming(10, 1.5, 2.5, 1, 1);
 
     public LeaseTiming {
--- a/src/test/java/juniperusher/http/FakeAgent.java
+++ b/src/test/java/juniperusher/http/FakeAgent.java
@@ -13,7 +13,7 @@
 
 /** A discovery agent for tests that can be made to fail in several ways. */
 final class FakeAgent extends FakeServer {
-    /** How a request for the whole list is answered; BUSY applies to watches too. */
+    /** How a request for the full list is answered; BUSY applies to watches too. */
     enum Behavior {
         NORMAL,
         NO_RESPONSE,
@@ -25,7 +25,7 @@
     }
 
     volatile Behavior behavior = Behavior.NORMAL;
-    volatile long listDelayMillis; // before the whole list is sent
+    volatile long listDelayMillis; // before the full list is sent
     volatile String list;
     final List<String> requestPaths = new CopyOnWriteArrayList<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
--- a/src/test/java/juniperusher/http/ResolverTest.java
+++ b/src/test/java/juniperusher/http/ResolverTest.java
@@ -123,7 +123,7 @@
     void aNewAddressThatAnswersLateIsAccepted() throws Exception {
         startResolver(firstAgent.address());
         awaitWatch(firstAgent);
-        secondAgent.listDelayMillis = 900; // longer than the first timeout of a request for the whole list
+        secondAgent.listDelayMillis = 900; // longer than the first timeout of a request for the full list
         secondAgent.list = list(3, true, server("a", 10, "draining"));
         resolver.discoveryMoved(secondAgent.address());
         awaitPhases("{a=DRAINING}");
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void aTruncatedChangeIsReplacedByTheWholeList() throws Exception {
+    void aTruncatedChangeIsReplacedByTheFullList() throws Exception {
         startResolver(firstAgent.address());
         awaitWatch(firstAgent);
         firstAgent.list = list(44, true, server("a", 10, "draining"), server("b", 11, "up"));
@@ -164,7 +164,7 @@
     void anIndentedChangeIsReadAndAMalformedOneDoesNotAffectItsNeighbors() throws Exception {
         startResolver(firstAgent.address());
         awaitWatch(firstAgent);
-        firstAgent.behavior = Behavior.NO_RESPONSE; // so that the whole list cannot replace the changes
+        firstAgent.behavior = Behavior.NO_RESPONSE; // so that the full list cannot replace the changes
         firstAgent.send(
                 Json.parse(list(42, false, server("b", 11, "draining"))).toString(WriterConfig.PRETTY_PRINT), 7);
         awaitPhases("{a=READY, b=DRAINING}");
--- a/src/test/java/juniperusher/net/EarlyAnswerTest.java
+++ b/src/test/java/juniperusher/net/EarlyAnswerTest.java
@@ -107,15 +107,15 @@
                 new HttpPool.Listener() {
                     @Override
                     public void answered(HttpMessage response) {
-                        told(Integer.toString(response.status()));
+                        recordEnd(Integer.toString(response.status()));
                     }
 
                     @Override
                     public void ended(CallEnd end, int statusLineCode) {
-                        told(end.name());
+                        recordEnd(end.name());
                     }
 
-                    private void told(String end) {
+                    private void recordEnd(String end) {
                         ends.add(end);
                         if (ends.size() < EXCHANGES) {
                             runExchanges(pool, ends, done);
--- a/src/test/java/juniperusher/net/InboundConnectionsTest.java
+++ b/src/test/java/juniperusher/net/InboundConnectionsTest.java
@@ -48,36 +48,36 @@
     @Test
     public void shedsMuteThenLongestIdleButNeverServedConnections() {
         InboundConnections inboundConnections = new InboundConnections(6, () -> {});
-        inboundConnections.add(connection("served", ConnectionState.HANDLING, 60_000));
+        inboundConnections.add(connection("handling", ConnectionState.HANDLING, 60_000));
         inboundConnections.add(connection("just opened", ConnectionState.NO_DATA, 1));
         inboundConnections.add(connection("idle", ConnectionState.IDLE, 10));
         inboundConnections.add(connection("longest idle", ConnectionState.IDLE, 500));
-        inboundConnections.add(connection("mute", ConnectionState.NO_DATA, 400));
+        inboundConnections.add(connection("no data", ConnectionState.NO_DATA, 400));
         inboundConnections.add(connection("stalled", ConnectionState.RECEIVING, 1_500));
         assertEquals(shed, List.of());
         assertTrue(inboundConnections.isCrowded(), "each connection should close after its response");
         for (int i = 0; i < 6; i++) {
             inboundConnections.add(connection("new " + i, ConnectionState.HANDLING, 0));
         }
-        assertEquals(shed, List.of("mute", "longest idle", "idle", "stalled", "just opened", "new 5"));
+        assertEquals(shed, List.of("no data", "longest idle", "idle", "stalled", "just opened", "new 5"));
         assertEquals(inboundConnections.size(), 6);
         // Connections that were shed but are not closed yet are dropped once there are too many, the earliest first.
-        assertEquals(dropped, List.of("mute", "longest idle", "idle", "stalled", "just opened"));
+        assertEquals(dropped, List.of("no data", "longest idle", "idle", "stalled", "just opened"));
     }
 
     @Test
     public void endingIdleConnectionsSparesThoseJustOpened() {
         InboundConnections inboundConnections = new InboundConnections(6, () -> {});
-        inboundConnections.add(connection("served", ConnectionState.HANDLING, 60_000));
+        inboundConnections.add(connection("handling", ConnectionState.HANDLING, 60_000));
         inboundConnections.add(connection("just opened", ConnectionState.NO_DATA, 1));
         inboundConnections.add(connection("idle", ConnectionState.IDLE, 1));
-        inboundConnections.add(connection("mute", ConnectionState.NO_DATA, 400));
+        inboundConnections.add(connection("no data", ConnectionState.NO_DATA, 400));
         inboundConnections.add(connection("partial request", ConnectionState.RECEIVING, 1));
         inboundConnections.closeAll(true);
-        assertEquals(shed, List.of("idle", "mute"));
+        assertEquals(shed, List.of("idle", "no data"));
         shed.clear();
         inboundConnections.closeAll(false);
-        assertEquals(shed, List.of("served", "just opened", "idle", "mute", "partial request"));
+        assertEquals(shed, List.of("handling", "just opened", "idle", "no data", "partial request"));
         assertEquals(dropped, List.of());
     }
 
--- a/src/test/java/juniperusher/settings/OperatorSettingsTest.java
+++ b/src/test/java/juniperusher/settings/OperatorSettingsTest.java
@@ -122,7 +122,7 @@
         assertEquals(1, exception.getMessage().lines().count());
     }
 
-    /** Covers the deprecated form of the AMQP settings: a separate JSON file. */
+    /** Covers the older form of the AMQP settings: a separate JSON file. */
     @Test
     void amqpJsonFileWithoutAClassIsRefusedInOneLine() throws Exception {
         Path file = Files.writeString(folder.resolve("amqp.json"), "{\"listen\":\"127.0.0.1:5672\"}");
