--- a/src/main/java/juniperusher/amqp/AmqpServerConnection.java
+++ b/src/main/java/juniperusher/amqp/AmqpServerConnection.java
@@ -56,7 +56,7 @@
         inboundConnections.remove(this);
     }
 
-    /** Mute until the client has logged in; never shed from then on, because its consumers wait for outcomes. */
+    /** {@code NO_DATA} until the client has logged in; never shed from then on, as its consumers wait for outcomes. */
     @Override
     public InboundConnections.ConnectionState state() {
         return expectedMethod != HANDSHAKE_DONE
--- a/src/main/java/juniperusher/lab/scale/ControlSlopes.java
+++ b/src/main/java/juniperusher/lab/scale/ControlSlopes.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.List;
 
-/** What the decision module costs: by listed destinations, held messages and messages passed through. */
+/** What the decision module costs: by listed destinations, pending messages and messages passed through. */
 final class ControlSlopes {
     private static final int SOME_HELD = 1_000;
     private static final int USUAL = ControlFixture.USUAL_DESTINATIONS;
@@ -49,7 +49,7 @@
         }
     }
 
-    /** The same with some messages held at closed destinations. */
+    /** The same with some messages pending at closed destinations. */
     private static final class RoundWithSomeHeld extends NamedSlope {
         RoundWithSomeHeld() {
             super("control.round.destination.held", "ns", DESTINATION);
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Retained heap by messages held at closed destinations. */
+    /** Retained heap by messages pending at closed destinations. */
     private static final class HeapOfHeld extends NamedSlope {
         HeapOfHeld() {
             super("control.heap.held", "B", HELD);
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Time of a round without events, by messages held at closed destinations. */
+    /** Time of a round without events, by messages pending at closed destinations. */
     private static final class RoundWithHeld extends NamedSlope {
         RoundWithHeld() {
             super("control.round.held", "ns", HELD);
@@ -101,7 +101,7 @@
         }
     }
 
-    /** The same, by messages held at destinations whose endpoints all drain. */
+    /** The same, by messages pending at destinations whose endpoints all drain. */
     private static final class RoundWithHeldAtDraining extends NamedSlope {
         RoundWithHeldAtDraining() {
             super("control.round.held.draining", "ns", HELD);
--- a/src/main/java/juniperusher/lab/scale/EndpointLists.java
+++ b/src/main/java/juniperusher/lab/scale/EndpointLists.java
@@ -12,7 +12,7 @@
 
     private EndpointLists() {}
 
-    /** A whole list of so many endpoints. */
+    /** A full list of so many endpoints. */
     static JsonObject whole(int endpoints) {
         JsonArray servers = new JsonArray();
         for (int i = 0; i < endpoints; i++) {
--- a/src/main/java/juniperusher/lab/scale/MembershipSlopes.java
+++ b/src/main/java/juniperusher/lab/scale/MembershipSlopes.java
@@ -25,7 +25,7 @@
         return membership;
     }
 
-    /** Bytes that discovery sends to a relay that asks for the whole list, as each one does at its start. */
+    /** Bytes that discovery sends to a relay that asks for the full list, as each one does at its start. */
     private static final class BytesOfList extends NamedSlope {
         BytesOfList() {
             super("discovery.bytes.endpoint", "B", ENDPOINT);
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Time from the text of a whole list to the state in force. */
+    /** Time from the text of a full list to the state in force. */
     private static final class TimeOfList extends NamedSlope {
         TimeOfList() {
             super("membership.list.endpoint", "ns", ENDPOINT);
--- a/src/main/java/juniperusher/lab/shard/ShardFigures.java
+++ b/src/main/java/juniperusher/lab/shard/ShardFigures.java
@@ -41,7 +41,7 @@
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     private final ShardMapCodec codec = new ShardMapCodec();
-    private final AssignmentPlanner assignment = new AssignmentPlanner(LoadBounds.DEFAULT);
+    private final AssignmentPlanner planner = new AssignmentPlanner(LoadBounds.DEFAULT);
     private volatile Object sink; // so that no work is left out
 
     private ShardFigures() {}
@@ -224,7 +224,7 @@
 
     private ShardMap planned(String what, ShardMap map, Set<String> available) {
         long start = processorNanos();
-        AssignmentPlan plan = assignment.plan(map, available);
+        AssignmentPlan plan = planner.plan(map, available);
         long nanos = processorNanos() - start;
         ShardMap next = plan.applyTo(map);
         double[] spread = loads(next, available);
@@ -282,7 +282,7 @@
             if (away.size() > AWAY_AT_ONCE) {
                 available.add(away.remove(0));
             }
-            AssignmentPlan plan = assignment.plan(map, available);
+            AssignmentPlan plan = planner.plan(map, available);
             map = plan.applyTo(map);
             moved += plan.movedDestinations();
             minimum += plan.minMovedDestinations();
--- a/src/main/java/juniperusher/net/HttpPool.java
+++ b/src/main/java/juniperusher/net/HttpPool.java
@@ -47,8 +47,8 @@
         void answered(HttpMessage response);
 
         /**
-         * The exchange ended without a whole response. {@code firstLine} is the status code of the response's first
-         * line, or 0 if that line did not arrive.
+         * The exchange ended without a complete response. {@code statusLineCode} is the status code of the response's
+         * status line, or 0 if that line did not arrive.
          */
         void ended(CallEnd end, int statusLineCode);
 
--- a/src/main/java/juniperusher/net/Network.java
+++ b/src/main/java/juniperusher/net/Network.java
@@ -143,7 +143,7 @@
                 "RELAY_ACCEPT_FD names descriptor 0, which holds no listening " + "TCP socket");
     }
 
-    /** Opens a connection and reports the result to {@code dial}. Does not block. */
+    /** Opens a connection and reports the result to {@code listener}. Does not block. */
     public void connect(InetSocketAddress address, ConnectListener listener) {
         SocketChannel channel = null;
         try {
--- a/src/main/java/juniperusher/sim/BatchServer.java
+++ b/src/main/java/juniperusher/sim/BatchServer.java
@@ -215,7 +215,7 @@
     private Event readListEvent(FrameReader in) {
         int listNumber = in.u16();
         in.u32(); // not used
-        int status = in.u8(); // 0: only changed targets, 3: the list could not be read, else: the whole list
+        int status = in.u8(); // 0: only changed targets, 3: the list could not be read, else: the full list
         if (status == 3) {
             return new WatchFailed();
         }
@@ -273,10 +273,11 @@
             values[i] = in.f32();
         }
         int limitField = parsed.limitField();
-        int leftField = parsed.remainingField();
+        int remainingField = parsed.remainingField();
         if (limitField < 0 || limitField >= count) {
             return null;
         }
-        return new LoadReport(values[limitField], leftField >= 0 && leftField < count ? values[leftField] : 0);
+        return new LoadReport(
+                values[limitField], remainingField >= 0 && remainingField < count ? values[remainingField] : 0);
     }
 }
