--- a/src/test/java/juniperusher/amqp/ReplyQueueTest.java
+++ b/src/test/java/juniperusher/amqp/ReplyQueueTest.java
@@ -25,4 +25,19 @@
         assertEquals(dropped, List.of("one"), "the older one, once");
         assertEquals(queue.pendingCount(), 1);
     }
+
+    /**
+     * Guards against a NullPointerException when a client nacks an outcome that expired while it held it, or
+     * disconnects, and nothing else is queued.
+     */
+    @Test
+    public void expiredOutcomeThatIsPutBackIsDropped() {
+        List<String> dropped = new ArrayList<>();
+        ReplyQueue queue = new ReplyQueue();
+        queue.setRetention(30);
+        long created = SteadyClock.millis() - 60;
+        queue.add(new ReplyQueue.Delivery("q", OUTCOME, true, created, () -> dropped.add("held")));
+        assertEquals(dropped, List.of("held"), "once");
+        assertEquals(queue.pendingCount(), 0);
+    }
 }
